--- a/src/foxwinch/core/orders/__init__.py
+++ b/src/foxwinch/core/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Goal state against actual state of models on workers."""
+"""Reconciliation of the models on workers with their goal state."""
--- a/src/foxwinch/core/orders/model.py
+++ b/src/foxwinch/core/orders/model.py
@@ -1,4 +1,4 @@
-"""Goal state and actual state of models on workers, and the orders between them."""
+"""Goal state and actual state of the models on workers, and the orders that change them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 
 class OrderKind(StrEnum):
-    """What an engine is ordered to do; the names of the engine port."""
+    """Kind of an order, with the value used by the engine port."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -19,14 +19,14 @@
 
 
 READS_WEIGHTS = frozenset({OrderKind.LOAD, OrderKind.LOAD_ADAPTER, OrderKind.SET_VERSION})
-"""Orders that make the worker read from the rate-limited weight store."""
+"""Orders that read from the rate-limited weight store."""
 INTERRUPTS_SERVING = frozenset({OrderKind.UNLOAD, OrderKind.SET_VERSION})
-"""Orders during which the worker doesn't count as serving the model."""
+"""Orders during which the worker does not count as serving the model."""
 
 
 @dataclass(frozen=True, slots=True)
 class ModelGoal:
-    """What the configuration wants of one model."""
+    """Configured goal state of one model."""
 
     model: ModelName
     version: str
@@ -38,25 +38,25 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerActual:
-    """What is known of one worker, from its lagging report and from finished orders."""
+    """Known state of one worker, from its lagging report and from completed orders."""
 
     worker: WorkerId
     pool: str
     load: float
-    """Running and waiting calls; the worker with the least is the coldest."""
+    """Number of running and waiting calls."""
     models: frozenset[ModelName]
     versions: Mapping[ModelName, str] = field(default_factory=dict)
-    """Versions that are known; a loaded model without one here is ordered to its version."""
+    """Known versions; a loaded model without a known version gets an order to set it."""
     adapters: frozenset[tuple[ModelName, str]] = frozenset()
     role: str = ""
     leaving: bool = False
     wanted_role: str = ""
-    """Role that the configuration wants; empty means that any is right."""
+    """Configured role, or empty if any role is accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One order to one worker; sent again under the same token until it is answered."""
+    """An order to one worker, resent under the same token until it is answered."""
 
     token: str
     worker: WorkerId
--- a/src/foxwinch/core/orders/reconciler.py
+++ b/src/foxwinch/core/orders/reconciler.py
@@ -1,10 +1,10 @@
-"""Reconciles the goal state of models with the actual one, a few orders at a time.
+"""Incremental reconciliation of the actual state of models with their goal state.
 
-Three rules bound every decision. At most `loads_in_flight` orders read from the weight store at
-once, and they start at least `load_interval_seconds` apart. An order that interrupts serving is
-given only while the model keeps its minimum of other serving workers. A difference must last
-`stable_seconds` before it is acted upon, because reports lag; a model below its minimum is the
-exception, as waiting there helps nobody.
+Three rules limit the orders. At most `loads_in_flight` orders read from the weight store at a time,
+and they start at least `load_interval_seconds` apart. An order that interrupts serving is issued
+only if enough other workers keep serving the model to meet its minimum. A difference must persist
+for `stable_seconds` before it causes an order, because reports lag; loads of a model below its
+minimum are exempt, because a delay would only prolong the shortage.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -21,19 +21,19 @@
 from foxwinch.identifiers import Epoch, ModelName, WorkerId
 
 FAILURE_PAUSE_SECONDS = 10.0
-"""After a failed order the same one is not given again for so long."""
+"""Delay before a failed order may be issued again."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderPolicy:
-    """Bounds on orders."""
+    """Limits on orders."""
 
     loads_in_flight: int = 2
     load_interval_seconds: float = 1.0
     stable_seconds: float = 5.0
-    """Longer than two load reports with their lag."""
+    """Time a difference must persist, which exceeds two load report periods including lag."""
     pressure_waiting: int = 8
-    """Waiting calls for each serving worker above which a model gets one more worker."""
+    """Waiting calls per serving worker above which a model gets an additional worker."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,15 +48,14 @@
 class _View:
     goals: Mapping[ModelName, ModelGoal]
     workers: Sequence[WorkerActual]
-    """Those that are not leaving, coldest first."""
+    """Workers that are not leaving, the least loaded first."""
     waiting: Mapping[ModelName, int]
 
 
 class OrderReconciler:
-    """Decides on orders; one node of a region runs it, under an epoch."""
+    """Issues the orders of a region; it runs on one node at a time, under an epoch."""
 
     def __init__(self, epoch: Epoch, policy: OrderPolicy) -> None:
-        """Start with nothing in flight."""
         self._epoch = epoch
         self._policy = policy
         self._sequence = 0
@@ -66,7 +65,7 @@
         self._next_load_at = float("-inf")
 
     def in_flight(self) -> tuple[Order, ...]:
-        """Return the orders without an answer; the driver repeats them until there is one."""
+        """Return the unanswered orders, which the driver resends until they are answered."""
         return tuple(self._in_flight.values())
 
     def advance(
@@ -76,7 +75,7 @@
         waiting: Mapping[ModelName, int],
         now: float,
     ) -> list[Order]:
-        """Return new orders; `waiting` counts the waiting calls of each model."""
+        """Return the new orders; `waiting` is the number of waiting calls by model."""
         staying = sorted(
             (w for w in workers if not w.leaving), key=lambda worker: (worker.load, worker.worker)
         )
@@ -90,7 +89,7 @@
         return orders
 
     def completed(self, token: str, succeeded: bool, now: float) -> Order | None:
-        """Take note of an answer; returns the order, or None for one that is not in flight."""
+        """Handle the result of an order and return the order, or None if it is not in flight."""
         order = self._in_flight.pop(token, None)
         if order is not None:
             want = _Wanted(order.worker, order.kind, order.model, order.value)
@@ -99,7 +98,7 @@
         return order
 
     def serving(self, model: ModelName, workers: Iterable[WorkerActual]) -> int:
-        """Count the workers that serve a model and are not being interrupted or leaving."""
+        """Return how many workers serve a model and are neither interrupted nor leaving."""
         interrupted = {
             order.worker
             for order in self._in_flight.values()
@@ -110,7 +109,7 @@
         )
 
     def _differences(self, view: _View) -> list[_Wanted]:
-        """Return what differs, the most urgent kind first, the coldest worker first."""
+        """Return the required changes, ordered by kind urgency and then by worker load."""
         found = self._missing_minimum(view)
         found += self._idle_workers(view)
         found += self._under_pressure(view)
@@ -136,7 +135,7 @@
         return sum(model in w.models or w.worker in loading for w in workers)
 
     def _idle_workers(self, view: _View) -> list[_Wanted]:
-        """A worker without a model gets the one of its pool that fewest workers have."""
+        """Return loads for workers without a model, choosing the rarest model of their pool."""
         found: list[_Wanted] = []
         for worker in view.workers:
             fitting = [g for g in view.goals.values() if worker.pool in g.pools]
@@ -220,7 +219,7 @@
 
 
 def _loads(goal: ModelGoal, workers: Iterable[WorkerActual]) -> list[_Wanted]:
-    """Return loads of a model on the workers that may take it, coldest first."""
+    """Return loads of a model on the eligible workers, the least loaded first."""
     return [
         _load(goal, worker)
         for worker in workers
--- a/src/foxwinch/core/steward/__init__.py
+++ b/src/foxwinch/core/steward/__init__.py
@@ -1,1 +1,1 @@
-"""One pool of workers: queueing, cache, placement and grants."""
+"""Scheduling of one worker pool: queueing, cache tracking, placement and grants."""
--- a/src/foxwinch/core/steward/actions.py
+++ b/src/foxwinch/core/steward/actions.py
@@ -1,4 +1,4 @@
-"""What a pool's scheduler decides: the outputs of `PoolScheduler.handle`."""
+"""Actions returned by `PoolScheduler.handle`."""
 
 from dataclasses import dataclass
 
@@ -8,21 +8,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Run the call on the worker; it holds a place there until finished, failed or withdrawn."""
+    """Run the call on the worker; its slot is held until it finishes, fails or is withdrawn."""
 
     call_id: CallId
     worker: WorkerId
     priority: int
-    """Lower is more urgent; the engine preempts running calls of higher numbers for it."""
+    """Lower is more urgent; the engine may preempt running calls with a higher number."""
     expected_cached_tokens: int
     waited_seconds: float
     reason: str
-    """Why the call waited and went where it did."""
+    """Explanation of the wait and the placement."""
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """Answer the call now: it was not run. `refused.retry_after_seconds` says when to ask again."""
+    """Reject the call without running it; `refused.retry_after_seconds` is the retry delay."""
 
     call_id: CallId
     refused: Refused
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MovePrefix:
-    """Copy leading blocks between workers, then answer `TransferAnswered` for the call.
+    """Copy leading cache blocks between workers, then report `TransferAnswered` for the call.
 
-    `program_id` is a program that has run with this prefix on the source.
+    `program_id` identifies a program that has run with this prefix on the source.
     """
 
     call_id: CallId
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseCache:
-    """Free what the worker holds for this program only; answer `ReleaseAnswered`."""
+    """Free the cache that the worker holds only for this program, then report `ReleaseAnswered`."""
 
     worker: WorkerId
     program_id: ProgramId
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResyncCache:
-    """Read the worker's whole list of cached blocks: events were lost."""
+    """Read the complete list of the worker's cached blocks because events were lost."""
 
     worker: WorkerId
 
--- a/src/foxwinch/core/steward/admission.py
+++ b/src/foxwinch/core/steward/admission.py
@@ -1,11 +1,11 @@
-"""Early refusal: a new program that cannot meet its deadline is told so at once."""
+"""Admission control: new programs that cannot meet their deadline are rejected immediately."""
 
 from foxwinch.core.steward.calls import PoolCall
 from foxwinch.core.steward.policy import PolicySettings
 from foxwinch.outcomes import Reason, Refused, not_run
 
 SHORTEST_RETRY_SECONDS = 1.0
-"""Asking again sooner than a call lasts cannot find another answer."""
+"""A retry within the duration of a call would get the same result."""
 
 
 def refusal(
@@ -15,7 +15,7 @@
     predicted_wait_seconds: float,
     now: float,
 ) -> Refused | None:
-    """Return the refusal of a new program's first call, or None when it is admitted."""
+    """Return the rejection of a new program's first call, or None if it is admitted."""
     budget = call.deadline_at_seconds - now
     share = policy.refuse_share + policy.refuse_share_step * (lowest_rank - call.class_rank)
     allowed = share * max(budget, 0.0)
@@ -23,7 +23,7 @@
         return None
     retry_after = max(SHORTEST_RETRY_SECONDS, predicted_wait_seconds - allowed)
     detail = (
-        f"predicted wait {predicted_wait_seconds:.1f} s of class {call.class_name}"
-        f" is more than {allowed:.1f} s; nothing was run"
+        f"predicted wait of {predicted_wait_seconds:.1f} s for class {call.class_name}"
+        f" exceeds {allowed:.1f} s; the call was not run"
     )
     return not_run(Reason.OVERLOADED, detail, retry_after)
--- a/src/foxwinch/core/steward/assignment.py
+++ b/src/foxwinch/core/steward/assignment.py
@@ -1,12 +1,14 @@
-"""Which node is the steward of which worker, and what each node does about it.
+"""Assignment of workers to stewards.
 
-Every node runs one `StewardAssignment` over the same inputs: the live members, the workers of the
-configuration and the holders heard of by gossip. Rendezvous hashing names the preferred node of
-each resource, members of the resource's own zone first, then the rest of its region. A dead holder
-is replaced at once. A live holder gives a resource up itself, and only after another node has been
-preferred without a break for `HANDOVER_SECONDS`: a member that flaps moves nothing.
+Every node runs one `StewardAssignment` on the same inputs: the live members, the configured
+workers and the holders received by gossip. Rendezvous hashing selects the preferred node of each
+resource, first among the members in the resource's zone, then in the rest of the region. A dead
+holder is replaced immediately. A live holder releases a resource itself, and only after another
+node has been preferred continuously for `HANDOVER_SECONDS`, so a flapping member causes no
+handover.
 
-Two nodes may claim at the same time; the epoch decides, and the engine refuses the lower one.
+Two nodes may claim a resource at the same time. The epoch resolves the conflict: the engine
+rejects requests with the lower one.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,36 +20,36 @@
 from foxwinch.identifiers import Epoch, NodeId, RegionName, ZoneName
 
 HANDOVER_SECONDS = 5.0
-"""For so long a better node must be preferred before a live holder hands over; longer than a
-suspicion with its refutation, so that a suspected member that comes back has cost nothing."""
+"""Time for which another node must be preferred before a live holder hands over. It exceeds the
+time to suspect a member and refute the suspicion, so a false suspicion causes no handover."""
 SETTLING_SECONDS = 1.0
-"""After its start a node hears of the present holders before it claims anything unheld."""
+"""Delay after start before the first claim, in which the node receives the current holders."""
 LONGEST_SETTLING_SECONDS = 5.0
-"""It waits so long for members that it has heard nothing of; gossip takes about a second."""
+"""Limit of this delay while digests of live members are missing; gossip takes about a second."""
 CLAIM_RETRY_SECONDS = 0.5
-"""Pause after a refused claim."""
+"""Delay before a rejected claim is retried."""
 NO_EPOCH = Epoch(0)
-"""Below every epoch that was ever raised."""
+"""Lower than every assigned epoch."""
 
 
 class StewardState(StrEnum):
-    """What this node is to a resource."""
+    """State of a resource on this node."""
 
     UNASSIGNED = "unassigned"
-    """Another node's, or nobody's."""
+    """Held by another node or by none."""
     CLAIMING = "claiming"
-    """This node asks for a new epoch."""
+    """This node is requesting a new epoch."""
     RESYNCING = "resyncing"
-    """Held; load and cache of the worker are being read. No grants yet."""
+    """Held, without grants until the worker's load and cache have been read."""
     SERVING = "serving"
-    """Held; grants are given."""
+    """Held, with grants being issued."""
     RELEASING = "releasing"
-    """Held; no new grants, what was granted runs on, the next holder may claim."""
+    """Held without new grants; granted calls continue and the next holder may claim."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A live node that may be a steward."""
+    """A live node that is eligible as a steward."""
 
     node: NodeId
     zone: ZoneName
@@ -56,17 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """Something that exactly one node looks after: a worker, or the orders of a region."""
+    """A resource managed by exactly one node: a worker, or the model orders of a region."""
 
     name: str
-    """Name of its epoch, such as `worker/llm-1`."""
+    """Name under which the epoch is stored, such as `worker/llm-1`."""
     zone: ZoneName | None
-    """Zone whose members are preferred; None when all zones are equal."""
+    """Zone whose members are preferred, or None for no preference."""
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """A node that was heard to hold a resource."""
+    """A node that holds a resource according to its gossip digest."""
 
     node: NodeId
     epoch: Epoch
@@ -75,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Raise the epoch of the resource, then report `claimed` or `refused`."""
+    """Increment the epoch of the resource, then report `claimed` or `refused`."""
 
     resource: str
 
 
 @dataclass(frozen=True, slots=True)
 class Resync:
-    """Read load and cache of the worker, then report `resynced`."""
+    """Read the load and cache state of the worker, then report `resynced`."""
 
     resource: str
     epoch: Epoch
@@ -90,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Give no new grants, hand over, then report `released`."""
+    """Stop issuing grants, hand the resource over, then report `released`."""
 
     resource: str
     epoch: Epoch
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """A higher epoch exists: forget the resource at once."""
+    """Drop the resource immediately because a higher epoch exists."""
 
     resource: str
     epoch: Epoch
@@ -110,7 +112,7 @@
 def preferred_node(
     resource: Resource, candidates: Iterable[Candidate], region: RegionName
 ) -> NodeId | None:
-    """Return the node that should hold `resource`; None when the region has no candidate."""
+    """Return the node that should hold `resource`, or None if the region has no candidate."""
     local = [c for c in candidates if c.region == region]
     near = [c for c in local if resource.zone is not None and c.zone == resource.zone]
     best = max(near or local, key=lambda c: _weight(resource.name, c.node), default=None)
@@ -125,17 +127,19 @@
 class _Held:
     state: StewardState = StewardState.UNASSIGNED
     epoch: Epoch = NO_EPOCH
-    """Highest epoch known of the resource, this node's own included."""
+    """Highest known epoch of the resource, including those of this node."""
     other_since: float | None = None
-    """Since when another node has been preferred without a break."""
+    """Time since which another node has been preferred continuously."""
     retry_at: float = 0.0
 
 
 class StewardAssignment:
-    """The resources of one node; `advance` is called at every change and at least each second."""
+    """State machine of the resources on one node.
+
+    Call `advance` after every change and at least once per second.
+    """
 
     def __init__(self, node: NodeId, region: RegionName, started_at: float) -> None:
-        """Hold nothing."""
         self._node = node
         self._region = region
         self._started_at = started_at
@@ -143,54 +147,54 @@
         self._held: dict[str, _Held] = {}
         self._candidates: tuple[Candidate, ...] = ()
         self._preferred: dict[str, NodeId | None] = {}
-        """Kept until resources or candidates change: hashing them all costs milliseconds."""
+        """Cached until resources or candidates change: hashing all of them takes milliseconds."""
         self._holders: Mapping[str, Holder] = {}
         self._unheard = False
         self._epochs: Mapping[str, Epoch] = {}
         self._draining = False
 
     def state(self, resource: str) -> StewardState:
-        """Return what this node is to a resource."""
+        """Return the state of a resource on this node."""
         held = self._held.get(resource)
         return StewardState.UNASSIGNED if held is None else held.state
 
     def held(self) -> dict[str, Epoch]:
-        """Return the resources that this node holds, with their epochs."""
+        """Return the epochs of the resources that this node holds, by resource name."""
         owned = (StewardState.RESYNCING, StewardState.SERVING, StewardState.RELEASING)
         return {name: h.epoch for name, h in self._held.items() if h.state in owned}
 
     def update_resources(self, resources: Iterable[Resource]) -> None:
-        """Replace the set of resources, from the configuration."""
+        """Replace the configured resources."""
         found = {resource.name: resource for resource in resources}
         if found != self._resources:
             self._resources = found
             self._preferred.clear()
 
     def update_candidates(self, candidates: Iterable[Candidate]) -> None:
-        """Replace the live members: alive and suspected ones, not leaving ones."""
+        """Replace the candidates: members that are alive or suspected, but not leaving."""
         found = tuple(candidates)
         if found != self._candidates:
             self._candidates = found
             self._preferred.clear()
 
     def update_holders(self, holders: Mapping[str, Holder]) -> None:
-        """Replace the holders heard of, live nodes only (a leaving one counts as live)."""
+        """Replace the known holders, which are live nodes including leaving ones."""
         self._holders = holders
 
     def update_epochs(self, epochs: Mapping[str, Epoch]) -> None:
-        """Replace the highest epoch heard of each resource, from nodes that are dead included."""
+        """Replace the highest known epoch of each resource, including epochs of dead nodes."""
         self._epochs = epochs
 
     def update_unheard(self, unheard: bool) -> None:
-        """Tell whether there are live members whose holdings have not been heard."""
+        """Set whether the digest of a live member has not arrived yet."""
         self._unheard = unheard
 
     def drain(self) -> None:
-        """Hand everything over and claim nothing more."""
+        """Release every resource on the next `advance` and stop claiming."""
         self._draining = True
 
     def claimed(self, resource: str, epoch: Epoch) -> list[AssignmentAction]:
-        """Take note of a new epoch of this node's own."""
+        """Handle a successful claim by this node under `epoch`."""
         held = self._held.setdefault(resource, _Held())
         if held.state is not StewardState.CLAIMING or epoch <= held.epoch:
             held.state = StewardState.UNASSIGNED
@@ -199,26 +203,26 @@
         return [Resync(resource, epoch)]
 
     def refused(self, resource: str, now: float) -> None:
-        """Take note of a failed claim; it is tried again after `CLAIM_RETRY_SECONDS`."""
+        """Handle a failed claim, which is retried after `CLAIM_RETRY_SECONDS`."""
         held = self._held.setdefault(resource, _Held())
         if held.state is StewardState.CLAIMING:
             held.state = StewardState.UNASSIGNED
             held.retry_at = now + CLAIM_RETRY_SECONDS
 
     def resynced(self, resource: str, epoch: Epoch) -> None:
-        """Take note that load and cache have been read: grants may be given."""
+        """Start serving a resource whose load and cache state have been read."""
         held = self._held.get(resource)
         if held and held.state is StewardState.RESYNCING and held.epoch == epoch:
             held.state = StewardState.SERVING
 
     def released(self, resource: str, epoch: Epoch) -> None:
-        """Take note that the handover is complete."""
+        """Handle the completion of a handover."""
         held = self._held.get(resource)
         if held and held.state is StewardState.RELEASING and held.epoch == epoch:
             held.state = StewardState.UNASSIGNED
 
     def fenced(self, resource: str, epoch: Epoch) -> list[AssignmentAction]:
-        """Take note of an epoch seen elsewhere: in gossip, or in a refusal by the engine."""
+        """Handle an epoch observed in gossip or in a rejection by the engine."""
         held = self._held.get(resource)
         if held is None or epoch <= held.epoch:
             return []
@@ -228,7 +232,7 @@
         return [Lost(resource, lost_epoch)] if was_held else []
 
     def advance(self, now: float) -> list[AssignmentAction]:
-        """Decide for every resource."""
+        """Return the actions that are due for all resources."""
         actions: list[AssignmentAction] = []
         for name in sorted(set(self._resources) | set(self._held)):
             held = self._held.setdefault(name, _Held())
@@ -246,7 +250,7 @@
         return []
 
     def _maybe_take_back(self, name: str, held: _Held) -> list[AssignmentAction]:
-        """The node that was to follow is gone: end the handover, and claim anew."""
+        """Abort the handover for a new claim when this node is preferred again."""
         resource = self._resources.get(name)
         if resource is None or self._draining:
             return []
--- a/src/foxwinch/core/steward/cache_index.py
+++ b/src/foxwinch/core/steward/cache_index.py
@@ -1,7 +1,8 @@
-"""What a worker's prefix cache is believed to hold.
+"""Estimated contents of a worker's prefix cache.
 
-The scheduler knows what it sent and assumes it cached; events, late and gapped, correct that. The
-index holds at most the worker's memory, forgetting the least recently used as the engine does.
+The scheduler assumes that the prompts it dispatched are cached. Cache events, which arrive late and
+may have gaps, correct this estimate. The index is limited to the worker's cache capacity and evicts
+the least recently used blocks, as the engine does.
 """
 
 from collections import OrderedDict
@@ -11,13 +12,13 @@
 from foxwinch.identifiers import ProgramId
 
 EVENT_LAG_SECONDS = 1.0
-"""A removal that arrives within this time of our own use is older than the use: engines publish
-events up to about half a second late, and a block in use is not evicted."""
+"""A removal event received within this time after a local use predates that use: engines publish
+events up to about half a second late and do not evict blocks in use."""
 
 
 @dataclass(frozen=True, slots=True)
 class BlockChange:
-    """Blocks stored or removed, or with `cleared` all forgotten first."""
+    """Blocks that were stored or removed, or a `cleared` marker that precedes a complete list."""
 
     kind: str
     """`stored`, `removed` or `cleared`."""
@@ -27,29 +28,28 @@
 @dataclass(slots=True)
 class _Entry:
     program_id: ProgramId | None
-    """Program that used the block last through this scheduler, or None."""
+    """Last program that used the block through this scheduler, or None."""
     used_at_seconds: float
     shared: bool = False
-    """True once a second program has used it."""
+    """True once a second program has used the block."""
 
 
 class CacheIndex:
-    """Blocks by hash, each with the program and time of its last use."""
+    """LRU index of cached blocks by hash, with the program and time of the last use."""
 
     def __init__(self, capacity_blocks: int) -> None:
-        """Start empty."""
         self._capacity_blocks = capacity_blocks
         self._blocks: OrderedDict[int, _Entry] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return the number of blocks believed cached."""
+        """Return the number of blocks assumed to be cached."""
         return len(self._blocks)
 
     def cached_prefix(self, hashes: Sequence[int]) -> int:
-        """Return how many leading blocks are cached, in O(log n).
+        """Return the number of leading blocks that are cached, in O(log n).
 
-        A hash is chained over all blocks before it and engines evict the deepest block of a
-        prefix first, so the cached ones are a prefix and can be found by bisection.
+        Each hash covers all preceding blocks and engines evict the last block of a prefix first.
+        The cached blocks therefore form a prefix, whose length is found by bisection.
         """
         low, high = 0, len(hashes)
         while low < high:
@@ -61,12 +61,12 @@
         return low
 
     def program_of(self, block_hash: int) -> ProgramId | None:
-        """Return the program that used the block last, if known."""
+        """Return the last program that used the block, or None if unknown."""
         entry = self._blocks.get(block_hash)
         return entry.program_id if entry else None
 
     def use(self, hashes: Sequence[int], program_id: ProgramId, now: float) -> None:
-        """Assume the blocks cached because a call with them was sent or has ended."""
+        """Mark the blocks of a dispatched or finished call as cached."""
         for block_hash in reversed(hashes):
             entry = self._blocks.get(block_hash)
             if entry is None:
@@ -79,13 +79,13 @@
             self._blocks.popitem(last=False)
 
     def stored(self, hashes: Sequence[int], now: float) -> None:
-        """Take in an event that blocks were stored."""
+        """Apply an event that reports stored blocks."""
         for block_hash in reversed(hashes):
             if block_hash not in self._blocks:
                 self._blocks[block_hash] = _Entry(None, now)
 
     def removed(self, hashes: Sequence[int], now: float) -> None:
-        """Take in an event that blocks were evicted, unless it is older than our own use."""
+        """Apply an event that reports evicted blocks, except blocks used locally since then."""
         for block_hash in hashes:
             entry = self._blocks.get(block_hash)
             if entry is None:
@@ -96,7 +96,7 @@
             del self._blocks[block_hash]
 
     def replace(self, hashes: Sequence[int], now: float) -> None:
-        """Take in a whole list, keeping what was used too lately to be in it."""
+        """Apply a complete list of cached blocks, keeping blocks used too recently to be in it."""
         listed = set(hashes)
         for block_hash in list(self._blocks):
             if block_hash not in listed:
@@ -104,7 +104,7 @@
         self.stored(hashes, now)
 
     def apply(self, changes: Sequence[BlockChange], now: float) -> None:
-        """Take in a page of events, or a whole list that begins with `cleared`."""
+        """Apply a page of events, or a complete list that starts with `cleared`."""
         if changes and changes[0].kind == "cleared":
             self.replace([h for change in changes for h in change.block_hashes], now)
             return
@@ -115,7 +115,7 @@
                 self.removed(change.block_hashes, now)
 
     def forget_program(self, hashes: Sequence[int], program_id: ProgramId) -> None:
-        """Forget blocks that only this program is known to have used and that were released."""
+        """Remove released blocks that no other program is known to have used."""
         for block_hash in hashes:
             entry = self._blocks.get(block_hash)
             if entry is not None and entry.program_id == program_id and not entry.shared:
--- a/src/foxwinch/core/steward/calls.py
+++ b/src/foxwinch/core/steward/calls.py
@@ -1,4 +1,4 @@
-"""A call as one pool's scheduler sees it."""
+"""Calls and workers as seen by the scheduler of one pool."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolCall:
-    """The fields of a grant request, with its class resolved from the configuration."""
+    """A grant request whose class has been resolved from the configuration."""
 
     call_id: CallId
     program_id: ProgramId
@@ -18,32 +18,32 @@
     model: ModelName
     prompt_tokens: int
     output_tokens: int
-    """Estimated length of the answer; at most this many are generated."""
+    """Estimated and maximum length of the answer."""
     prefix_hashes: tuple[int, ...]
-    """Chained hash of each whole block of the prompt, first block first."""
+    """Chained hash of each complete block of the prompt, in order."""
     service_seconds: float
-    """Engine service that the program has received so far."""
+    """Engine time consumed by the program so far."""
     deadline_at_seconds: float
-    """On the clock whose `now` is given with each event."""
+    """Deadline on the clock that provides `now` of each event."""
     repeatable: bool = True
     family_id: ProgramId | None = None
-    """The program at the root of a tree of sub-agents; None for a program without a parent."""
+    """Root program of the sub-agent tree, or None for a program without a parent."""
     excluded_workers: tuple[WorkerId, ...] = ()
-    """Workers that have already failed this call."""
+    """Workers on which this call has already failed."""
 
     @property
     def family(self) -> ProgramId:
-        """The root program, which is the program itself when it has no parent."""
+        """Root program, which is the program itself if it has no parent."""
         return self.family_id or self.program_id
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerDescription:
-    """What a worker can do."""
+    """Capabilities of a worker."""
 
     worker: WorkerId
     models: tuple[ModelName, ...]
     slots: int
-    """Calls in its batch at once."""
+    """Maximum number of concurrent calls in the batch."""
     cache_blocks: int
     block_tokens: int
--- a/src/foxwinch/core/steward/events.py
+++ b/src/foxwinch/core/steward/events.py
@@ -1,4 +1,4 @@
-"""What happens to a pool: the inputs of `PoolScheduler.handle`."""
+"""Events handled by `PoolScheduler.handle`."""
 
 from dataclasses import dataclass
 
@@ -10,21 +10,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallArrived:
-    """A call asks to run; a call id that is already known is ignored."""
+    """A call requests a slot; a known call id is ignored."""
 
     call: PoolCall
 
 
 @dataclass(frozen=True, slots=True)
 class CallWithdrawn:
-    """The caller no longer wants the call, queued or running; unknown calls are ignored."""
+    """A queued or running call was withdrawn by its caller; an unknown call is ignored."""
 
     call_id: CallId
 
 
 @dataclass(frozen=True, slots=True)
 class CallFinished:
-    """A dispatched call has given its whole answer."""
+    """A dispatched call has completed its answer."""
 
     call_id: CallId
     prompt_tokens: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """A dispatched call has failed on its worker; whether it runs again is the owner's decision."""
+    """A dispatched call has failed on its worker; its owner decides whether to retry it."""
 
     call_id: CallId
     not_run: bool
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramPaused:
-    """A program has gone into a tool call, or waits for its user (`tool` empty)."""
+    """A program has started a tool call, or waits for its user if `tool` is empty."""
 
     program_id: ProgramId
     tool: ToolName
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramEnded:
-    """A program is finished or abandoned: its engine memory must go."""
+    """A program has finished or was abandoned, so its cache must be released."""
 
     program_id: ProgramId
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAnswered:
-    """A worker has carried out a release, or has failed to."""
+    """A worker has completed a release, or the release has failed."""
 
     worker: WorkerId
     program_id: ProgramId
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferAnswered:
-    """A transfer of cache blocks is over; on failure the call computes its prefix again."""
+    """A transfer of cache blocks has ended; after a failure the call recomputes its prefix."""
 
     call_id: CallId
     done: bool
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheChanged:
-    """A page of a worker's cache events; with `gap` some before or between them were lost."""
+    """A page of a worker's cache events; `gap` means that events before or among them were lost."""
 
     worker: WorkerId
     changes: tuple[BlockChange, ...]
@@ -83,28 +83,28 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerJoined:
-    """A worker may be used from now on; a known worker's description is replaced."""
+    """A worker is available; the description of a known worker is replaced."""
 
     description: WorkerDescription
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerLeaving:
-    """A worker gets no new work; what runs on it may end."""
+    """A worker gets no new calls while its running calls finish."""
 
     worker: WorkerId
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerLeft:
-    """A worker is gone with its cache; its running calls are reported by `CallFailed`."""
+    """A worker has left and its cache is lost; `CallFailed` reports its running calls."""
 
     worker: WorkerId
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A worker's lagging load report."""
+    """A load report of a worker, which lags behind its actual load."""
 
     worker: WorkerId
     running: int
@@ -113,14 +113,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyChanged:
-    """A new configuration has changed the policy."""
+    """The policy was changed by a new configuration."""
 
     policy: PolicySettings
 
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Nothing but that time has come to `now`."""
+    """A timer tick that only advances the time to `now`."""
 
 
 PoolEvent = (
--- a/src/foxwinch/core/steward/grant_ledger.py
+++ b/src/foxwinch/core/steward/grant_ledger.py
@@ -1,9 +1,9 @@
-"""The grants that one steward has given, with their leases.
+"""Grants issued by one steward and their leases.
 
-A grant lives while its owner confirms it. One that is not confirmed for `LEASE_SECONDS`, or whose
-owner is dead, is void: its place is free and the engine is told to cancel the call. Calls that
-owners hold from an earlier steward of the same worker are foreign: they take places there, but
-nothing else is known of them.
+A grant stays valid while its owner confirms it. It expires when it is not confirmed for
+`LEASE_SECONDS` or when its owner is dead. The slot of an expired grant becomes free and the engine
+is asked to cancel the call. Calls granted by an earlier steward of the same worker are foreign:
+they occupy slots there, but nothing else is known about them.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,7 +12,7 @@
 from foxwinch.identifiers import CallId, Epoch, NodeId, ProgramId, WorkerId
 
 LEASE_SECONDS = 10.0
-"""Five times the period at which owners confirm: four lost reports in a row cost nothing."""
+"""Five times the confirmation period, so that a grant survives four consecutive lost reports."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
     call_id: CallId
     owner: NodeId
     sequence: int
-    """Of the owner's ask; a call may be asked for again."""
+    """Sequence number of the owner's request, because a call may be requested more than once."""
     worker: WorkerId
     epoch: Epoch
     program_id: ProgramId | None
@@ -34,36 +34,35 @@
     """Grants by call, and foreign calls by owner and call."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._grants: dict[CallId, GrantRecord] = {}
         self._foreign: dict[tuple[NodeId, CallId], GrantRecord] = {}
         self._expires_at: dict[tuple[NodeId, CallId], float] = {}
 
     def __len__(self) -> int:
-        """Return the number of grants given here and not yet over."""
+        """Return the number of active grants issued by this steward."""
         return len(self._grants)
 
     def find(self, call_id: CallId) -> GrantRecord | None:
-        """Return the grant of a call."""
+        """Return the grant of a call, or None if it has none."""
         return self._grants.get(call_id)
 
     def on_worker(self, worker: WorkerId) -> list[GrantRecord]:
-        """Return the grants of a worker, foreign ones not among them."""
+        """Return the grants of a worker, excluding foreign calls."""
         return [record for record in self._grants.values() if record.worker == worker]
 
     def foreign_calls(self, worker: WorkerId) -> int:
-        """Count the calls that run on a worker under grants of an earlier steward."""
+        """Return the number of calls on a worker that an earlier steward granted."""
         return sum(record.worker == worker for record in self._foreign.values())
 
     def grant(self, record: GrantRecord, now: float) -> None:
-        """Take in a grant that is being given."""
+        """Record a new grant and start its lease."""
         self._grants[record.call_id] = record
         self._expires_at[(record.owner, record.call_id)] = now + LEASE_SECONDS
 
     def confirm(
         self, owner: NodeId, call_id: CallId, sequence: int, worker: WorkerId, now: float
     ) -> None:
-        """Take in that an owner still holds a grant, one of an earlier steward included."""
+        """Renew the lease of a grant; one that is unknown here is recorded as foreign."""
         record = self._grants.get(call_id)
         if record is None or record.owner != owner or record.sequence != sequence:
             record = GrantRecord(call_id, owner, sequence, worker, Epoch(0), None, "")
@@ -71,7 +70,7 @@
         self._expires_at[(owner, call_id)] = now + LEASE_SECONDS
 
     def end(self, owner: NodeId, call_id: CallId, sequence: int) -> GrantRecord | None:
-        """Remove a grant that is given back; returns it when it was given here."""
+        """Remove a grant that its owner has ended, and return it if it was issued here."""
         foreign = self._foreign.get((owner, call_id))
         if foreign is not None and foreign.sequence == sequence:
             del self._foreign[(owner, call_id)]
@@ -81,17 +80,17 @@
         return self._remove(record)
 
     def supersede(self, call_id: CallId) -> GrantRecord | None:
-        """Remove whatever grant a call has, because it is asked for again."""
+        """Remove the grant of a call that is requested again, and return it if there was one."""
         record = self._grants.get(call_id)
         return None if record is None else self._remove(record)
 
     def drop_worker(self, worker: WorkerId) -> list[GrantRecord]:
-        """Remove and return the grants of a worker that is gone or another steward's."""
+        """Remove and return the grants of a worker that is no longer held here."""
         self._foreign = {k: r for k, r in self._foreign.items() if r.worker != worker}
         return [self._remove(record) for record in self.on_worker(worker)]
 
     def expire(self, is_present: Callable[[NodeId], bool], now: float) -> list[GrantRecord]:
-        """Remove and return the void grants given here; foreign ones only go."""
+        """Remove expired grants and foreign calls, and return the removed grants."""
         self._foreign = {
             key: record
             for key, record in self._foreign.items()
--- a/src/foxwinch/core/steward/placement.py
+++ b/src/foxwinch/core/steward/placement.py
@@ -1,4 +1,4 @@
-"""Where a call runs: predicted wait, uncached prefill or transfer, and what it costs the others."""
+"""Placement of calls by predicted cost: wait, uncached prefill or transfer, and delay to others."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -13,25 +13,25 @@
 from foxwinch.core.steward.workers import WorkerState
 
 SMALLEST_TRANSFER_BLOCKS = 2
-"""Fewer blocks are not worth the round trip of an export and an import."""
+"""Minimum size of a transfer; fewer blocks do not justify the export and import round trip."""
 SHORTEST_WAIT_SECONDS = 0.1
-"""A place predicted to be free by now but not free yet still takes a few steps."""
+"""Lower bound of a predicted wait: a slot whose call is overdue is still busy for a few steps."""
 PREEMPTION_SECONDS = 0.05
-"""Cost of preempting: two steps until the batch changes."""
+"""Cost of a preemption: two steps until the batch changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A worker for a call and what was predicted of it."""
+    """A worker for a call, with the predictions for it."""
 
     worker: WorkerState
     cost_seconds: float
     wait_seconds: float
-    """More than 0: no place yet."""
+    """Predicted wait, which is 0 if a slot is available now."""
     cached_blocks: int
-    """Leading blocks that will be cached when it starts, those copied included."""
+    """Leading blocks that will be cached at the start, including copied blocks."""
     source: WorkerState | None = None
-    """Worker to copy blocks from."""
+    """Worker to copy blocks from, or None for no transfer."""
     copied_blocks: int = 0
 
 
@@ -43,7 +43,7 @@
     policy: PolicySettings,
     estimates: Estimates,
 ) -> Placement | None:
-    """Return the placement of least predicted cost; None when no worker may take the call now."""
+    """Return the placement with the lowest predicted cost, or None if no worker is available."""
     usable = [worker for worker in workers if _may_use(worker, call)]
     if not usable:
         return None
@@ -63,7 +63,7 @@
 
 
 def private_blocks(call: PoolCall, block_tokens: int, answer_tokens: float) -> int:
-    """Return the blocks that the answer and the prompt's last, partial block will need."""
+    """Return the number of blocks for the answer and the last, partial block of the prompt."""
     rest = max(0, call.prompt_tokens - len(call.prefix_hashes) * block_tokens)
     return int((rest + answer_tokens) / block_tokens) + 1
 
@@ -78,7 +78,7 @@
 
 
 class _Choice:
-    """What the choice for one call has in common for all workers."""
+    """Values shared by all workers while placing one call."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         )
 
     def wait_seconds(self, worker: WorkerState) -> float | None:
-        """Return the predicted wait for a place: 0 for a free one, None when it may not wait."""
+        """Return the predicted wait (0 if a slot is free), or None if the call may not wait."""
         if worker.free_slots > 0 and not self._disturbs(worker) and self._fits(worker):
             return 0.0
         if self._urgent and self._features.preemption and worker.urgent < worker.description.slots:
@@ -115,7 +115,7 @@
         return max(SHORTEST_WAIT_SECONDS, worker.next_place_seconds(self._now))
 
     def _disturbs(self, worker: WorkerState) -> bool:
-        """Tell whether the call would slow urgent calls that run there."""
+        """Return whether the call would slow down urgent calls on the worker."""
         if self._urgent or worker.urgent == 0 or not self._features.quiet_lane:
             return False
         if len(worker.placed) >= self._policy.quiet_slots_share * worker.description.slots:
@@ -129,7 +129,7 @@
         return worker.fits(self._call, private_blocks(self._call, size, self._answer))
 
     def cost_seconds(self, worker: WorkerState) -> float:
-        """Return the predicted cost of running there, the wait apart."""
+        """Return the predicted cost of running on the worker, excluding the wait."""
         beside = len(worker.placed)
         weight = self._policy.others_weight
         cost = self._answer * SEQUENCE_SECONDS * beside * (1.0 + weight)
@@ -143,12 +143,12 @@
         return cost + prefill - self._gain_of_copying(worker)
 
     def _prefill_seconds(self, worker: WorkerState) -> float:
-        """Return the cost of one prompt token: its own time and the delay of the calls beside."""
+        """Return the cost of one prompt token, including the delay of other calls on the worker."""
         others = 0.0 if self._urgent else self._policy.others_weight * len(worker.placed)
         return PREFILL_TOKEN_SECONDS * (1.0 + others)
 
     def _gain_of_copying(self, worker: WorkerState) -> float:
-        """Return what copying the missing prefix saves; 0 where computing it is cheaper."""
+        """Return the time saved by copying the missing prefix, or 0 if computing it is cheaper."""
         more = self._source_blocks - self._held[worker.description.worker]
         if not self._features.transfers or more < SMALLEST_TRANSFER_BLOCKS:
             return 0.0
@@ -157,7 +157,7 @@
         return saved - transfer if transfer < saved * self._policy.transfer_margin else 0.0
 
     def placement(self, worker: WorkerState, cost: float, wait: float) -> Placement:
-        """Return the placement on the chosen worker."""
+        """Return the placement on `worker`."""
         held = self._held[worker.description.worker]
         if self._gain_of_copying(worker) <= 0.0:
             return Placement(worker, cost, wait, held)
--- a/src/foxwinch/core/steward/policy.py
+++ b/src/foxwinch/core/steward/policy.py
@@ -1,6 +1,6 @@
-"""Settings of the scheduling policy: features that can be turned off, and constants with reasons.
+"""Settings of the scheduling policy: optional features and constants.
 
-The figures behind the constants stand in docs/design/scheduling.md.
+The measurements behind the constants are documented in docs/design/scheduling.md.
 """
 
 from dataclasses import dataclass
@@ -9,69 +9,71 @@
 Objective = Literal["latency", "cache"]
 
 CACHE_OBJECTIVE_WAIT_SECONDS = 6.0
-"""Longest wait for the worker with the prefix under the `cache` objective: 4 % less waste, 3 %
-more at the 95th percentile of journeys."""
+"""Limit of the wait for the worker with the prefix under the `cache` objective. It reduces waste by
+4 % and increases the 95th percentile of journey latency by 3 %."""
 
 
 @dataclass(frozen=True, slots=True)
 class Features:
-    """Parts of the policy; each can be turned off to measure what it brings."""
+    """Features of the policy, each of which can be disabled to measure its effect."""
 
     class_order: bool = True
-    """Calls of more urgent classes go first."""
+    """Order waiting calls by class urgency."""
     deadline_order: bool = True
-    """Calls whose deadline is near go first."""
+    """Prioritize calls whose deadline is near."""
     critical_path: bool = True
-    """Calls of parallel sub-agents are ordered by when their common step began."""
+    """Order calls of parallel sub-agents by the start of their common step."""
     cache_placement: bool = True
-    """Placement weighs cached prefixes."""
+    """Include cached prefixes in the placement cost."""
     transfers: bool = True
-    """Prefixes are copied between workers where that is cheaper than computing them again."""
+    """Copy prefixes between workers where this is cheaper than recomputing them."""
     wait_for_cache: bool = True
-    """A call waits for the worker with its prefix where that is predicted to be cheaper."""
+    """Let a call wait for the worker with its prefix where this is predicted to be cheaper."""
     release_ended: bool = True
-    """Cache of ended programs is freed at once."""
+    """Free the cache of ended programs immediately."""
     release_moved: bool = True
-    """Cache left behind by a program that has moved is freed at once."""
+    """Free the cache on the previous workers of a program immediately after it moves."""
     preemption: bool = True
-    """Urgent calls preempt others on a full worker."""
+    """Let urgent calls preempt others on a full worker."""
     quiet_lane: bool = True
-    """No other call is sent to a worker while it runs an urgent one."""
+    """Send no other calls to a worker while they would slow its urgent calls."""
     admission: bool = True
-    """New programs that cannot meet their deadline are refused at once."""
+    """Reject new programs that cannot meet their deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class PolicySettings:
-    """Everything that shapes decisions."""
+    """Parameters of scheduling decisions."""
 
     features: Features = Features()
     class_step_seconds: float = 20.0
-    """Head start of a class over the next one; the bound on starvation."""
+    """Head start of a class over the next lower one, which bounds starvation."""
     others_weight: float = 1.0
-    """Weight of the delay that a call's prefill causes to the calls beside it, against its own."""
+    """Weight of the delay that a call causes to other calls on the worker, relative to its own."""
     transfer_margin: float = 1.0
-    """A transfer must cost less than this share of the prefill that it saves."""
+    """A transfer must cost less than this share of the prefill time that it saves."""
     quiet_slots_share: float = 0.8
-    """Beside urgent calls at most this share of the places is filled with other calls."""
+    """Maximum share of occupied slots at which a worker with urgent calls accepts other calls."""
     quiet_prefill_tokens: int = 256
-    """Beside urgent calls one other prefill at a time is started, of at most this length."""
+    """Maximum length of a prefill that other calls may start, one at a time, on a worker with
+    urgent calls."""
     new_lane_seconds: float = 0.15
-    """Cost of making one more worker quiet; below it urgent calls gather on few workers."""
+    """Cost of sending an urgent call to a worker without any; it concentrates urgent calls on few
+    workers."""
     longest_cache_wait_seconds: float = 2.0
-    """A call that has waited so long takes any free place: predictions have failed it."""
+    """A call that has waited longer takes any free slot, because the prediction was wrong."""
     refuse_share: float = 0.1
-    """A new program is refused when its predicted wait passes this share of its deadline: under
-    overload the programs admitted must still meet theirs, and 0.5 let twice as many miss it."""
+    """A new program is rejected if its predicted wait exceeds this share of its deadline. Admitted
+    programs must still meet their deadlines under overload; with 0.5 twice as many missed them."""
     refuse_share_step: float = 0.1
-    """A class one rank more urgent tolerates so much more of its deadline in waiting, so that the
-    least urgent is refused first; at 0.03 two classes were refused at the same queue."""
+    """Additional share for each rank of urgency, so that the least urgent class is rejected first.
+    With 0.03 two classes were rejected at the same queue length."""
     scan_limit: int = 16
-    """Waiting calls looked at for one free place: bounds the cost of a decision."""
+    """Waiting calls examined per decision, which bounds its cost."""
 
 
 def policy_for(objective: Objective, features: Features | None = None) -> PolicySettings:
-    """Return the settings that express what a deployment weighs more."""
+    """Return the policy settings for the objective of a deployment."""
     chosen = features if features is not None else Features()
     if objective == "cache":
         return PolicySettings(
--- a/src/foxwinch/core/steward/programs.py
+++ b/src/foxwinch/core/steward/programs.py
@@ -1,4 +1,4 @@
-"""What a pool's scheduler remembers of each program that has run here."""
+"""State that the scheduler of a pool keeps for each program."""
 
 from dataclasses import dataclass, field
 
@@ -11,37 +11,36 @@
 
     program_id: ProgramId
     workers: dict[WorkerId, None] = field(default_factory=dict)
-    """Workers that may hold cache of it."""
+    """Workers that may hold cache blocks of the program, in order of first use."""
     hashes: tuple[int, ...] = ()
-    """Prefix of its latest call."""
+    """Prefix hashes of the latest call."""
     active_calls: int = 0
-    """Calls queued or placed, those of its sub-agents included."""
+    """Number of queued or placed calls, including those of sub-agents."""
     step_began_at_seconds: float = 0.0
-    """When the first of the calls now active, one after another or in parallel, arrived."""
+    """Arrival time of the first call in the current sequence of overlapping calls."""
 
 
 class ProgramTable:
     """Programs by id."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._programs: dict[ProgramId, ProgramState] = {}
 
     def __len__(self) -> int:
-        """Return the number of programs remembered."""
+        """Return the number of programs in the table."""
         return len(self._programs)
 
     def get(self, program_id: ProgramId) -> ProgramState | None:
-        """Return a known program."""
+        """Return a program, or None if it is unknown."""
         return self._programs.get(program_id)
 
     def ensure(self, program_id: ProgramId) -> ProgramState:
-        """Return a program, remembering it from now on."""
+        """Return a program, adding it if it is unknown."""
         state = self._programs.get(program_id)
         if state is None:
             state = self._programs[program_id] = ProgramState(program_id)
         return state
 
     def forget(self, program_id: ProgramId) -> ProgramState | None:
-        """Remove a program."""
+        """Remove and return a program, or return None if it is unknown."""
         return self._programs.pop(program_id, None)
--- a/src/foxwinch/core/steward/reasons.py
+++ b/src/foxwinch/core/steward/reasons.py
@@ -1,4 +1,4 @@
-"""Sentences for `programs show`: why a call waited and why it went where it did."""
+"""Explanations of placements for `programs show`."""
 
 from foxwinch.core.steward.placement import Placement
 from foxwinch.core.steward.waiting import WaitingCall
@@ -7,7 +7,7 @@
 def placement_reason(
     waiting: WaitingCall, placement: Placement, cached_tokens: int, now: float
 ) -> str:
-    """Explain a placement; holds no content."""
+    """Return the explanation of a placement, which contains no prompt content."""
     waited = now - waiting.arrived_at_seconds
     worker = placement.worker
     how = f"{cached_tokens} of {waiting.call.prompt_tokens} prompt tokens cached"
@@ -16,5 +16,5 @@
         how += f", {placement.copied_blocks} blocks copied from {source}"
     return (
         f"waited {waited:.2f} s for a place; {worker.description.worker} had the least predicted"
-        f" cost {placement.cost_seconds:.2f} s: {how}, {len(worker.placed)} calls beside it"
+        f" cost {placement.cost_seconds:.2f} s: {how}, {len(worker.placed)} other calls on it"
     )
--- a/src/foxwinch/core/steward/scheduler.py
+++ b/src/foxwinch/core/steward/scheduler.py
@@ -1,16 +1,16 @@
-"""The scheduler of one pool of workers: pure, exact about what it dispatched itself.
+"""Scheduler of one worker pool, free of I/O and with exact knowledge of the calls it dispatched.
 
-To use it, feed each event with the time and carry out the actions returned, in order:
+Pass each event with the current time to `handle` and execute the returned actions in order:
 
     scheduler = PoolScheduler(policy_for(configuration.objective))
     actions = scheduler.handle(WorkerJoined(WorkerDescription(...)), now)
-    actions = scheduler.handle(CallArrived(call), now)   # perhaps [Dispatch(...)], perhaps []
-    actions = scheduler.handle(CallFinished(...), now)   # perhaps [Dispatch(...)] of a waiting call
+    actions = scheduler.handle(CallArrived(call), now)   # [Dispatch(...)] or []
+    actions = scheduler.handle(CallFinished(...), now)   # [Dispatch(...)] of a waiting call or []
 
-`now` must never go back. Nothing needs a timer: call `handle(TimePassed(), now)` about once a
-second so that calls that waited for a better place take another. Every arrived call is answered
-by exactly one `Dispatch` or `RefuseCall`, unless it is withdrawn first. `ReleaseCache` is asked
-again after each `ReleaseAnswered(done=False)` until it succeeds or the worker leaves.
+`now` must be monotonic. The scheduler has no timer: call `handle(TimePassed(), now)` about once per
+second so that calls waiting for a preferred worker can fall back to another one. Every call gets
+exactly one `Dispatch` or `RefuseCall` unless it is withdrawn first. `ReleaseCache` is repeated
+after each `ReleaseAnswered(done=False)` until it succeeds or the worker leaves.
 """
 
 from collections.abc import Callable
@@ -54,17 +54,16 @@
 from foxwinch.identifiers import CallId, WorkerId
 
 PREFILL_SHARE_SECONDS = 0.00007
-"""Each prefilled token's share of the fixed part of a step: 18 ms over 256 tokens."""
+"""Share of the fixed step time per prefilled token: 18 ms over 256 tokens."""
 
 NO_PLACE_FREED = (CacheChanged, ProgramPaused, ProgramEnded, ReleaseAnswered, LoadReported)
-"""Events after which no waiting call can get a place that it could not get before."""
+"""Events that cannot make a slot available to a waiting call."""
 
 
 class PoolScheduler:
-    """Decides for one pool."""
+    """State machine that schedules the calls of one pool."""
 
     def __init__(self, policy: PolicySettings) -> None:
-        """Start without workers."""
         self.policy = policy
         self.estimates = Estimates()
         self._workers: dict[WorkerId, WorkerState] = {}
@@ -92,7 +91,7 @@
         }
 
     def handle(self, event: PoolEvent, now: float) -> list[PoolAction]:
-        """Take in an event and return what is to be done, in order."""
+        """Process an event and return the resulting actions in order."""
         actions = self._handlers[type(event)](event, now)
         if len(self._waiting) > 0 and not isinstance(event, NO_PLACE_FREED):
             actions += self._place_waiting(now)
@@ -104,18 +103,18 @@
         return len(self._waiting)
 
     def placed_calls(self, worker: WorkerId) -> tuple[CallId, ...]:
-        """Return the calls that hold a place on a worker."""
+        """Return the calls that occupy a slot on a worker."""
         state = self._workers.get(worker)
         return tuple(state.placed) if state else ()
 
     def explain(self, call_id: CallId) -> str:
-        """Say why a call waits or went where it did; empty for an unknown call."""
+        """Return why a call waits or why it was placed on its worker, or "" if it is unknown."""
         placed = self._placed.get(call_id)
         if placed is not None:
             return placed.reason
         for position, waiting in enumerate(self._waiting):
             if waiting.call.call_id == call_id:
-                return f"waits for a place; {position} calls go before it"
+                return f"waits for a slot; {position} calls are ahead of it"
         return ""
 
     # --- calls -------------------------------------------------------------------------------
@@ -143,7 +142,7 @@
     def order_key(
         self, call: PoolCall, family: ProgramState, expected_seconds: float, now: float
     ) -> float:
-        """Return a call's place in the order; an experiment may order otherwise."""
+        """Return the sort key of a call, which experiments may override."""
         return order_key(self.policy, call, now, family.step_began_at_seconds, expected_seconds)
 
     def _admit(self, call: PoolCall, now: float) -> RefuseCall | None:
@@ -155,7 +154,7 @@
         return RefuseCall(call.call_id, refused) if refused else None
 
     def predicted_wait_seconds(self, class_rank: int) -> float:
-        """Return how long a newcomer of a class would wait behind calls as urgent or more."""
+        """Return the predicted wait of a new call behind calls of the same or higher urgency."""
         slots = sum(w.description.slots for w in self._workers.values() if not w.leaving)
         return self._waiting.expected_seconds(class_rank) / max(slots, 1)
 
@@ -182,7 +181,7 @@
         return self._vacate(event.call_id)
 
     def _vacate(self, call_id: CallId) -> list[PoolAction]:
-        """Free a call's place; a program that has ended meanwhile is released once more."""
+        """Free the slot of a call and release its cache again if its program has ended."""
         placed = self._placed.pop(call_id, None)
         if placed is None:
             return []
@@ -203,7 +202,7 @@
     # --- programs ----------------------------------------------------------------------------
 
     def _program_paused(self, event: ProgramPaused, now: float) -> list[PoolAction]:
-        """Keep the cache: dropping it for long pauses was measured to bring nothing."""
+        """Keep the cache, because measurements showed no gain from dropping it in long pauses."""
         return []
 
     def _program_ended(self, event: ProgramEnded, now: float) -> list[PoolAction]:
@@ -249,7 +248,7 @@
         return []
 
     def _load_reported(self, event: LoadReported, now: float) -> list[PoolAction]:
-        """Load is known exactly from what was dispatched; a lagging report changes nothing."""
+        """Ignore the lagging report, because the dispatched calls are known exactly."""
         return []
 
     def _cache_changed(self, event: CacheChanged, now: float) -> list[PoolAction]:
@@ -266,10 +265,10 @@
     def _time_passed(self, event: TimePassed, now: float) -> list[PoolAction]:
         return []
 
-    # --- placing -----------------------------------------------------------------------------
+    # --- placement ---------------------------------------------------------------------------
 
     def _place_waiting(self, now: float) -> list[PoolAction]:
-        """Give places to waiting calls in order, as far as `scan_limit` allows."""
+        """Assign slots to waiting calls in order, examining at most `scan_limit` calls."""
         actions: list[PoolAction] = []
         for waiting in self._waiting.first(self.policy.scan_limit):
             if not self._may_have_place(waiting):
@@ -359,7 +358,7 @@
         return [dispatch, *self._release_elsewhere(placed)]
 
     def _release_elsewhere(self, placed: PlacedCall) -> list[PoolAction]:
-        """Free what other workers hold of a program that now runs here: it will not go back."""
+        """Release the cache of a program on its previous workers, where it will not run again."""
         program = self._programs.get(placed.call.program_id)
         if program is None or not self.policy.features.release_moved:
             return []
--- a/src/foxwinch/core/steward/waiting.py
+++ b/src/foxwinch/core/steward/waiting.py
@@ -1,8 +1,8 @@
-"""The waiting calls of a pool in order of their keys.
+"""Priority queue of the waiting calls of a pool.
 
-A key is a time: arrival plus an offset for the class, or earlier where a deadline
-asks for it. Keys never change, so a call that has waited longer than the largest offset goes
-before every newcomer: that is the bound on starvation.
+The sort key is a time: the arrival plus an offset for the class, or earlier if the deadline
+requires it. Keys never change, so a call that has waited longer than the largest offset precedes
+every new call. This bounds starvation.
 """
 
 from collections.abc import Iterator
@@ -24,7 +24,7 @@
     sequence: int
     arrived_at_seconds: float
     expected_seconds: float
-    """Expected time in a batch, for predicted waits."""
+    """Expected duration in a batch, for predicting waits."""
 
 
 def order_key(
@@ -34,9 +34,9 @@
     step_began_at: float,
     expected_seconds: float,
 ) -> float:
-    """Return a call's place in the order; lower goes first.
+    """Return the sort key of a call; calls with a lower key are placed first.
 
-    `step_began_at` is when the parallel step that the call belongs to began.
+    `step_began_at` is the start of the parallel step that the call belongs to.
     """
     features = policy.features
     if features.class_order and call.class_rank == 0:
@@ -51,10 +51,9 @@
 
 
 class WaitingCalls:
-    """Queued calls by key."""
+    """Queued calls in key order."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._ordered = SortedKeyList(key=lambda w: (w.key_seconds, w.sequence))
         self._by_id: dict[CallId, WaitingCall] = {}
         self._seconds_by_rank: dict[int, float] = {}
@@ -64,19 +63,19 @@
         return len(self._by_id)
 
     def __contains__(self, call_id: CallId) -> bool:
-        """Tell whether a call is queued."""
+        """Return whether a call is queued."""
         return call_id in self._by_id
 
     def __iter__(self) -> Iterator[WaitingCall]:
-        """Iterate from the first in order; the queue must not be changed meanwhile."""
+        """Iterate in key order; the queue must not change during the iteration."""
         return iter(self._ordered)
 
     def first(self, count: int) -> list[WaitingCall]:
-        """Return the first calls in order."""
+        """Return the first `count` calls in key order."""
         return list(self._ordered.islice(0, count))
 
     def add(self, waiting: WaitingCall) -> None:
-        """Queue a call."""
+        """Add a call to the queue."""
         self._ordered.add(waiting)
         self._by_id[waiting.call.call_id] = waiting
         rank = waiting.call.class_rank
@@ -85,7 +84,7 @@
         )
 
     def remove(self, call_id: CallId) -> WaitingCall | None:
-        """Take a call out; None when it is not queued."""
+        """Remove and return a call, or return None if it is not queued."""
         waiting = self._by_id.pop(call_id, None)
         if waiting is not None:
             self._ordered.remove(waiting)
@@ -93,5 +92,5 @@
         return waiting
 
     def expected_seconds(self, rank: int) -> float:
-        """Return the batch time that queued calls at least as urgent as `rank` will take."""
+        """Return the total expected duration of queued calls at least as urgent as `rank`."""
         return sum(s for r, s in self._seconds_by_rank.items() if r <= rank)
--- a/src/foxwinch/core/steward/workers.py
+++ b/src/foxwinch/core/steward/workers.py
@@ -1,4 +1,4 @@
-"""A worker of the pool as its scheduler sees it: places, memory and cache."""
+"""Scheduler state of a worker: slots, reserved memory and cache index."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class PlacedCall:
-    """A call that holds a place on a worker: running, or waiting there for its prefix to arrive."""
+    """A call that occupies a slot on a worker while it runs or waits for its prefix transfer."""
 
     call: PoolCall
     worker: "WorkerState"
@@ -18,11 +18,11 @@
     expected_cached_tokens: int
     expected_end_seconds: float
     private_blocks: int
-    """Blocks for the answer and the last, partial block of the prompt."""
+    """Number of blocks for the answer and the last, partial block of the prompt."""
     reason: str
     copied_blocks: int = 0
     dispatched_at_seconds: float | None = None
-    """None while its prefix is being copied."""
+    """Dispatch time, or None while the prefix is being copied."""
 
 
 @dataclass(slots=True, eq=False)
@@ -34,31 +34,31 @@
     leaving: bool = False
     placed: dict[CallId, PlacedCall] = field(default_factory=dict)
     urgent: int = 0
-    """Placed calls of the most urgent rank."""
+    """Number of placed calls of the most urgent rank."""
     prefill_until_seconds: float = 0.0
-    """When the prefill that was sent there should be done."""
+    """Expected end of the dispatched prefill work."""
     _pinned: dict[int, int] = field(default_factory=dict)
     _private_blocks: int = 0
 
     @property
     def free_slots(self) -> int:
-        """Places left in the batch."""
+        """Number of free slots in the batch."""
         return self.description.slots - len(self.placed)
 
     @property
     def pinned_blocks(self) -> int:
-        """Blocks that placed calls need at their end."""
+        """Number of blocks that the placed calls need by the time they finish."""
         return len(self._pinned) + self._private_blocks
 
     def fits(self, call: PoolCall, private_blocks: int) -> bool:
-        """Tell whether prompt and answer find room beside the placed calls."""
+        """Return whether the prompt and answer fit into the cache next to the placed calls."""
         room = self.description.cache_blocks - self.pinned_blocks - private_blocks
         if room >= len(call.prefix_hashes):
             return True
         return sum(1 for h in call.prefix_hashes if h not in self._pinned) <= room
 
     def place(self, placed: PlacedCall) -> None:
-        """Take a place and memory."""
+        """Occupy a slot and reserve memory for a call."""
         self.placed[placed.call.call_id] = placed
         self._private_blocks += placed.private_blocks
         for block_hash in placed.call.prefix_hashes:
@@ -67,7 +67,7 @@
             self.urgent += 1
 
     def leave(self, placed: PlacedCall) -> None:
-        """Give place and memory back."""
+        """Free the slot and the reserved memory of a call."""
         del self.placed[placed.call.call_id]
         self._private_blocks -= placed.private_blocks
         for block_hash in placed.call.prefix_hashes:
@@ -78,7 +78,7 @@
             self.urgent -= 1
 
     def next_place_seconds(self, now: float) -> float:
-        """Return the predicted wait for a place."""
+        """Return the predicted time until a slot is free, in seconds."""
         if self.free_slots > 0:
             return 0.0
         ends = (placed.expected_end_seconds for placed in self.placed.values())
--- a/src/foxwinch/workers/__init__.py
+++ b/src/foxwinch/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Stewards of workers: grants, orders, drains, and the cache that they hold."""
+"""Stewards of workers: grants, model orders, drains and cache transfers."""
--- a/src/foxwinch/workers/cache_evacuation.py
+++ b/src/foxwinch/workers/cache_evacuation.py
@@ -1,4 +1,4 @@
-"""Moves useful cache off a leaving worker, where copying is cheaper than computing it again."""
+"""Copies useful cache from a leaving worker where this is cheaper than recomputing it."""
 
 import asyncio
 from collections.abc import Iterable
@@ -11,29 +11,28 @@
 from foxwinch.workers.pool_driver import copy_cache
 
 PROGRAMS_MOVED = 32
-"""The programs that ran last; a worker that leaves seldom gives time for more."""
+"""Limit of programs per leaving worker, which rarely allows time for more."""
 TRANSFER_SECONDS = 5.0
 
 log = EventLog("worker")
 
 
 def moving_pays() -> bool:
-    """Tell whether copying a block is predicted to cost less than computing it again."""
+    """Return whether copying a block is predicted to take less time than recomputing it."""
     return INITIAL_TRANSFER_BLOCK_SECONDS < PREFILL_TOKEN_SECONDS * BLOCK_TOKENS
 
 
 class CacheEvacuation:
-    """One task for each leaving worker; the moves go one after another to spare the link."""
+    """Runs one task per leaving worker, which copies sequentially to limit the load on the link."""
 
     def __init__(self, engine: EnginePort) -> None:
-        """Move by the engines' export and import."""
         self._engine = engine
         self._tasks: dict[WorkerId, asyncio.Task[None]] = {}
 
     def begin(
         self, source: WorkerId, targets: list[WorkerId], programs: Iterable[ProgramId]
     ) -> None:
-        """Move the caches of `programs` to `targets` in turn; nothing without a target."""
+        """Copy the caches of `programs` to `targets` round-robin, or nothing without a target."""
         if not targets or not moving_pays():
             return
         self.cancel(source)
@@ -41,13 +40,13 @@
         self._tasks[source] = asyncio.get_running_loop().create_task(moving)
 
     def cancel(self, source: WorkerId) -> None:
-        """Stop moving: the worker is gone, or back."""
+        """Stop the transfers from a worker that has left or is no longer leaving."""
         task = self._tasks.pop(source, None)
         if task is not None:
             task.cancel()
 
     async def stop(self) -> None:
-        """Stop every move."""
+        """Stop all transfers."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
--- a/src/foxwinch/workers/engine_retries.py
+++ b/src/foxwinch/workers/engine_retries.py
@@ -1,4 +1,4 @@
-"""Orders to engines that must succeed in the end: repeated until done or without object."""
+"""Engine operations that must eventually succeed, retried until done or obsolete."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,13 +13,13 @@
 
 FIRST_PAUSE_SECONDS = 0.2
 LONGEST_PAUSE_SECONDS = 5.0
-"""An engine that is back is told what it missed within this time."""
+"""Maximum backoff, within which an engine that is available again gets pending operations."""
 
 log = EventLog("engine")
 
 
 class RetriedKind(StrEnum):
-    """What is repeated."""
+    """Kind of a retried operation."""
 
     RELEASE = "release"
     CANCEL = "cancel"
@@ -27,22 +27,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RetriedKey:
-    """Identifies one matter: a second order about it joins the first."""
+    """Identity of an operation; submissions with the same key share one execution."""
 
     kind: RetriedKind
     worker: WorkerId
     subject: str
-    """A program for `RELEASE`, a call for `CANCEL`."""
+    """Program of a `RELEASE` or call of a `CANCEL`."""
 
 
 Operation = Callable[[], Awaitable[Done | Refused]]
 
 
 class EngineRetries:
-    """Runs operations until the engine answers `Done`; waits with full jitter in between."""
+    """Runs operations until the engine answers `Done`, with jittered exponential backoff."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with nothing to do."""
         self._clock = clock
         self._tasks: dict[RetriedKey, asyncio.Task[None]] = {}
         self._when_done: dict[RetriedKey, list[Callable[[], None]]] = {}
@@ -50,7 +49,10 @@
     def submit(
         self, key: RetriedKey, operation: Operation, when_done: Callable[[], None] | None = None
     ) -> None:
-        """Repeat `operation` until done; one that is being done already is only waited for."""
+        """Retry `operation` until it succeeds, then call `when_done`.
+
+        If an operation with this key is pending already, only `when_done` is added to it.
+        """
         if when_done is not None:
             self._when_done.setdefault(key, []).append(when_done)
         if key in self._tasks:
@@ -59,32 +61,32 @@
         self._tasks[key] = task
 
     def is_pending(self, key: RetriedKey) -> bool:
-        """Tell whether an operation is not done yet."""
+        """Return whether an operation is pending."""
         return key in self._tasks
 
     def pending(self, worker: WorkerId) -> int:
-        """Count the operations on a worker that are not done yet."""
+        """Return the number of pending operations on a worker."""
         return sum(key.worker == worker for key in self._tasks)
 
     def drop(self, key: RetriedKey) -> None:
-        """Give up one operation that has become wrong."""
+        """Cancel an operation that is obsolete."""
         self._when_done.pop(key, None)
         task = self._tasks.pop(key, None)
         if task is not None:
             task.cancel()
 
     def drop_subject(self, kind: RetriedKind, subject: str) -> None:
-        """Give up operations on one subject at every worker."""
+        """Cancel the operations on one subject on all workers."""
         for key in [k for k in self._tasks if k.kind is kind and k.subject == subject]:
             self.drop(key)
 
     def drop_worker(self, worker: WorkerId) -> None:
-        """Give up what concerns a worker that is gone, or is another steward's now."""
+        """Cancel the operations on a worker that is no longer held by this steward."""
         for key in [key for key in self._tasks if key.worker == worker]:
             self.drop(key)
 
     async def stop(self) -> None:
-        """Stop repeating."""
+        """Cancel all operations."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
--- a/src/foxwinch/workers/epochs.py
+++ b/src/foxwinch/workers/epochs.py
@@ -1,4 +1,4 @@
-"""Epochs of fenced resources, such as workers: a row of the shared store for each."""
+"""Epochs of fenced resources such as workers, each stored in a row of the shared store."""
 
 from foxwinch._generated.families_pb2 import EpochRecord
 from foxwinch.clock import Clock
@@ -12,7 +12,7 @@
 
 EPOCHS_TABLE = "epochs"
 RAISE_SECONDS = 2.0
-"""For a raise with its repeats; the caller tries again later."""
+"""Timeout of an increment including retries, after which the caller tries again later."""
 RACED_RETRY_SECONDS = 1.0
 log = EventLog("epochs")
 
@@ -21,15 +21,14 @@
     """Implements `foxwinch.workers.ports.EpochView`."""
 
     def __init__(self, store: RecordStore, clock: Clock) -> None:
-        """Keep the rows in `store`."""
         self._store = store
         self._clock = clock
 
     async def raise_epoch(self, resource: str) -> EpochClaim | Refused:
-        """Take `resource` over under a new, higher epoch; `CONFLICT` when a race was lost.
+        """Take over `resource` under a higher epoch; a lost race is refused with `CONFLICT`.
 
-        Without an answer in time the row may have been raised all the same: nobody holds that
-        epoch, and the next raise goes above it.
+        After a timeout the row may still have been updated. No node holds that epoch, and the next
+        increment exceeds it.
         """
         row = RowKey(EPOCHS_TABLE, partition_of(resource), resource)
         give_up_at = self._clock.monotonic() + RAISE_SECONDS
@@ -47,7 +46,7 @@
                 break
             if version:
                 return not_run(
-                    Reason.CONFLICT, "another node raised the epoch", RACED_RETRY_SECONDS
+                    Reason.CONFLICT, "another node has raised the epoch", RACED_RETRY_SECONDS
                 )
             version, wanted.epoch = found.version, held.epoch + 1
         log.info("epoch_raised", resource=resource, epoch=wanted.epoch)
--- a/src/foxwinch/workers/grant_reports.py
+++ b/src/foxwinch/workers/grant_reports.py
@@ -1,8 +1,8 @@
-"""What an owner still has to tell the stewards about its grants and programs.
+"""Pending reports from an owner to stewards about its grants and programs.
 
-Every item stays until the steward that now serves its worker has answered, or until no such worker
-exists any more. Items are idempotent, so that a report whose answer was lost is sent again. A
-steward that dies with a report loses nothing: the next one of the worker is told.
+Each item is kept until the current steward of its worker has answered, or until the worker no
+longer exists. Items are idempotent, so a report whose answer was lost is resent. If a steward fails
+before it answers, the items go to the next steward of the worker.
 """
 
 from collections.abc import Callable, Iterable
@@ -23,9 +23,9 @@
 from foxwinch.workers.steward_messages import settled_message
 
 ITEMS_PER_REPORT = 256
-"""Bounds one message; the rest goes with the next."""
+"""Maximum number of items in a message; the remaining items are sent in the next one."""
 PROGRAMS_REMEMBERED = 20_000
-"""Programs whose workers are known; of an older one every worker is asked to release."""
+"""Capacity of the LRU map from programs to workers; evicted programs are released everywhere."""
 StewardOf = Callable[[WorkerId], NodeId | None]
 
 
@@ -33,7 +33,7 @@
 class _Granted:
     grant: Grant
     sequence: int
-    """Names the ask; the call may be asked for again."""
+    """Sequence number of the request, because a call may be requested more than once."""
 
 
 @dataclass(slots=True)
@@ -44,27 +44,26 @@
 
 @dataclass(slots=True)
 class Report:
-    """One message to one steward, and what it settles when answered."""
+    """A message to one steward and the items that its answer acknowledges."""
 
     steward: NodeId
     message: GrantReport = field(default_factory=GrantReport)
     settled: list[int] = field(default_factory=list)
-    """Sequences of the asks whose grants are given back."""
+    """Sequence numbers of the requests whose grants have ended."""
     withdrawn: list[int] = field(default_factory=list)
     finished: dict[ProgramId, set[WorkerId]] = field(default_factory=dict)
 
     def is_full(self) -> bool:
-        """Tell whether further items must go with the next report."""
+        """Return whether the message has reached its maximum number of items."""
         message = self.message
         items = len(message.settled) + len(message.paused) + len(message.finished)
         return items + len(message.withdrawn) >= ITEMS_PER_REPORT
 
 
 class GrantReports:
-    """Outstanding reports of one owner; holds no task and does no I/O."""
+    """Pending reports of one owner, without tasks and I/O."""
 
     def __init__(self) -> None:
-        """Start with nothing to tell."""
         self._sequence = 0
         self._held: dict[CallId, _Granted] = {}
         self._settled: dict[int, tuple[Grant, GrantUsage]] = {}
@@ -76,64 +75,64 @@
         self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(PROGRAMS_REMEMBERED)
 
     def next_sequence(self) -> int:
-        """Return a number greater than every one before."""
+        """Return the next sequence number, which is greater than all previous ones."""
         self._sequence += 1
         return self._sequence
 
     def last_worker(self, program_id: ProgramId) -> WorkerId | None:
-        """Return the worker that most likely has the program's prefix."""
+        """Return the last worker of the program, which most likely has its prefix, if known."""
         return self._last_worker.get(program_id)
 
     def held(self) -> tuple[Grant, ...]:
-        """Return the grants in use."""
+        """Return the active grants."""
         return tuple(granted.grant for granted in self._held.values())
 
     def pending(self) -> int:
-        """Count the items that have not been answered, grants in use not among them."""
+        """Return the number of unacknowledged items, excluding active grants."""
         items = (self._settled, self._withdrawn, self._paused, self._finished)
         return sum(len(item) for item in items)
 
     def has_news(self) -> bool:
-        """Tell whether there is more to say than that grants are still held."""
+        """Return whether there are unacknowledged items besides active grants."""
         return self.pending() > 0
 
     def asked(self, program_id: ProgramId) -> None:
-        """The program goes on: a pause that has not been told yet is out of date."""
+        """Drop an unsent pause of a program that requests its next call."""
         self._paused.pop(program_id, None)
 
     def granted(self, program_id: ProgramId, grant: Grant, sequence: int) -> None:
-        """Hold the grant that the ask of this sequence was given."""
+        """Record the grant for the request with this sequence number."""
         self._held[grant.call_id] = _Granted(grant, sequence)
         self._workers.setdefault(program_id, set()).add(grant.worker)
         self._last_worker[program_id] = grant.worker
 
     def withdrew(self, call_id: CallId, sequence: int, steward: NodeId) -> None:
-        """A request was given up; its grant may be under way."""
+        """Record a withdrawn request whose grant may be in flight."""
         self._withdrawn[sequence] = (call_id, steward)
 
     def settle(self, grant: Grant, usage: GrantUsage) -> None:
-        """Give a grant back; a second time has no effect."""
+        """End a grant; repeated calls have no effect."""
         granted = self._held.get(grant.call_id)
         if granted is not None and granted.grant is grant:
             del self._held[grant.call_id]
             self._settled[granted.sequence] = (grant, usage)
 
     def pause(self, program_id: ProgramId, tool: str) -> None:
-        """The program is in a tool call."""
+        """Record that the program has started a tool call."""
         worker = self._last_worker.get(program_id)
         if worker is not None:
             message = PausedProgram(program_id=program_id, tool=tool, sequence=self.next_sequence())
             self._paused[program_id] = _Pause(worker, message)
 
     def adopt(self, program_id: ProgramId) -> None:
-        """Take note that the program ran under an earlier owner, at workers not known here."""
+        """Record that the program ran under an earlier owner, on workers unknown to this node."""
         self._adopted.add(program_id)
 
     def finish(self, program_id: ProgramId, all_workers: Iterable[WorkerId]) -> None:
-        """The program is over; its memory at every worker is to be released.
+        """Request the release of a finished program's cache on every worker that may hold it.
 
-        `all_workers` stands in when this node never had a grant for the program, and is added
-        when an earlier owner may have had some.
+        All of `all_workers` are included if this node never had a grant for the program or if an
+        earlier owner may have had one.
         """
         self._paused.pop(program_id, None)
         self._last_worker.pop(program_id, None)
@@ -145,7 +144,7 @@
             self._finished.setdefault(program_id, set()).update(workers)
 
     def forget_gone(self, workers: set[WorkerId], members: set[NodeId]) -> None:
-        """Drop items about workers out of the configuration and stewards that are gone."""
+        """Drop items about workers that are not configured and stewards that have left."""
         for sequence, (grant, _) in list(self._settled.items()):
             if grant.worker not in workers:
                 del self._settled[sequence]
@@ -161,7 +160,7 @@
                 del self._finished[program_id]
 
     def build(self, steward_of: StewardOf) -> list[Report]:
-        """Return a report for each steward that there is something to tell."""
+        """Return one report for each steward with pending items or active grants."""
         reports = _ReportSet(steward_of)
         self._build_calls(reports)
         self._build_paused(reports)
@@ -169,7 +168,7 @@
         return reports.all()
 
     def answered(self, report: Report, answer: GrantReportAnswer) -> list[CallId]:
-        """Drop what a steward has taken in; returns held calls whose grant is void there."""
+        """Drop the acknowledged items, and return the held calls whose grant is invalid."""
         for sequence in report.settled:
             self._settled.pop(sequence, None)
         for sequence in report.withdrawn:
@@ -224,7 +223,7 @@
 
 
 class _ReportSet:
-    """Reports under construction, one for each steward."""
+    """Reports under construction, one per steward."""
 
     def __init__(self, steward_of: StewardOf) -> None:
         self._steward_of = steward_of
@@ -235,20 +234,20 @@
         return list(self._reports.values())
 
     def of_node(self, node: NodeId) -> Report:
-        """Return the report to a steward."""
+        """Return the report to a steward, creating it if necessary."""
         return self._reports.setdefault(node, Report(node))
 
     def of_worker(self, worker: WorkerId) -> Report | None:
-        """Return the report to the steward of a worker, if it has one now."""
+        """Return the report to the steward of a worker, or None if the worker has no steward."""
         node = self._steward_of(worker)
         return None if node is None else self.of_node(node)
 
     def with_room(self, report: Report | None) -> Report | None:
-        """Return the report unless it is full."""
+        """Return the report, or None if it is full."""
         return None if report is None or report.is_full() else report
 
     def by_steward(self, workers: Iterable[WorkerId]) -> dict[NodeId, set[WorkerId]]:
-        """Return the workers that have a steward now, grouped by it."""
+        """Return the workers that have a steward, grouped by steward."""
         found: dict[NodeId, set[WorkerId]] = {}
         for worker in workers:
             if (node := self._steward_of(worker)) is not None:
--- a/src/foxwinch/workers/grants_service.py
+++ b/src/foxwinch/workers/grants_service.py
@@ -1,4 +1,4 @@
-"""The owner's side of grants: finds stewards, asks them, and reports until it is answered."""
+"""Owner side of grants: chooses stewards, requests grants and reports until acknowledged."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -19,20 +19,20 @@
 from foxwinch.workers.waiting import wait_for_event
 
 REPORT_SECONDS = 2.0
-"""Held grants are confirmed this often; their lease is a multiple of it."""
+"""Period in which active grants are confirmed; their lease is a multiple of it."""
 GATHER_SECONDS = 0.005
-"""Reports of so long go together; short beside a call, which lasts tenths of a second."""
+"""Time for which reports are batched, short compared to a call, which takes tenths of a second."""
 RETRY_SECONDS = 0.2
-"""Pause before an unanswered report, and before a further search for a steward."""
+"""Delay before an unanswered report is resent and before another search for a steward."""
 DRAIN_SECONDS = 5.0
-"""A planned stop waits so long for stewards to answer the last reports."""
+"""Timeout of the last reports during a planned stop."""
 NO_STEWARD_SECONDS = 10.0
-"""A request waits at most so long for a worker to get a steward: about two detections of a dead
-node with the takeover after them. Then it is refused, with a time to come back."""
+"""Time for which a request waits for a steward of any suitable worker, about two detections of a
+dead node followed by a takeover. The request is then rejected with a retry delay."""
 COME_BACK_SECONDS = 2.0
-"""When to ask again after no steward was found."""
+"""Retry delay after no steward was found."""
 PREFILL_TOKEN_SECONDS = 0.0002
-"""Estimated time to compute one prompt token; weighs a cached prefix against a shorter queue."""
+"""Estimated prefill time per prompt token, to compare a cached prefix with a shorter queue."""
 ELSEWHERE = frozenset(
     {
         Reason.NOT_OWNER,
@@ -42,26 +42,26 @@
         Reason.BACKEND_UNAVAILABLE,
     }
 )
-"""Refusals after which another steward may grant; asking twice for a grant harms nothing."""
+"""Refusals after which another steward may issue the grant; requests are safe to repeat."""
 
 log = EventLog("grants")
 
 
 @dataclass(slots=True)
 class _Search:
-    """One request on its way from steward to steward."""
+    """State of one request while stewards are tried."""
 
     request: GrantRequest
     asked_at: float
     waiting_since: float
-    """Since when no steward has kept the request in its queue."""
+    """Time since which no steward has kept the request in its queue."""
     last_refusal: Refused | None = None
     refused_by: set[NodeId] = field(default_factory=set)
-    """Stewards that could not grant it; the others are asked before them."""
+    """Stewards that have refused the request; the remaining ones are tried first."""
 
 
 class GrantsService:
-    """Implements `foxwinch.workers.ports.GrantView` over all stewards of the region."""
+    """Implementation of `foxwinch.workers.ports.GrantView` for all stewards of the region."""
 
     def __init__(
         self,
@@ -70,7 +70,6 @@
         configuration: ConfigurationView,
         clock: Clock,
     ) -> None:
-        """Ask by `client` whom `directory` names."""
         self._directory = directory
         self._choices = StewardChoices(directory, clock)
         self._client = client
@@ -81,27 +80,27 @@
         self._tasks = ServiceTasks("grants")
 
     async def start(self) -> None:
-        """Start reporting."""
+        """Start the reporting loop."""
         self._tasks.keep(self._report_for_ever())
 
     async def stop(self) -> None:
-        """Stop reporting; what is untold expires at the stewards."""
+        """Stop reporting; unreported grants expire on their stewards."""
         await self._tasks.stop()
 
     async def drain(self) -> None:
-        """Return when everything has been told, or what is left can wait.
+        """Wait until all reports are acknowledged, for at most `DRAIN_SECONDS`.
 
-        Releases that an engine does not answer are asked for again by the programs' next owner.
+        The next owner of a program repeats releases that an engine has not answered.
         """
         give_up_at = self._clock.monotonic() + DRAIN_SECONDS
         while self._reports.pending() and self._clock.monotonic() < give_up_at:
             self._news.set()
             await self._clock.sleep(RETRY_SECONDS)
 
-    # --- the grant view ----------------------------------------------------------------------
+    # --- grant view --------------------------------------------------------------------------
 
     async def acquire(self, request: GrantRequest) -> Grant | Refused:
-        """Wait for a grant; cancelling the wait withdraws the request."""
+        """Return a grant when it is issued; cancellation withdraws the request."""
         now = self._clock.monotonic()
         self._reports.asked(request.program_id)
         search = _Search(request, now, now)
@@ -122,28 +121,28 @@
                 return refused
 
     def settle(self, grant: Grant, usage: GrantUsage) -> None:
-        """Give a grant back with what was used."""
+        """End a grant and report its usage."""
         self._reports.settle(grant, usage)
         self._news.set()
 
     def pause(self, program_id: ProgramId, tool: str) -> None:
-        """Tell that the program has gone into a tool call."""
+        """Report that the program has started a tool call."""
         self._reports.pause(program_id, tool)
         self._news.set()
 
     def finish(self, program_id: ProgramId) -> None:
-        """Tell that the program is over, until its engine memory is released."""
+        """Report that the program has finished, until its cache is released."""
         self._reports.finish(program_id, self._engine_workers())
         self._news.set()
 
     def adopt(self, program_id: ProgramId) -> None:
-        """Take note that the program may have run at any worker under an earlier owner."""
+        """Record that the program may have run on any worker under an earlier owner."""
         self._reports.adopt(program_id)
 
-    # --- asking ------------------------------------------------------------------------------
+    # --- requests ----------------------------------------------------------------------------
 
     def _choose(self, search: _Search) -> ServingSteward | None:
-        """Return the cheapest of the steward with the prefix and two others drawn at random."""
+        """Return the cheapest of the steward with the prefix and two randomly chosen stewards."""
         request = search.request
         serving = self._choices.serving(request.model)
         unasked = [s for s in serving if s.member.node not in search.refused_by]
@@ -183,23 +182,23 @@
         return grant
 
     async def _after_refusal(self, refused: Refused, search: _Search) -> Refused | None:
-        """Go on elsewhere after a refusal that is about the steward; else return it."""
+        """Return a final refusal, or None if another steward can be tried."""
         if refused.reason not in ELSEWHERE:
             return refused
         search.last_refusal = refused
         return await self._wait_for_steward(search)
 
     async def _wait_for_steward(self, search: _Search) -> Refused | None:
-        """Wait a little for a change; refuse when no steward could be asked for too long."""
+        """Wait before the next attempt, or return a refusal if the search has taken too long."""
         now = self._clock.monotonic()
         if now - search.waiting_since >= NO_STEWARD_SECONDS:
-            detail = f"no worker of model {search.request.model} has a steward"
+            detail = f"no worker for model {search.request.model} has a steward"
             if search.last_refusal is not None:
                 detail = search.last_refusal.detail
             return not_run(Reason.BACKEND_UNAVAILABLE, detail, COME_BACK_SECONDS)
         if not self._is_configured(search.request):
             return not_run(
-                Reason.NOT_FOUND, f"no pool of the configuration serves {search.request.model}"
+                Reason.NOT_FOUND, f"no configured pool serves model {search.request.model}"
             )
         remaining = search.request.deadline_at_seconds - now
         await self._clock.sleep(max(0.0, min(RETRY_SECONDS, remaining)))
@@ -218,7 +217,7 @@
         engines = {pool.name for pool in snapshot.document.pools if pool.kind == "engine"}
         return [WorkerId(w.name) for w in snapshot.document.workers if w.pool in engines]
 
-    # --- reporting ---------------------------------------------------------------------------
+    # --- reports -----------------------------------------------------------------------------
 
     async def _report_for_ever(self) -> None:
         while True:
@@ -236,7 +235,7 @@
         await asyncio.gather(*(self._deliver(report) for report in reports))
 
     def _known_workers(self) -> set[WorkerId]:
-        """Return the configured workers, and those in use while no configuration is at hand."""
+        """Return the configured workers, or the workers in use if no configuration is available."""
         workers = set(self._engine_workers())
         return workers or {grant.worker for grant in self._reports.held()}
 
@@ -252,14 +251,14 @@
 
 
 def _cost(steward: ServingSteward, request: GrantRequest, is_sticky: bool) -> float:
-    """Return the predicted seconds until the first token."""
+    """Return the predicted time to the first token, in seconds."""
     cached = 1.0 if is_sticky else _cached_share(steward, request)
     prefill = (1.0 - cached) * request.prompt_tokens * PREFILL_TOKEN_SECONDS
     return steward.predicted_wait_seconds + prefill
 
 
 def _cached_share(steward: ServingSteward, request: GrantRequest) -> float:
-    """Return the share of the prompt that a hot prefix of the steward covers."""
+    """Return the share of the prompt covered by a hot prefix of the steward."""
     blocks = len(request.prefix_hashes)
     for index in range(blocks - 1, -1, -1):
         if request.prefix_hashes[index] in steward.hot_prefixes:
--- a/src/foxwinch/workers/orders_service.py
+++ b/src/foxwinch/workers/orders_service.py
@@ -1,7 +1,8 @@
-"""Reconciles the models of all workers of a region with the configuration.
+"""Reconciliation of the models on all workers of a region with the configuration.
 
-Every node runs this service; the one that holds the region's orders epoch decides. The stewards
-carry the orders out under their workers' epochs and refuse a decider that has been replaced.
+Every node runs this service, and the node that holds the orders epoch of the region issues the
+orders. The stewards execute them under the epochs of their workers and reject orders of a replaced
+issuer.
 """
 
 import asyncio
@@ -23,28 +24,28 @@
 from foxwinch.workers.steward_service import StewardService
 
 DECIDE_SECONDS = 2.0
-"""Period of comparing: reports lag by a second, and loading takes tens of seconds."""
+"""Reconciliation period; reports lag by a second and loading takes tens of seconds."""
 OLDEST_REPORT_SECONDS = 5.0
-"""A worker whose last report is older is left out: what it has loaded is not known."""
+"""Maximum age of a report; workers with older reports are excluded as their models are unknown."""
 RETRY_SECONDS = 1.0
-"""Pause before an unanswered order is sent again under its token."""
+"""Delay before an unanswered order is resent under its token."""
 GIVE_UP_SECONDS = 300.0
-"""An order that could not be delivered for so long has failed; it may be decided anew."""
+"""Delivery timeout, after which an order counts as failed and may be issued again."""
 UNDELIVERED = frozenset(
     {Reason.NOT_OWNER, Reason.PEER_UNREACHABLE, Reason.BACKEND_UNAVAILABLE, Reason.DRAINING}
 )
-"""Refusals that say nothing about the order itself."""
+"""Refusals caused by delivery rather than by the order itself."""
 
 log = EventLog("orders")
 
 
 def orders_resource(region: RegionName) -> Resource:
-    """Return the resource whose holder decides on the orders of a region."""
+    """Return the resource whose holder issues the orders of a region."""
     return Resource(f"orders/{region}", None)
 
 
 class OrdersService:
-    """Decides where this node holds the epoch, and delivers until answered."""
+    """Issues orders while this node holds the epoch, and resends them until they are answered."""
 
     def __init__(
         self,
@@ -56,7 +57,6 @@
         clock: Clock,
         policy: OrderPolicy,
     ) -> None:
-        """Have the orders epoch assigned among the nodes by `steward`."""
         self._resource = orders_resource(region)
         self._steward = steward
         self._directory = directory
@@ -73,11 +73,11 @@
         steward.hold_also(self._resource)
 
     async def start(self) -> None:
-        """Start deciding whenever this node holds the epoch."""
+        """Start the reconciliation loop."""
         self._tasks.keep(self._decide_for_ever())
 
     async def stop(self) -> None:
-        """Stop; another node takes over and asks the workers what they have."""
+        """Stop issuing orders; another node takes over and reads the state of the workers."""
         await self._tasks.stop()
         await self._deliveries.stop()
 
@@ -89,7 +89,7 @@
             await self._clock.sleep(DECIDE_SECONDS)
 
     async def _follow_epoch(self) -> None:
-        """Begin anew under a new epoch: what an earlier decider did is read from the workers."""
+        """Reset the state after an epoch change; earlier results are read from the workers."""
         epoch = self._steward.epoch_of(self._resource.name)
         if epoch == self._epoch:
             return
@@ -153,7 +153,7 @@
     # --- delivery ----------------------------------------------------------------------------
 
     async def _deliver(self, order: Order, reconciler: OrderReconciler) -> None:
-        """Send an order under its token until it is answered or cannot be delivered."""
+        """Resend an order under its token until it is answered or the delivery times out."""
         give_up_at = self._clock.monotonic() + GIVE_UP_SECONDS
         succeeded = False
         while self._clock.monotonic() < give_up_at:
@@ -169,7 +169,7 @@
         reconciler.completed(order.token, succeeded, self._clock.monotonic())
 
     async def _send(self, order: Order) -> Refused | None:
-        """Return None when the order was carried out."""
+        """Send an order, and return None if it was executed."""
         node = self._directory.steward_of(order.worker)
         member = None if node is None else self._directory.member(node)
         if member is None:
@@ -186,7 +186,7 @@
         return answer if isinstance(answer, Refused) else None
 
     def _note(self, order: Order) -> None:
-        """Remember what reports do not tell: versions and adapters."""
+        """Record versions and adapters, which load reports do not contain."""
         log.info("order_done", token=order.token, worker=order.worker, kind=order.kind)
         adapters = self._adapters.setdefault(order.worker, set())
         match order.kind:
@@ -201,7 +201,7 @@
 
 
 def goals_of(document: ClusterConfiguration) -> list[ModelGoal]:
-    """Return what a configuration wants of each model."""
+    """Return the goal states of the models in a configuration."""
     return [
         ModelGoal(
             model=ModelName(model.name),
--- a/src/foxwinch/workers/pool_driver.py
+++ b/src/foxwinch/workers/pool_driver.py
@@ -1,4 +1,4 @@
-"""Drives the scheduler of one pool: feeds it events and carries its actions out."""
+"""Driver of a pool's scheduler, which passes events to it and executes its actions."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -31,15 +31,15 @@
 from foxwinch.workers.engine_retries import EngineRetries, RetriedKey, RetriedKind
 
 TRANSFER_SECONDS = 5.0
-"""A transfer that takes longer costs the call more than computing its prefix again."""
+"""Transfer timeout; a longer transfer costs the call more than recomputing its prefix."""
 ASK_ELSEWHERE_SECONDS = 0.1
-"""When to ask again after this pool has lost its last worker of a model."""
+"""Retry delay after this pool has lost its last worker for a model."""
 
 Answer = Dispatch | Refused
 
 
 class PoolDriver:
-    """One pool's scheduler and the calls that wait for it."""
+    """Scheduler of one pool together with its waiting calls."""
 
     def __init__(
         self,
@@ -49,7 +49,10 @@
         clock: Clock,
         on_resync: Callable[[WorkerId], None],
     ) -> None:
-        """Start without workers; `on_resync` is told of workers whose cache must be read anew."""
+        """Create a pool without workers.
+
+        `on_resync` is called with each worker whose complete cache state must be read.
+        """
         self.scheduler = PoolScheduler(policy)
         self._engine = engine
         self._retries = retries
@@ -59,26 +62,26 @@
         self._models: dict[CallId, ModelName] = {}
         self._workers: dict[WorkerId, tuple[WorkerDescription, bool]] = {}
         self._joined: set[WorkerId] = set()
-        """Workers that the scheduler knows; one that was leaving from the start never joins."""
+        """Workers known to the scheduler; a worker that was leaving from the start never joins."""
         self._transfers: set[asyncio.Task[None]] = set()
 
     def serves(self, model: ModelName, excluded: Collection[WorkerId] = ()) -> bool:
-        """Tell whether a worker here, not one of `excluded`, may be given calls of a model."""
+        """Return whether a worker outside `excluded` accepts calls for a model."""
         return any(
             model in description.models and not leaving and worker not in excluded
             for worker, (description, leaving) in self._workers.items()
         )
 
     def queued(self, model: ModelName) -> int:
-        """Count the waiting calls of a model."""
+        """Return the number of waiting calls for a model."""
         return sum(waiting == model for waiting in self._models.values())
 
     def predicted_wait_seconds(self, class_rank: int) -> float:
-        """Return how long a newcomer of a class would wait."""
+        """Return the predicted wait of a new call of a class."""
         return self.scheduler.predicted_wait_seconds(class_rank)
 
     async def place(self, call: PoolCall) -> Answer:
-        """Wait for a place; cancelling withdraws the call."""
+        """Return the answer to a call when it is available; cancellation withdraws the call."""
         self.withdraw(call.call_id)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._waiting[call.call_id] = future
@@ -92,12 +95,12 @@
             raise
 
     def withdraw(self, call_id: CallId) -> None:
-        """Take a call out, waiting or placed."""
+        """Remove a waiting or placed call."""
         self._answer(call_id, not_run(Reason.CANCELLED, "the request was withdrawn"))
         self.handle(CallWithdrawn(call_id))
 
     def set_worker(self, description: WorkerDescription, leaving: bool) -> None:
-        """Add a worker or replace what is known of it."""
+        """Add a worker or replace its description."""
         if self._workers.get(description.worker) == (description, leaving):
             return
         self._workers[description.worker] = (description, leaving)
@@ -109,21 +112,21 @@
         self._refuse_unservable()
 
     def remove_worker(self, worker: WorkerId) -> None:
-        """Forget a worker that is gone or another steward's."""
+        """Remove a worker that is unavailable or has another steward."""
         if self._workers.pop(worker, None) is not None:
             self._joined.discard(worker)
             self.handle(WorkerLeft(worker))
             self._refuse_unservable()
 
     def handle(self, event: PoolEvent) -> None:
-        """Feed an event and carry out what is decided."""
+        """Pass an event to the scheduler and execute the resulting actions."""
         for action in self.scheduler.handle(event, self._clock.monotonic()):
             self._carry_out(action)
 
     async def stop(self) -> None:
-        """Refuse what waits and stop transfers."""
+        """Refuse the waiting calls and cancel the transfers."""
         for call_id in list(self._waiting):
-            self._answer(call_id, not_run(Reason.DRAINING, "the steward stops", 0.0))
+            self._answer(call_id, not_run(Reason.DRAINING, "the steward is stopping", 0.0))
         tasks = list(self._transfers)
         for task in tasks:
             task.cancel()
@@ -147,7 +150,7 @@
             self.handle(CallWithdrawn(action.call_id))
 
     def _answer(self, call_id: CallId, answer: Answer) -> bool:
-        """Answer a waiting call; False when nobody waits any more."""
+        """Answer a waiting call, and return False if the call is no longer waiting."""
         self._models.pop(call_id, None)
         future = self._waiting.pop(call_id, None)
         if future is None or future.done():
@@ -156,10 +159,10 @@
         return True
 
     def _refuse_unservable(self) -> None:
-        """Send calls elsewhere whose model no worker here serves any more."""
+        """Refuse waiting calls whose model no worker serves, so that they try another steward."""
         for call_id, model in list(self._models.items()):
             if not self.serves(model):
-                detail = f"no worker of model {model} is left at this steward"
+                detail = f"this steward has no workers left for model {model}"
                 self._answer(call_id, not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS))
                 self.handle(CallWithdrawn(call_id))
 
@@ -169,7 +172,7 @@
         program_id: ProgramId,
         when_done: Callable[[], None] | None = None,
     ) -> None:
-        """Have a worker free what it holds for a program, until it has."""
+        """Release the cache of a program on a worker, retrying until it succeeds."""
 
         def done() -> None:
             self.handle(ReleaseAnswered(worker, program_id, done=True))
@@ -202,7 +205,7 @@
 async def copy_cache(
     engine: EnginePort, source: WorkerId, target: WorkerId, program_id: ProgramId
 ) -> bool:
-    """Copy a program's cache between workers; False when either side refused."""
+    """Copy a program's cache between workers, and return False if either worker refused."""
     data = await engine.export_cache(source, program_id)
     if isinstance(data, Refused):
         return False
--- a/src/foxwinch/workers/ports.py
+++ b/src/foxwinch/workers/ports.py
@@ -1,4 +1,4 @@
-"""What other parts of a node ask of the stewards of workers: epochs and grants."""
+"""Interfaces of the workers package for other parts of a node: epochs and grants."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -18,23 +18,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochClaim:
-    """This node holds `resource` under `epoch` until somebody raises it further."""
+    """Claim of this node on `resource`, valid until another node raises the epoch."""
 
     resource: str
     epoch: Epoch
 
 
 class EpochView(Protocol):
-    """Fencing numbers of workers, kept in the shared store."""
+    """Epochs of resources in the shared store, used as fencing tokens."""
 
     async def raise_epoch(self, resource: str) -> EpochClaim | Refused:
-        """Take `resource` over under a new, higher epoch; `CONFLICT` when a race was lost."""
+        """Take over `resource` under a higher epoch; a lost race is refused with `CONFLICT`."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class GrantRequest:
-    """An owner asks for the right to run one model call on some worker."""
+    """Request of an owner for the right to run one model call on any worker."""
 
     call_id: CallId
     program_id: ProgramId
@@ -46,22 +46,22 @@
     output_tokens: int
     """Estimated length of the answer."""
     prefix_hashes: tuple[int, ...]
-    """Chained hash of each whole block of the prompt, first block first."""
+    """Chained hash of each complete block of the prompt, in order."""
     service_seconds: float
-    """Engine service that the program has received so far."""
+    """Engine time consumed by the program so far."""
     deadline_at_seconds: float
-    """On the clock of the event loop of the asking node; sent between nodes as a remainder."""
+    """Deadline on the event loop clock of the requesting node; the remaining time is sent."""
     repeatable: bool = True
 
     @property
     def family_id(self) -> ProgramId:
-        """The root of the program's family; sub-agents share the arrival time of its step."""
+        """Root program of the family, whose step start is shared by its sub-agents."""
         return root_of(self.program_id)
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The right to run the call on a worker, until it expires."""
+    """Right to run a call on a worker until the lease expires."""
 
     call_id: CallId
     worker: WorkerId
@@ -71,12 +71,12 @@
     expected_cached_tokens: int
     waited_seconds: float
     reason: str
-    """Why the call waited and went where it did, for `programs show`."""
+    """Explanation of the wait and the placement for `programs show`."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrantUsage:
-    """What became of a grant."""
+    """Result of the call that ran under a grant."""
 
     call_id: CallId
     prompt_tokens: int
@@ -84,30 +84,30 @@
     completion_tokens: int
     failed: bool
     not_run: bool = False
-    """True when the worker itself refused the call without running it."""
+    """True if the worker refused the call without running it."""
     fenced: bool = False
-    """True when it refused because it has seen a newer epoch: the steward has been replaced."""
+    """True if the worker refused the epoch as outdated, because the steward has been replaced."""
 
 
 class GrantView(Protocol):
-    """Access to the stewards of all workers."""
+    """Grants from the stewards of all workers."""
 
     async def acquire(self, request: GrantRequest) -> Grant | Refused:
-        """Wait for a grant; cancelling the wait withdraws the request."""
+        """Return a grant when it is issued; cancellation withdraws the request."""
         ...
 
     def settle(self, grant: Grant, usage: GrantUsage) -> None:
-        """Give a grant back with what was used."""
+        """End a grant and report its usage."""
         ...
 
     def pause(self, program_id: ProgramId, tool: str) -> None:
-        """Tell that the program has gone into a tool call: keep, move or drop its cache."""
+        """Report the start of a tool call, so that the cache may be kept, moved or dropped."""
         ...
 
     def adopt(self, program_id: ProgramId) -> None:
-        """Tell that an earlier owner ran the program: any worker may hold its memory."""
+        """Report that the program had an earlier owner, so any worker may hold its cache."""
         ...
 
     def finish(self, program_id: ProgramId) -> None:
-        """Tell that the program is over: its engine memory is released, until that succeeds."""
+        """Report that the program has finished; its cache release is retried until it succeeds."""
         ...
--- a/src/foxwinch/workers/steward_choices.py
+++ b/src/foxwinch/workers/steward_choices.py
@@ -1,4 +1,4 @@
-"""The owner's short-lived copy of who serves what, so that not every call reads all digests."""
+"""Short-lived cache of the steward directory, which avoids reading all digests for every call."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,8 @@
 from foxwinch.workers.steward_directory import ServingSteward, StewardDirectory, worker_resource
 
 KEPT_SECONDS = 0.05
-"""Far below the time that a digest takes to spread; a wrong choice is refused and made again."""
+"""Cache lifetime, far below the propagation time of a digest; after a stale choice the steward
+refuses the request and the choice is repeated."""
 
 
 @dataclass(slots=True)
@@ -19,10 +20,9 @@
 
 
 class StewardChoices:
-    """Reads the directory at most once in `KEPT_SECONDS`."""
+    """Cache that reads the directory at most once per `KEPT_SECONDS`."""
 
     def __init__(self, directory: StewardDirectory, clock: Clock) -> None:
-        """Start without a copy."""
         self._directory = directory
         self._clock = clock
         self._copy: _Copy | None = None
@@ -36,7 +36,7 @@
         return found
 
     def steward_of(self, worker: WorkerId) -> NodeId | None:
-        """Return the node that holds a worker."""
+        """Return the node that holds a worker, or None if no node does."""
         holder = self._fresh().holders.get(worker_resource(worker))
         return None if holder is None else holder.node
 
--- a/src/foxwinch/workers/steward_client.py
+++ b/src/foxwinch/workers/steward_client.py
@@ -1,4 +1,4 @@
-"""Asks stewards: the one of this node directly, the others over the kept streams."""
+"""Client of stewards, which calls the local one directly and the others over peer streams."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -28,21 +28,22 @@
 )
 
 REPORT_DEADLINE_SECONDS = 2.0
-"""A report is repeated anyway; waiting longer would only delay the repetition."""
+"""Deadline of a report; a longer one would only delay the retry."""
 ORDER_DEADLINE_SECONDS = 120.0
-"""Loading a large model within the weight store's rate takes up to a minute or two."""
+"""Deadline of an order; loading a large model at the weight store's rate takes one to two
+minutes."""
 Answer = TypeVar("Answer", bound=Message)
 
 
 class StewardEndpoint(Protocol):
-    """What a steward answers; implemented by the steward of this node."""
+    """Requests that a steward handles, implemented by the steward of this node."""
 
     async def acquire(self, owner: NodeId, ask: GrantAsk) -> GrantGiven | Refused:
-        """Wait for a grant; cancelling withdraws the request."""
+        """Return a grant when it is issued; cancellation withdraws the request."""
         ...
 
     async def report(self, owner: NodeId, report: GrantReport) -> GrantReportAnswer:
-        """Take a report in."""
+        """Process a report."""
         ...
 
     async def describe(self) -> StewardedWorkers:
@@ -50,21 +51,21 @@
         ...
 
     async def order(self, order: WorkerOrder) -> WorkerOrderDone | Refused:
-        """Carry out a model order."""
+        """Execute a model order."""
         ...
 
 
 class StewardClient:
-    """Calls any steward by its member entry."""
+    """Client of any steward, addressed by its member entry."""
 
     def __init__(self, node: NodeId, local: StewardEndpoint, peers: PeerPort | None) -> None:
-        """Reach `local` directly; `peers` is None in a node without fellow nodes."""
+        """Call `local` for this node; `peers` is None in a single-node deployment."""
         self._node = node
         self._local = local
         self._peers = peers
 
     async def acquire(self, steward: Member, ask: GrantAsk) -> GrantGiven | Refused:
-        """Wait for a grant; cancelling withdraws the request."""
+        """Return a grant when it is issued; cancellation withdraws the request."""
         if steward.node == self._node:
             return await self._local.acquire(self._node, ask)
         if self._peers is None:
@@ -75,10 +76,10 @@
         async with aclosing(cast(AsyncGenerator[bytes | Refused, None], answers)) as stream:
             async for answer in stream:
                 return _parsed(GrantGiven(), answer)
-        return outcome_unknown(Reason.PEER_UNREACHABLE, "the steward ended without an answer")
+        return outcome_unknown(Reason.PEER_UNREACHABLE, "the steward closed without an answer")
 
     async def report(self, steward: Member, report: GrantReport) -> GrantReportAnswer | Refused:
-        """Deliver a report; a refusal leaves open whether it arrived."""
+        """Deliver a report; after a refusal it may still have arrived."""
         if steward.node == self._node:
             return await self._local.report(self._node, report)
         return await self._call(
@@ -86,7 +87,7 @@
         )
 
     async def describe(self, steward: Member) -> StewardedWorkers | Refused:
-        """Read the state of the steward's workers."""
+        """Return the state of the steward's workers."""
         if steward.node == self._node:
             return await self._local.describe()
         return await self._call(
@@ -94,7 +95,7 @@
         )
 
     async def order(self, steward: Member, order: WorkerOrder) -> WorkerOrderDone | Refused:
-        """Have a model order carried out."""
+        """Send a model order to a steward and wait for its execution."""
         if steward.node == self._node:
             return await self._local.order(order)
         return await self._call(
@@ -118,5 +119,5 @@
     try:
         answer.ParseFromString(payload)
     except DecodeError:
-        return outcome_unknown(Reason.INTERNAL, "a steward sent an answer that cannot be read")
+        return outcome_unknown(Reason.INTERNAL, "the answer of a steward could not be decoded")
     return answer
--- a/src/foxwinch/workers/steward_desk.py
+++ b/src/foxwinch/workers/steward_desk.py
@@ -1,4 +1,4 @@
-"""What a steward answers to owners, operators and the node that decides on model orders."""
+"""Handlers of a steward for requests from owners, operators and the issuer of model orders."""
 
 from collections.abc import AsyncIterator, Callable
 
@@ -32,11 +32,11 @@
 from foxwinch.workers.steward_pools import StewardPools
 from foxwinch.workers.steward_programs import StewardPrograms
 
-UNREADABLE = not_run(Reason.INVALID_REQUEST, "the message cannot be read")
+UNREADABLE = not_run(Reason.INVALID_REQUEST, "the message could not be decoded")
 
 
 class StewardDesk:
-    """Implements `foxwinch.workers.steward_client.StewardEndpoint`."""
+    """Implementation of `foxwinch.workers.steward_client.StewardEndpoint`."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         grants: StewardGrants,
         state_of: Callable[[WorkerId], StewardState],
     ) -> None:
-        """Answer out of the pools; `state_of` tells what this node is to a worker."""
+        """Create the handlers; `state_of` returns the state of a worker on this node."""
         self._engine = engine
         self._clock = clock
         self._pools = pools
@@ -60,14 +60,14 @@
         self._orders_epoch = 0
 
     def serve(self, peers: PeerPort) -> None:
-        """Answer fellow nodes."""
+        """Register the handlers for requests of other nodes."""
         peers.handle_stream(ACQUIRE_METHOD, self._serve_acquire)
         peers.handle(REPORT_METHOD, self._serve_report)
         peers.handle(DESCRIBE_METHOD, self._serve_describe)
         peers.handle(ORDER_METHOD, self._serve_order)
 
     async def acquire(self, owner: NodeId, ask: GrantAsk) -> GrantGiven | Refused:
-        """Wait for a grant; cancelling withdraws the request."""
+        """Return a grant when it is issued; cancellation withdraws the request."""
         program_id = ProgramId(ask.program_id)
         self.programs.asked(owner, program_id, ask.sequence)
         answer = await self._grants.acquire(owner, ask)
@@ -76,7 +76,7 @@
         return answer
 
     async def report(self, owner: NodeId, report: GrantReport) -> GrantReportAnswer:
-        """Take a report in; every item is idempotent."""
+        """Process a report, whose items are idempotent."""
         answer = GrantReportAnswer()
         for settled in report.settled:
             self._grants.settle(owner, settled)
@@ -98,9 +98,9 @@
         return StewardedWorkers(workers=[self._status(worker) for worker in self._pools.held()])
 
     async def order(self, order: WorkerOrder) -> WorkerOrderDone | Refused:
-        """Carry out a model order under the worker's epoch, unless a newer orderer is known."""
+        """Execute a model order under the worker's epoch, unless its issuer has been replaced."""
         if order.orders_epoch < self._orders_epoch:
-            return not_run(Reason.FENCED, "a newer node decides on model orders")
+            return not_run(Reason.FENCED, "another node with a newer epoch issues model orders")
         self._orders_epoch = order.orders_epoch
         worker = WorkerId(order.worker)
         held = self._pools.held().get(worker)
--- a/src/foxwinch/workers/steward_directory.py
+++ b/src/foxwinch/workers/steward_directory.py
@@ -1,4 +1,4 @@
-"""Who serves which worker and how busy it is, from the digests that stewards gossip."""
+"""Directory of the stewards, their workers and their load, based on gossiped digests."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -13,20 +13,20 @@
 from foxwinch.membership.ports import GossipView, MembershipView
 
 WORKER_PREFIX = "worker/"
-"""Prefix of the epoch resources of workers."""
+"""Prefix of the resource names of workers."""
 PRESENT = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
-"""States in which a member may still hold workers and answer."""
+"""States in which a member may hold workers and answer requests."""
 ASSIGNABLE = (MemberState.ALIVE, MemberState.SUSPECT)
-"""States in which a member may be given workers; a suspected one may yet refute."""
+"""States in which workers may be assigned to a member, which may refute a suspicion."""
 
 
 def worker_resource(worker: str) -> str:
-    """Return the name under which a worker's epoch is kept."""
+    """Return the resource name of a worker, under which its epoch is stored."""
     return f"{WORKER_PREFIX}{worker}"
 
 
 def resource_worker(resource: str) -> WorkerId | None:
-    """Return the worker of an epoch resource, or None for another kind of resource."""
+    """Return the worker of a resource name, or None for another kind of resource."""
     if not resource.startswith(WORKER_PREFIX):
         return None
     return WorkerId(resource.removeprefix(WORKER_PREFIX))
@@ -34,40 +34,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ServingSteward:
-    """A steward that can grant calls of a model."""
+    """A steward that can grant calls for a model."""
 
     member: Member
     workers: int
-    """Its workers that serve the model and are not leaving."""
+    """Number of its workers that serve the model and are not leaving."""
     queued: int
     predicted_wait_seconds: float
     hot_prefixes: frozenset[int]
 
 
 class StewardDirectory:
-    """Queries over membership and the gossiped digests; holds only decoded copies."""
+    """Queries on membership and gossiped digests, whose decoded form is cached."""
 
     def __init__(self, membership: MembershipView, gossip: GossipView) -> None:
-        """Read from this node's views."""
         self._membership = membership
         self._gossip = gossip
         self._decoded: dict[str, tuple[int, StewardDigest]] = {}
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call `listener` at every change of members or digests."""
+        """Call `listener` after every change of members or digests."""
         self._membership.subscribe(lambda member: listener())
         self._gossip.subscribe(GossipKind.STEWARD, lambda entry: listener())
 
     def member(self, node: NodeId) -> Member | None:
-        """Return a member that may still answer."""
+        """Return a member that may answer requests, or None if there is none for `node`."""
         return self._present().get(node)
 
     def present(self) -> set[NodeId]:
-        """Return the members that may still answer."""
+        """Return the nodes of the members that may answer requests."""
         return set(self._present())
 
     def candidates(self) -> list[Candidate]:
-        """Return the members that may be given workers."""
+        """Return the members that are eligible as stewards."""
         draining = {member.node for member, digest in self._digests() if digest.draining}
         return [
             Candidate(member.node, member.zone, member.region)
@@ -76,7 +75,7 @@
         ]
 
     def holders(self) -> dict[str, Holder]:
-        """Return the holder of every resource, the highest epoch where several say they hold it."""
+        """Return the holder of every resource, which is the claimant with the highest epoch."""
         found: dict[str, Holder] = {}
         for member, digest in self._digests():
             for held in digest.held:
@@ -86,7 +85,7 @@
         return found
 
     def epochs(self) -> dict[str, Epoch]:
-        """Return the highest epoch heard of each resource, from nodes that are dead included."""
+        """Return the highest known epoch of each resource, including epochs of dead nodes."""
         found: dict[str, Epoch] = {}
         for key, entry in self._gossip.entries(GossipKind.STEWARD).items():
             for held in self._decode(key, entry).held:
@@ -94,7 +93,7 @@
         return found
 
     def steward_of(self, worker: WorkerId) -> NodeId | None:
-        """Return the node that holds a worker, handing it over included."""
+        """Return the node that holds a worker, even during a handover, or None if no node does."""
         holder = self.holders().get(worker_resource(worker))
         return None if holder is None else holder.node
 
@@ -119,11 +118,11 @@
         return found
 
     def stewards(self) -> set[NodeId]:
-        """Return the members that hold something."""
+        """Return the nodes that hold any resource."""
         return {member.node for member, digest in self._digests() if digest.held}
 
     def unheard(self) -> bool:
-        """Tell whether there is a live member whose digest has not arrived."""
+        """Return whether the digest of a live member of this region has not arrived yet."""
         entries = self._gossip.entries(GossipKind.STEWARD)
         this = self._membership.this_member()
         return any(
@@ -133,7 +132,7 @@
         )
 
     def queued(self) -> dict[ModelName, int]:
-        """Return the number of waiting calls of each model over all stewards."""
+        """Return the number of waiting calls of each model, summed over all stewards."""
         found: dict[ModelName, int] = {}
         for _, digest in self._digests():
             for queue in digest.queues:
@@ -146,7 +145,7 @@
         return {member.node: member for member in members if member.state in PRESENT}
 
     def _digests(self) -> Iterator[tuple[Member, StewardDigest]]:
-        """Yield the digest of every member that may still answer."""
+        """Yield the digest of every member that may answer requests."""
         present = self._present()
         entries = self._gossip.entries(GossipKind.STEWARD)
         for node in self._decoded.keys() - entries.keys():
--- a/src/foxwinch/workers/steward_facts.py
+++ b/src/foxwinch/workers/steward_facts.py
@@ -1,4 +1,4 @@
-"""The workers of a steward as operators see them, and their order to drain one."""
+"""Worker status and worker drains for operators."""
 
 from collections.abc import Sequence
 
@@ -14,15 +14,14 @@
 
 
 class StewardFacts:
-    """Implements `foxwinch.queries.facts.WorkerFacts`."""
+    """Implementation of `foxwinch.queries.facts.WorkerFacts`."""
 
     def __init__(self, node: NodeId, steward: StewardService) -> None:
-        """Report what `steward` holds."""
         self._node = node
         self._steward = steward
 
     def workers(self) -> Sequence[WorkerStatus]:
-        """Return a status for each worker that this node is steward of."""
+        """Return the status of each worker held by this node."""
         held = self._steward.pools.held()
         return [self._status(worker, entry) for worker, entry in held.items()]
 
@@ -44,15 +43,14 @@
 
 
 class GossipedDrains:
-    """Implements `foxwinch.commands.operator.WorkerDrains`."""
+    """Implementation of `foxwinch.commands.operator.WorkerDrains` by gossip."""
 
     def __init__(self, configuration: ConfigurationView, gossip: GossipView) -> None:
-        """Check against `configuration`, spread by `gossip`."""
         self._configuration = configuration
         self._gossip = gossip
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
-        """Give the worker no new work from any node of the region."""
+        """Stop all nodes of the region from sending new calls to the worker."""
         outcome = drain_worker(self._configuration, self._gossip, DrainWorker(worker))
         return outcome if isinstance(outcome, Refused) else Accepted()
 
--- a/src/foxwinch/workers/steward_grants.py
+++ b/src/foxwinch/workers/steward_grants.py
@@ -1,4 +1,4 @@
-"""The steward's side of grants: places calls, keeps leases, takes grants back."""
+"""Steward side of grants: places calls, maintains leases and ends grants."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,17 +25,17 @@
 from foxwinch.workers.worker_drains import WorkerDrains
 
 ASK_ELSEWHERE_SECONDS = 0.2
-"""When to look for another steward."""
+"""Retry delay before the request is sent to another steward."""
 LOWEST_RANK = 9
-"""Rank of a class that the configuration in force does not know (yet)."""
+"""Rank of a class that the active configuration does not contain."""
 FAILURES_REMEMBERED = 4_096
-"""Calls of which it is known where they failed; they are not sent there again."""
+"""Capacity of the LRU map of failed calls, which avoids the workers on which a call has failed."""
 
 log = EventLog("steward")
 
 
 class StewardGrants:
-    """Grants of the workers that this node holds."""
+    """Grants on the workers that this node holds."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         drains: WorkerDrains,
         on_fenced: Callable[[WorkerId, Epoch], None],
     ) -> None:
-        """Place calls in `pools`; `on_fenced` hears of a worker that refused an epoch as old."""
+        """Place calls in `pools`; `on_fenced` is called if a worker refuses an outdated epoch."""
         self._engine = engine
         self._clock = clock
         self._configuration = configuration
@@ -61,18 +61,18 @@
         self._failed_on: LRUCache[CallId, frozenset[WorkerId]] = LRUCache(FAILURES_REMEMBERED)
 
     async def acquire(self, owner: NodeId, ask: GrantAsk) -> GrantGiven | Refused:
-        """Wait for a grant; cancelling withdraws the request."""
+        """Return a grant when it is issued; cancellation withdraws the request."""
         call = self._call_of(ask, self._clock.monotonic())
         self._end_earlier(call.call_id)
         found = self._pools.serving(call.model, call.class_rank)
         if found is None:
-            detail = f"no worker of model {call.model} is served here"
+            detail = f"this steward has no worker for model {call.model}"
             return not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS)
         name, pool = found
         if call.excluded_workers and not pool.serves(call.model, call.excluded_workers):
-            # Whoever comes back has found no better worker and may have these once more.
+            # If the call returns, no other steward could run it, so these workers are tried again.
             self._failed_on.pop(call.call_id, None)
-            detail = "every worker that this steward has for the call has failed it"
+            detail = "the call has failed on every suitable worker of this steward"
             return not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS)
         try:
             async with asyncio.timeout(ask.remaining_seconds):
@@ -85,7 +85,7 @@
         return self._give(owner, ask, answer, pool, name)
 
     def settle(self, owner: NodeId, settled: SettledCall) -> None:
-        """Take a grant back with what was used; unknown ones are ignored."""
+        """End a grant and apply its usage; an unknown grant is ignored."""
         usage = usage_of(settled)
         record = self._ledger.end(owner, usage.call_id, settled.sequence)
         if record is None:
@@ -108,21 +108,21 @@
             pool.handle(finished)
 
     def withdraw(self, owner: NodeId, call_id: CallId, sequence: int) -> None:
-        """Take back a grant that crossed the withdrawal of its request."""
+        """End a grant that was issued while its request was withdrawn."""
         record = self._ledger.end(owner, call_id, sequence)
         if record is not None:
             self._fail(record, not_run=True)
             self._cancel(record)
 
     def confirm(self, owner: NodeId, call_id: CallId, sequence: int, worker: WorkerId) -> bool:
-        """Extend a lease; False when the worker is not held here."""
+        """Renew a lease, and return False if the worker is not held by this node."""
         if worker not in self._pools.held():
             return False
         self._ledger.confirm(owner, call_id, sequence, worker, self._clock.monotonic())
         return True
 
     def expire(self, is_present: Callable[[NodeId], bool]) -> int:
-        """End the grants of dead owners and those without confirmation; returns how many."""
+        """End the grants of dead owners and the unconfirmed grants, and return their number."""
         expired = self._ledger.expire(is_present, self._clock.monotonic())
         for record in expired:
             log.info("grant_expired", call=record.call_id, worker=record.worker, node=record.owner)
@@ -131,11 +131,11 @@
         return len(expired)
 
     def hot_prefixes(self) -> list[int]:
-        """Return the prefixes that several calls have shared here."""
+        """Return the prefixes that several calls have shared on this node."""
         return self._hot.top()
 
     def is_running(self, worker: WorkerId, program_id: ProgramId) -> bool:
-        """Tell whether a call of a program has a grant of a worker."""
+        """Return whether a call of a program has a grant on a worker."""
         return any(record.program_id == program_id for record in self._ledger.on_worker(worker))
 
     def _give(
@@ -145,7 +145,7 @@
         call_id, program_id = CallId(ask.call_id), ProgramId(ask.program_id)
         if held is None:
             pool.withdraw(call_id)
-            detail = f"worker {dispatch.worker} has another steward now"
+            detail = f"worker {dispatch.worker} is no longer held by this steward"
             return not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS)
         self._hot.use(tuple(ask.prefix_hashes))
         record = GrantRecord(
@@ -166,7 +166,7 @@
         )
 
     def _end_earlier(self, call_id: CallId) -> None:
-        """A call that is asked for again has given up its earlier grant and its cancelling."""
+        """End the previous grant and pending cancellation of a call that is requested again."""
         record = self._ledger.supersede(call_id)
         if record is not None:
             self._fail(record, not_run=False)
--- a/src/foxwinch/workers/steward_messages.py
+++ b/src/foxwinch/workers/steward_messages.py
@@ -1,4 +1,4 @@
-"""Conversion between the grants of the node's interfaces and their protobuf messages."""
+"""Conversion between grants and their protobuf messages."""
 
 from foxwinch._generated.steward_pb2 import GrantAsk, GrantGiven, SettledCall
 from foxwinch.identifiers import (
@@ -21,7 +21,7 @@
 def ask_message(
     request: GrantRequest, now: float, waited_seconds: float, sequence: int
 ) -> GrantAsk:
-    """Return the message that asks for a grant; the deadline goes as a remainder."""
+    """Return the message for a grant request, with the deadline as remaining time."""
     return GrantAsk(
         call_id=request.call_id,
         program_id=request.program_id,
@@ -40,7 +40,7 @@
 
 
 def request_of(ask: GrantAsk, now: float) -> GrantRequest:
-    """Return the request that a message stands for, its deadline on this node's clock."""
+    """Return the request of a message, with the deadline on the clock of this node."""
     return GrantRequest(
         call_id=CallId(ask.call_id),
         program_id=ProgramId(ask.program_id),
@@ -57,7 +57,7 @@
 
 
 def grant_of(given: GrantGiven, waited_seconds: float) -> Grant:
-    """Return the grant; `waited_seconds` is the owner's own measure of the wait."""
+    """Return the grant of a message; `waited_seconds` is the wait measured by the owner."""
     return Grant(
         call_id=CallId(given.call_id),
         worker=WorkerId(given.worker),
@@ -71,7 +71,7 @@
 
 
 def settled_message(grant: Grant, usage: GrantUsage, sequence: int) -> SettledCall:
-    """Return the message that gives a grant back."""
+    """Return the message that ends a grant."""
     return SettledCall(
         call_id=grant.call_id,
         worker=grant.worker,
@@ -86,7 +86,7 @@
 
 
 def usage_of(settled: SettledCall) -> GrantUsage:
-    """Return the usage that a message stands for."""
+    """Return the usage reported by a message."""
     return GrantUsage(
         call_id=CallId(settled.call_id),
         prompt_tokens=settled.prompt_tokens,
--- a/src/foxwinch/workers/steward_metrics.py
+++ b/src/foxwinch/workers/steward_metrics.py
@@ -10,41 +10,40 @@
 
 
 class StewardMetrics:
-    """Counts of one node; label values come from the configuration only."""
+    """Metrics of one node, whose label values come from the configuration only."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
-        """Register the metrics."""
         self._held = Gauge(
             "foxwinch_steward_held_resources",
-            "Workers and other resources that this node holds",
+            "Workers and other resources held by this node",
             registry=registry,
         )
         self._granted = Gauge(
-            "foxwinch_steward_grants", "Grants given and not yet over", registry=registry
+            "foxwinch_steward_grants", "Active grants issued by this node", registry=registry
         )
         self._expired = Counter(
             "foxwinch_steward_grants_expired_total",
-            "Grants ended without their owner: dead, or silent beyond the lease",
+            "Grants that expired because their owner was dead or did not confirm them",
             registry=registry,
         )
         self._queued = Gauge(
             "foxwinch_steward_queued_calls",
-            "Calls waiting for a place",
+            "Calls waiting for a slot",
             ["pool"],
             registry=registry,
         )
         self._leaving = Gauge(
             "foxwinch_steward_leaving_workers",
-            "Held workers that get no new work",
+            "Held workers that get no new calls",
             registry=registry,
         )
 
     def expired(self, count: int) -> None:
-        """Count grants that have just expired."""
+        """Count expired grants."""
         self._expired.inc(count)
 
     def observe(self, held: Mapping[str, Epoch], ledger: GrantLedger, pools: StewardPools) -> None:
-        """Set the gauges."""
+        """Update the gauges."""
         self._held.set(len(held))
         self._granted.set(len(ledger))
         self._leaving.set(sum(worker.leaving for worker in pools.held().values()))
--- a/src/foxwinch/workers/steward_pools.py
+++ b/src/foxwinch/workers/steward_pools.py
@@ -1,4 +1,4 @@
-"""The workers that a steward holds: their links, their pools' schedulers and their epochs."""
+"""Workers held by a steward, with their links, epochs and pool schedulers."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -19,13 +19,13 @@
 from foxwinch.workers.worker_link import WorkerLink, WorkerLinkEvents
 
 SLOTS_PER_WORKER = 16
-"""Calls dispatched to one engine at a time: the batch of the engines in use. More would wait
-inside the engine, where their order cannot be changed any more."""
+"""Maximum number of concurrent calls per engine, which is the batch size of the engines in use.
+Further calls would queue inside the engine, where they cannot be reordered."""
 
 
 @dataclass(slots=True)
 class HeldWorker:
-    """One worker under this node's epoch."""
+    """A worker held under an epoch of this node."""
 
     settings: WorkerSettings
     epoch: Epoch
@@ -33,12 +33,12 @@
     on_ready: Callable[[], None]
     releasing: bool = False
     leaving: bool = False
-    """By any source; kept to tell when it begins."""
+    """Whether any source reports the worker as leaving; kept to detect the transition."""
     ready: bool = False
 
 
 class StewardPools:
-    """Holds workers; told by the steward service which."""
+    """Workers held by this node, as directed by the steward service, and their pools."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         drains: WorkerDrains,
         on_leaving: Callable[[WorkerId], None],
     ) -> None:
-        """`on_leaving` is called when a held worker begins to leave."""
+        """Create the pools; `on_leaving` is called when a held worker starts leaving."""
         self._engine = engine
         self._clock = clock
         self._ledger = ledger
@@ -63,7 +63,7 @@
         self._stopping: set[asyncio.Task[None]] = set()
 
     def configure(self, document: ClusterConfiguration) -> None:
-        """Take the engine workers and the policy of a configuration."""
+        """Apply the engine workers and the policy of a configuration."""
         engines = {pool.name for pool in document.pools if pool.kind == "engine"}
         self._settings = {WorkerId(w.name): w for w in document.workers if w.pool in engines}
         policy = policy_for(document.objective)
@@ -79,36 +79,36 @@
         return self._settings
 
     def held(self) -> dict[WorkerId, HeldWorker]:
-        """Return the workers under this node's epochs."""
+        """Return the workers held under epochs of this node."""
         return self._held
 
     def pool(self, worker: WorkerId) -> PoolDriver | None:
-        """Return the pool of a held worker."""
+        """Return the pool of a held worker, or None if the worker is not held."""
         held = self._held.get(worker)
         return None if held is None else self._pools.get(held.settings.pool)
 
     def pool_named(self, name: str) -> PoolDriver | None:
-        """Return a pool that has had a worker here."""
+        """Return a pool that has had a worker on this node, or None."""
         return self._pools.get(name)
 
     def pools(self) -> Iterator[tuple[str, PoolDriver]]:
-        """Yield every pool by name."""
+        """Yield the name and driver of every pool."""
         yield from self._pools.items()
 
     def serving(self, model: ModelName, class_rank: int) -> tuple[str, PoolDriver] | None:
-        """Return the pool with the shortest wait that serves a model here."""
+        """Return the pool with the shortest predicted wait for a model, or None without a pool."""
         fitting = [(name, pool) for name, pool in self._pools.items() if pool.serves(model)]
         return min(
             fitting, key=lambda item: item[1].predicted_wait_seconds(class_rank), default=None
         )
 
     def models(self) -> set[ModelName]:
-        """Return the models that ready workers here have loaded."""
+        """Return the models loaded on ready workers of this node."""
         reports = (held.link.report for held in self._held.values() if held.ready)
         return {model for report in reports if report is not None for model in report.models}
 
     def hold(self, worker: WorkerId, epoch: Epoch, on_ready: Callable[[], None]) -> None:
-        """Begin to read a worker under a new epoch; `on_ready` follows its first report."""
+        """Start polling a worker under a new epoch; `on_ready` is called on its first report."""
         self.let_go(worker)
         settings = self._settings.get(worker)
         if settings is None:
@@ -123,14 +123,14 @@
         link.start()
 
     def release(self, worker: WorkerId) -> None:
-        """Give no new grants of a worker that is handed over."""
+        """Stop issuing grants on a worker that is being handed over."""
         held = self._held.get(worker)
         if held is not None:
             held.releasing = True
             self.refresh(worker)
 
     def let_go(self, worker: WorkerId) -> None:
-        """Forget a worker: it is another steward's, or nobody's."""
+        """Drop a worker that is no longer held by this node."""
         held = self._held.pop(worker, None)
         if held is None:
             return
@@ -143,12 +143,12 @@
         task.add_done_callback(self._stopping.discard)
 
     def refresh_all(self) -> None:
-        """Look at every worker again: a source of leaving or the foreign calls have changed."""
+        """Refresh every worker after a possible change of its drains or foreign calls."""
         for worker in list(self._held):
             self.refresh(worker)
 
     def refresh(self, worker: WorkerId) -> None:
-        """Tell the pool what is now known of a worker."""
+        """Update the pool with the current state of a worker."""
         held = self._held.get(worker)
         if held is None or held.link.report is None or not held.ready:
             return
@@ -160,12 +160,12 @@
             self._on_leaving(worker)
 
     def tick(self) -> None:
-        """Let the pools see that time has passed."""
+        """Send a timer tick to all pools."""
         for pool in self._pools.values():
             pool.handle(TimePassed())
 
     async def stop(self) -> None:
-        """Let go of everything."""
+        """Drop all workers and stop the pools."""
         for worker in list(self._held):
             self.let_go(worker)
         for pool in self._pools.values():
@@ -201,7 +201,7 @@
             pool.handle(event)
 
     def _gone(self, worker: WorkerId) -> None:
-        """The worker cannot be reached: its places are void until it reports again."""
+        """Remove an unreachable worker and its grants from the pool until it reports again."""
         held = self._held.get(worker)
         if held is not None:
             held.ready = False
--- a/src/foxwinch/workers/steward_programs.py
+++ b/src/foxwinch/workers/steward_programs.py
@@ -1,4 +1,4 @@
-"""What a steward does for programs between and after their calls: pauses and releases."""
+"""Program state on a steward between and after calls: pauses and cache releases."""
 
 from cachetools import LRUCache
 
@@ -9,15 +9,14 @@
 from foxwinch.workers.steward_pools import StewardPools
 
 PROGRAMS_REMEMBERED = 8_192
-"""Programs whose last ask is known, and releases whose end is known. An older pause is taken as
-it comes; an older release is simply done again."""
+"""Capacity of the LRU maps of programs and of completed releases. After an eviction a pause is
+accepted without a check for newer requests, and a release is repeated."""
 
 
 class StewardPrograms:
-    """Programs as seen from the workers that this node holds."""
+    """Programs that use the workers held by this node."""
 
     def __init__(self, pools: StewardPools, grants: StewardGrants) -> None:
-        """Start knowing no program."""
         self._pools = pools
         self._grants = grants
         self._last_ask: LRUCache[ProgramId, tuple[NodeId, int]] = LRUCache(PROGRAMS_REMEMBERED)
@@ -25,20 +24,20 @@
         self._released: LRUCache[tuple[ProgramId, WorkerId], None] = LRUCache(PROGRAMS_REMEMBERED)
 
     def asked(self, owner: NodeId, program_id: ProgramId, sequence: int) -> None:
-        """Take in that the program has a new call."""
+        """Record the latest request of a program."""
         self._last_ask[program_id] = (owner, sequence)
 
     def granted(self, program_id: ProgramId, worker: WorkerId) -> None:
-        """Take in where the program runs."""
+        """Record the worker of the program's latest grant."""
         self._last_worker[program_id] = worker
 
     def latest_on(self, worker: WorkerId) -> list[ProgramId]:
-        """Return the programs that ran on a worker last, the most recent first."""
+        """Return the programs whose last worker is `worker`, most recent first."""
         found = [program for program, last in self._last_worker.items() if last == worker]
         return found[::-1]
 
     def pause(self, owner: NodeId, paused: PausedProgram) -> None:
-        """Take in a tool call, unless the program has gone on since."""
+        """Pause a program for a tool call, unless it has made a newer request."""
         program_id = ProgramId(paused.program_id)
         asker, sequence = self._last_ask.get(program_id, (owner, 0))
         if asker != owner or sequence > paused.sequence:
@@ -47,17 +46,17 @@
             pool.handle(ProgramPaused(program_id, ToolName(paused.tool)))
 
     def finish(self, finished: FinishedProgram) -> bool:
-        """Release a program's memory; True once none is held at the named workers."""
+        """Release a program's cache, and return True once all named workers have done so."""
         program_id = ProgramId(finished.program_id)
         self._last_worker.pop(program_id, None)
         self._last_ask.pop(program_id, None)
-        for _, pool in self._pools.pools():  # also one that has seen only its sub-agents
+        for _, pool in self._pools.pools():  # Some pools know only sub-agents of the program.
             pool.handle(ProgramEnded(program_id))
         released = [self._release(WorkerId(w), program_id) for w in finished.workers]
         return all(released)
 
     def _release(self, worker: WorkerId, program_id: ProgramId) -> bool:
-        """Have the worker release the program, once its calls are over; True when it has."""
+        """Request a release after the program's calls have ended; return True if it is complete."""
         key = (program_id, worker)
         pool = self._pools.pool(worker)
         if pool is None:
--- a/src/foxwinch/workers/steward_service.py
+++ b/src/foxwinch/workers/steward_service.py
@@ -1,4 +1,4 @@
-"""The steward of a node: claims workers, reads them, gives grants, and hands them over."""
+"""Steward of a node, which claims and polls workers, issues grants and hands workers over."""
 
 import asyncio
 from dataclasses import dataclass
@@ -41,20 +41,21 @@
 from foxwinch.workers.worker_drains import WorkerDrains
 
 TICK_SECONDS = 0.25
-"""Period of looking at members, leases and waiting calls when nothing wakes the service."""
+"""Maximum interval between checks of members, leases and waiting calls."""
 HANDOVER_SECONDS = 5.0
-"""For word of the next steward's claim, which comes by gossip and may stand behind much else."""
+"""Time to wait for the claim of the next steward, which arrives by gossip and may be queued."""
 DIGEST_SECONDS = 2.0
 DIGEST_SECONDS_PER_MEMBER = 0.3
-"""While only queue lengths change a digest is spread at most once in the longer of these, the
-latter times the members: with more the gossip budget would be spent on them."""
+"""If only queue lengths change, a digest is published at most once per `DIGEST_SECONDS` or per this
+time multiplied by the number of members, whichever is longer. More frequent digests would use up
+the gossip budget."""
 
 log = EventLog("steward")
 
 
 @dataclass(frozen=True, slots=True)
 class StewardPorts:
-    """What the steward needs of its node."""
+    """Dependencies of a steward on its node."""
 
     node: NodeId
     clock: Clock
@@ -69,10 +70,9 @@
 
 
 class StewardService:
-    """Runs the assignment of this node; `desk` answers owners."""
+    """Service that runs the worker assignment of this node; `desk` handles requests of owners."""
 
     def __init__(self, ports: StewardPorts, directory: StewardDirectory) -> None:
-        """Build the parts; nothing runs before `start`."""
         self._ports = ports
         self._directory = directory
         self._ledger = GrantLedger()
@@ -113,17 +113,17 @@
         self._digest_at = float("-inf")
 
     def state_of(self, worker: WorkerId) -> StewardState:
-        """Return what this node is to a worker."""
+        """Return the state of a worker on this node."""
         if self._assignment is None:
             return StewardState.UNASSIGNED
         return self._assignment.state(worker_resource(worker))
 
     def hold_also(self, resource: Resource) -> None:
-        """Assign a further resource that is not a worker among the nodes."""
+        """Add a resource other than a worker to the assignment."""
         self._extra = (*self._extra, resource)
 
     def epoch_of(self, resource: str) -> Epoch | None:
-        """Return the epoch of a resource that this node serves, or None."""
+        """Return the epoch of a resource, or None if this node is not serving it."""
         if self._assignment is None or self._draining:
             return None
         if self._assignment.state(resource) is not StewardState.SERVING:
@@ -131,7 +131,7 @@
         return self._assignment.held().get(resource)
 
     async def start(self) -> None:
-        """Serve fellow nodes and begin to claim."""
+        """Start handling requests and claiming workers."""
         member = self._ports.membership.this_member()
         self._assignment = StewardAssignment(self._ports.node, member.region, self._began_at())
         self._ports.configuration.subscribe(self._configured)
@@ -145,7 +145,7 @@
         self._tasks.keep(self._run())
 
     async def stop(self) -> None:
-        """Stop everything; the epochs stay until another node raises them."""
+        """Stop all parts; the epochs stay valid until another node raises them."""
         await self._tasks.stop()
         await self._drains.stop()
         await self._evacuation.stop()
@@ -153,10 +153,10 @@
         await self._retries.stop()
 
     async def drain(self) -> None:
-        """Release every worker; returns when others hold them, or after a bound.
+        """Release every worker and wait for other nodes to claim them, with a timeout.
 
-        A worker that nobody is known to have claimed by then is claimed once this node has left:
-        by then nothing is granted here any more, and calls that run on the worker run on.
+        A worker without a known claim at the timeout is claimed after this node has left. This node
+        issues no more grants for it, and calls running on the worker continue.
         """
         assert self._assignment is not None
         self._draining = True
@@ -167,12 +167,12 @@
             await self._ports.clock.sleep(TICK_SECONDS)
 
     def _began_at(self) -> float:
-        """A node without fellow nodes has nobody to hear of before it claims."""
+        """Return the start time for the claim delay, which a single-node deployment skips."""
         if self._ports.peers is None:
             return float("-inf")
         return self._ports.clock.monotonic()
 
-    # --- the loop ----------------------------------------------------------------------------
+    # --- main loop ---------------------------------------------------------------------------
 
     async def _run(self) -> None:
         while True:
@@ -248,14 +248,14 @@
         self.pools.hold(worker, action.epoch, ready)
 
     def _fenced(self, worker: WorkerId, epoch: Epoch) -> None:
-        """A worker has refused an epoch of this node: somebody holds a higher one."""
+        """Drop a worker that refused an epoch of this node because a higher one exists."""
         assignment = cast(StewardAssignment, self._assignment)
         for action in assignment.fenced(worker_resource(worker), Epoch(epoch + 1)):
             self._carry_out(action)
         self._wake.set()
 
     def _finish_handovers(self, assignment: StewardAssignment) -> None:
-        """End a handover that no other node will take up, once its grants are over."""
+        """Complete handovers without a possible successor after their grants have ended."""
         alone = not any(c.node != self._ports.node for c in self._directory.candidates())
         for resource, epoch in assignment.held().items():
             if assignment.state(resource) is not StewardState.RELEASING:
@@ -274,7 +274,7 @@
         self.pools.let_go(worker)
 
     def _evacuate(self, worker: WorkerId) -> None:
-        """Move useful cache off a worker that begins to leave, to its pool's other workers."""
+        """Copy useful cache from a leaving worker to the other workers of its pool."""
         held = self.pools.held()
         pool_name = held[worker].settings.pool
         targets = [
@@ -288,10 +288,10 @@
         log.info("worker_leaving", worker=worker, targets=len(targets))
         self._evacuation.begin(worker, targets, self.desk.programs.latest_on(worker))
 
-    # --- the digest --------------------------------------------------------------------------
+    # --- digest ------------------------------------------------------------------------------
 
     def _publish(self, assignment: StewardAssignment, now: float) -> None:
-        """Spread what has changed: who holds what at once, queue lengths at a slower pace."""
+        """Publish a changed digest, immediately for held resources and rate-limited otherwise."""
         digest = StewardDigest(draining=self._draining, held=self._held_resources(assignment))
         held_part = digest.SerializeToString(deterministic=True)
         digest.queues.extend(self._queues())
--- a/src/foxwinch/workers/waiting.py
+++ b/src/foxwinch/workers/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for an event or a time, on the node's own clock."""
+"""Waiting for an event with a timeout on the clock of the node."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 async def wait_for_event(clock: Clock, event: asyncio.Event, seconds: float) -> bool:
-    """Wait until `event` is set or `seconds` have passed; True when it was set."""
+    """Wait until `event` is set or `seconds` have passed, and return whether it is set."""
     loop = asyncio.get_running_loop()
     sleeping = loop.create_task(clock.sleep(seconds))
     waiting = loop.create_task(event.wait())
--- a/src/foxwinch/workers/worker_directory.py
+++ b/src/foxwinch/workers/worker_directory.py
@@ -1,4 +1,4 @@
-"""Base URLs of the workers, as the configuration in force names them."""
+"""Base URLs of the workers in the active configuration."""
 
 from foxwinch.configuration.ports import ConfigurationSnapshot, ConfigurationView
 from foxwinch.identifiers import ToolName, WorkerId
@@ -6,26 +6,25 @@
 
 
 class WorkerDirectory:
-    """Finds a worker's base URL; empty until it follows a configuration."""
+    """Base URLs by worker and by tool, empty until `follow` is called."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._urls: dict[str, str] = {}
         self._tool_urls: dict[str, tuple[str, ...]] = {}
 
     def follow(self, configuration: ConfigurationView) -> None:
-        """Take the workers of every configuration that comes into force."""
+        """Apply the workers of the current and every later configuration."""
         configuration.subscribe(self._take)
         snapshot = configuration.current()
         if not isinstance(snapshot, Refused):
             self._take(snapshot)
 
     def url_of(self, worker: WorkerId) -> str | None:
-        """Return the base URL, or None for an unknown worker."""
+        """Return the base URL of a worker, or None if it is unknown."""
         return self._urls.get(worker)
 
     def urls_of_tool(self, tool: ToolName) -> tuple[str, ...]:
-        """Return the base URLs of the workers that serve a tool; none for an unknown tool."""
+        """Return the base URLs of the workers that serve a tool, empty for an unknown tool."""
         return self._tool_urls.get(tool, ())
 
     def _take(self, snapshot: ConfigurationSnapshot) -> None:
--- a/src/foxwinch/workers/worker_drains.py
+++ b/src/foxwinch/workers/worker_drains.py
@@ -1,4 +1,4 @@
-"""Workers that are leaving, from every source: operators, the machine list, reports, refusals."""
+"""Workers to which no new calls are sent, by operators, the machine list or refusals."""
 
 from collections.abc import Callable
 
@@ -16,17 +16,19 @@
 from foxwinch.workers.steward_directory import worker_resource
 
 LIST_SECONDS = 1.0
-"""Period of reading the machine list: a leaving worker gets no new work within 3 s of it."""
+"""Polling period of the machine list; a leaving worker gets no new calls within 3 s."""
 REFUSALS_NEEDED = 2
-"""Refusals of different programs without a run in between; one alone may be about the call."""
+"""Consecutive refusals of different programs that pause a worker, because a single one may be
+specific to the call."""
 REFUSAL_PAUSE_SECONDS = 3.0
-"""A worker that refuses gets nothing for so long, unless its reports say more meanwhile."""
+"""Time for which a worker that refuses calls gets no new ones, in which its load reports may state
+that it is leaving."""
 
 log = EventLog("worker")
 
 
 class WorkerDrains:
-    """Knows which workers get no new work, and why."""
+    """Tracks the workers that get no new calls, and the reasons."""
 
     def __init__(
         self,
@@ -35,7 +37,11 @@
         clock: Clock,
         on_change: Callable[[], None],
     ) -> None:
-        """`on_change` is called when a source has changed; `machines` is None without a list."""
+        """Create the tracker.
+
+        `on_change` is called after a change in any source. `machines` is None without a machine
+        list.
+        """
         self._gossip = gossip
         self._machines = machines
         self._clock = clock
@@ -46,18 +52,18 @@
         self._tasks = ServiceTasks("worker_drains")
 
     def start(self) -> None:
-        """Start reading the machine list."""
+        """Start polling the machine list."""
         self._gossip.subscribe(GossipKind.LEAVING, lambda entry: self._on_change())
         if self._machines is not None:
             reading = self._read_for_ever(self._machines)
             self._tasks.keep(reading)
 
     async def stop(self) -> None:
-        """Stop reading."""
+        """Stop polling."""
         await self._tasks.stop()
 
     def reason(self, worker: WorkerId) -> str | None:
-        """Return why a worker gets no new work, or None; its own report is not among these."""
+        """Return why a worker gets no new calls, or None; load reports are not considered."""
         if self._ordered(worker):
             return "operator"
         if worker in self._listed:
@@ -67,7 +73,7 @@
         return None
 
     def refused(self, worker: WorkerId, program_id: ProgramId) -> None:
-        """Take in that the worker refused a program's call without running it."""
+        """Record that the worker refused a program's call without running it."""
         programs = self._refusing.setdefault(worker, set())
         programs.add(program_id)
         if len(programs) >= REFUSALS_NEEDED:
@@ -77,7 +83,7 @@
             self._on_change()
 
     def ran(self, worker: WorkerId) -> None:
-        """Take in that the worker ran a call."""
+        """Record that the worker has run a call."""
         self._refusing.pop(worker, None)
 
     def _ordered(self, worker: WorkerId) -> bool:
@@ -106,7 +112,7 @@
 
 
 def drain_entry(gossip: GossipView, worker: WorkerId, draining: bool) -> GossipEntry:
-    """Return the entry that drains a worker or takes it back, above every version heard of."""
+    """Return an entry that starts or ends a worker drain, with a version above the known one."""
     key = worker_resource(worker)
     known = gossip.entries(GossipKind.LEAVING).get(key)
     version = 1 if known is None else known.version + 1
--- a/src/foxwinch/workers/worker_link.py
+++ b/src/foxwinch/workers/worker_link.py
@@ -1,4 +1,4 @@
-"""What a steward reads from one worker: its lagging load and its late, gapped cache events."""
+"""Polling of one worker by its steward: load reports and cache events."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,24 +14,24 @@
 from foxwinch.workers.waiting import wait_for_event
 
 POLL_SECONDS = 1.0
-"""Period of reading load and cache events: an engine's report lags by about as much, and a
-worker that says it is leaving must be heard within 3 s."""
+"""Polling period for load and cache events. Engine reports lag by about as much, and a worker that
+reports leaving must be detected within 3 s."""
 ANSWER_SECONDS = 1.0
-"""A poll without an answer for so long has failed."""
+"""Timeout of a poll."""
 GONE_SECONDS = 4.0
-"""Without an answer for so long a worker counts as gone: its places are void."""
+"""Time without an answer after which a worker counts as unreachable and its slots are dropped."""
 
 log = EventLog("worker")
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerLinkEvents:
-    """What the steward is told."""
+    """Callbacks of a worker link."""
 
     reported: Callable[[WorkerId, LoadReport], None]
     cache_changed: Callable[[CacheChanged], None]
     gone: Callable[[WorkerId], None]
-    """Not reachable for too long; `reported` follows when it is back."""
+    """Called when the worker is unreachable; `reported` follows when it is reachable again."""
 
 
 class WorkerLink:
@@ -40,7 +40,6 @@
     def __init__(
         self, worker: WorkerId, engine: EnginePort, clock: Clock, events: WorkerLinkEvents
     ) -> None:
-        """Start nothing yet."""
         self.worker = worker
         self.report: LoadReport | None = None
         self.reported_at: float | None = None
@@ -56,11 +55,11 @@
         self._tasks.keep(self._poll_for_ever())
 
     def poll_now(self) -> None:
-        """Read without waiting for the period: the worker has refused something."""
+        """Poll immediately, for example after the worker has refused a call."""
         self._wake.set()
 
     def resync_cache(self) -> None:
-        """Read the whole list of cached blocks with the next poll."""
+        """Read the complete list of cached blocks in an immediate poll."""
         self._cache_sequence = 0
         self._wake.set()
 
@@ -92,7 +91,9 @@
             async with asyncio.timeout(ANSWER_SECONDS):
                 return await self._engine.load(self.worker)
         except TimeoutError:
-            return outcome_unknown(Reason.BACKEND_UNAVAILABLE, "the worker did not answer in time")
+            return outcome_unknown(
+                Reason.BACKEND_UNAVAILABLE, "the worker did not answer the load request in time"
+            )
 
     async def _read_cache(self) -> None:
         after = self._cache_sequence
--- a/tests/idle_engine.py
+++ b/tests/idle_engine.py
@@ -1,10 +1,10 @@
-"""What a fake engine needs for a steward to hold it: an idle load, and every order done."""
+"""Fake engine with no load that accepts every order, so that a steward can hold it."""
 
 from foxwinch.backends.ports import CacheEventPage, Done, LoadReport
 
 
 class IdleEngine:
-    """Base of fake engines; `generate` is the subclass's."""
+    """Base class of fake engines, whose subclasses implement `generate`."""
 
     models = ("rail-chat",)
 
--- a/tests/steward_cluster.py
+++ b/tests/steward_cluster.py
@@ -1,4 +1,4 @@
-"""Stewards and owners of several nodes on virtual time, over stand-in engines and a network."""
+"""Test cluster of stewards and owners on virtual time, with fake engines and a memory network."""
 
 import asyncio
 from pathlib import Path
@@ -31,14 +31,14 @@
 
 
 def document(workers):
-    """The example with its first so many engine workers."""
+    """Return the example configuration with only its first `workers` engine workers."""
     whole = check(ClusterConfiguration, read_toml(CLEDWYN), str(CLEDWYN))
     engines = [w for w in whole.workers if w.pool == "llm-pool"][:workers]
     return whole.model_copy(update={"workers": tuple(engines)})
 
 
 class Views:
-    """Membership and gossip of one node; what it hears while paused arrives afterwards."""
+    """Membership and gossip of one node, which receives gossip sent during a pause afterwards."""
 
     def __init__(self, cluster, member):
         self.cluster, self.member = cluster, member
@@ -77,7 +77,7 @@
 
 
 class Node:
-    """One node's steward and owner sides."""
+    """Steward and owner services of one node."""
 
     def __init__(self, cluster, number, address):
         name = f"n{number}"
@@ -127,7 +127,7 @@
 
 
 class StewardCluster:
-    """Nodes n0, n1, ... over the engine workers of the example."""
+    """Cluster of nodes n0, n1, ... with the engine workers of the example configuration."""
 
     def __init__(self, nodes=3, workers=4, empty=()):
         self.document = document(workers)
@@ -167,7 +167,7 @@
             engine.stop()
 
     def serving(self):
-        """The node that serves each worker."""
+        """Return the serving node of each worker."""
         return {
             worker: node.name
             for node in self.nodes.values()
@@ -176,7 +176,7 @@
         }
 
     async def kill(self, name):
-        """End a node as kill -9 does; the others find it dead two seconds later."""
+        """Kill a node as by `kill -9`; the others detect its death two seconds later."""
         node = self.nodes.pop(name)
         self.network.kill(node.address)
         await node.stop()
@@ -197,12 +197,12 @@
             node.views.arrive(entry)
 
     def held_memory(self):
-        """Programs of which some engine still holds cache."""
+        """Return the programs with cache on any engine."""
         return {p for engine in self.engines.values() for p in engine._prefixes}
 
 
 async def until(condition, seconds=60.0):
-    """Wait on virtual time until a condition holds."""
+    """Wait until a condition holds, for at most `seconds` of virtual time."""
     deadline = asyncio.get_running_loop().time() + seconds
     while not condition():
         assert asyncio.get_running_loop().time() < deadline, "condition not met in time"
@@ -225,7 +225,7 @@
 
 
 async def run_call(cluster, node, call, program="p1"):
-    """Acquire, stream, settle; returns the grant and the last event."""
+    """Run a call to completion, and return its grant and last event."""
     grant = await node.grants.acquire(request(call, program))
     order = GenerateOrder(
         call, program, MODEL, (Message("user", program * 200),), 16, grant.priority, grant.epoch
--- a/tests/test_cache_evacuation.py
+++ b/tests/test_cache_evacuation.py
@@ -1,4 +1,4 @@
-"""Useful cache is moved off a worker that leaves."""
+"""Tests that useful cache is copied from a leaving worker."""
 
 import asyncio
 
--- a/tests/test_engine_retries.py
+++ b/tests/test_engine_retries.py
@@ -1,4 +1,4 @@
-"""A matter that is asked for twice is carried out once, and both who asked are told."""
+"""Tests that operations submitted twice run once and notify both submitters."""
 
 import pytest
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Model orders: goals are reached, minima and the weight store's rate are kept on the way."""
+"""Tests that model orders reach the goal state within worker minimums and the load rate."""
 
 from dataclasses import replace
 
@@ -84,7 +84,7 @@
 
 
 def apply(actual, order):
-    """The worker after it has carried out an order."""
+    """Return the state of a worker after it has executed an order."""
     if order.kind is OrderKind.LOAD:
         return replace(
             actual,
--- a/tests/test_orders_service.py
+++ b/tests/test_orders_service.py
@@ -1,4 +1,4 @@
-"""Orders reach the workers through their stewards, also when the deciding node dies."""
+"""Tests that stewards execute model orders, including after the issuing node has died."""
 
 import pytest
 
--- a/tests/test_pool_scheduler.py
+++ b/tests/test_pool_scheduler.py
@@ -1,4 +1,4 @@
-"""Invariants of a pool's scheduler under any order of events, and its decisions one by one."""
+"""Tests of the pool scheduler: invariants under random events and individual decisions."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -70,7 +70,7 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Random events against what must always hold."""
+    """Sends random events to a scheduler and checks its invariants."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_steward_assignment.py
+++ b/tests/test_steward_assignment.py
@@ -1,4 +1,4 @@
-"""Assignment of workers to stewards: one holder at a time, stable, replaced when it dies."""
+"""Tests of worker assignment: a single stable holder that is replaced when it dies."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -32,7 +32,7 @@
 
 
 def serving(node, now=10.0):
-    """An assignment of one node that serves the worker under epoch 1."""
+    """Return the assignment of a node that serves the worker under epoch 1."""
     assignment = StewardAssignment(NodeId(node), REGION, now - SETTLING_SECONDS)
     assignment.update_resources([WORKER])
     assignment.update_candidates(candidates(node))
--- a/tests/test_steward_service.py
+++ b/tests/test_steward_service.py
@@ -1,4 +1,4 @@
-"""Stewards and owners together: grants, takeover, fencing, leaving workers, releases."""
+"""Tests of stewards with owners: grants, takeover, fencing, leaving workers and releases."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 def granted(cluster):
-    """Grants that stewards have given and not taken back."""
+    """Return the number of active grants on all stewards."""
     return sum(len(node.steward._ledger) for node in cluster.nodes.values())
 
 
