--- a/src/foxwinch/backends/ports.py
+++ b/src/foxwinch/backends/ports.py
@@ -36,7 +36,7 @@
     priority: int
     """Lower is more urgent, as the engines have it."""
     epoch: Epoch
-    """Epoch of the steward that granted the worker; the engine refuses an older one."""
+    """Epoch of the coordinator that granted the worker; the engine refuses an older one."""
     parameters: dict[str, JsonValue] = field(default_factory=dict)
     """Sampling parameters passed through unchanged."""
     resume_offset: int = 0
--- a/src/foxwinch/bench/schedule/baselines.py
+++ b/src/foxwinch/bench/schedule/baselines.py
@@ -9,10 +9,10 @@
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
 
-from foxwinch.core.steward.actions import Dispatch, PoolAction, ResyncCache
-from foxwinch.core.steward.cache_index import CacheIndex
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.events import (
+from foxwinch.core.coordinator.actions import Dispatch, PoolAction, ResyncCache
+from foxwinch.core.coordinator.cache_index import CacheIndex
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.events import (
     CacheChanged,
     CallArrived,
     CallFinished,
--- a/src/foxwinch/bench/schedule/clairvoyant.py
+++ b/src/foxwinch/bench/schedule/clairvoyant.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from foxwinch.core.steward.actions import PoolAction
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.events import CallArrived, PoolEvent
-from foxwinch.core.steward.policy import Features, policy_for
-from foxwinch.core.steward.programs import ProgramState
-from foxwinch.core.steward.scheduler import PoolScheduler
+from foxwinch.core.coordinator.actions import PoolAction
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.events import CallArrived, PoolEvent
+from foxwinch.core.coordinator.policy import Features, policy_for
+from foxwinch.core.coordinator.programs import ProgramState
+from foxwinch.core.coordinator.scheduler import PoolScheduler
 from foxwinch.identifiers import CallId, ClassName
 
 CLASS_STEP_SECONDS = 1_000.0
--- a/src/foxwinch/bench/schedule/decision_cost.py
+++ b/src/foxwinch/bench/schedule/decision_cost.py
@@ -4,11 +4,11 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from foxwinch.core.steward.actions import Dispatch
-from foxwinch.core.steward.calls import PoolCall, WorkerDescription
-from foxwinch.core.steward.events import CallArrived, CallFinished, WorkerJoined
-from foxwinch.core.steward.policy import Features, policy_for
-from foxwinch.core.steward.scheduler import PoolScheduler
+from foxwinch.core.coordinator.actions import Dispatch
+from foxwinch.core.coordinator.calls import PoolCall, WorkerDescription
+from foxwinch.core.coordinator.events import CallArrived, CallFinished, WorkerJoined
+from foxwinch.core.coordinator.policy import Features, policy_for
+from foxwinch.core.coordinator.scheduler import PoolScheduler
 from foxwinch.identifiers import CallId, ClassName, ModelName, ProgramId, TenantName, WorkerId
 
 QUEUE_LENGTHS = (0, 10, 100, 1_000, 10_000)
--- a/src/foxwinch/bench/schedule/engines.py
+++ b/src/foxwinch/bench/schedule/engines.py
@@ -5,8 +5,8 @@
 
 from foxwinch.bench.schedule.result import TimelinePoint
 from foxwinch.bench.simulator import Simulator
-from foxwinch.core.steward.calls import WorkerDescription
-from foxwinch.core.steward.events import BlockChange
+from foxwinch.core.coordinator.calls import WorkerDescription
+from foxwinch.core.coordinator.events import BlockChange
 from foxwinch.emulator import engine_events as engine_side
 from foxwinch.emulator.block_cache import CacheLedger
 from foxwinch.emulator.engine_model import EngineModel
--- a/src/foxwinch/bench/schedule/experiment.py
+++ b/src/foxwinch/bench/schedule/experiment.py
@@ -25,7 +25,7 @@
     Workload,
     build_workload,
 )
-from foxwinch.core.steward.policy import Objective
+from foxwinch.core.coordinator.policy import Objective
 from foxwinch.emulator.engine_parameters import load_engine_parameters
 
 PROCESSES = 4
--- a/src/foxwinch/bench/schedule/policies.py
+++ b/src/foxwinch/bench/schedule/policies.py
@@ -12,8 +12,8 @@
 )
 from foxwinch.bench.schedule.clairvoyant import Clairvoyant
 from foxwinch.bench.schedule.pool_policy import PoolPolicy
-from foxwinch.core.steward.policy import Features, Objective, PolicySettings, policy_for
-from foxwinch.core.steward.scheduler import PoolScheduler
+from foxwinch.core.coordinator.policy import Features, Objective, PolicySettings, policy_for
+from foxwinch.core.coordinator.scheduler import PoolScheduler
 
 FOXWINCH = "foxwinch"
 CLAIRVOYANT = "clairvoyant"
--- a/src/foxwinch/bench/schedule/pool.py
+++ b/src/foxwinch/bench/schedule/pool.py
@@ -9,7 +9,7 @@
 from foxwinch.bench.schedule.runs import Chain
 from foxwinch.bench.schedule.workload import Workload
 from foxwinch.bench.simulator import Simulator
-from foxwinch.core.steward.actions import (
+from foxwinch.core.coordinator.actions import (
     Dispatch,
     MovePrefix,
     PoolAction,
@@ -17,8 +17,8 @@
     ReleaseCache,
     ResyncCache,
 )
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.events import (
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.events import (
     CacheChanged,
     CallArrived,
     CallFinished,
--- a/src/foxwinch/bench/schedule/pool_policy.py
+++ b/src/foxwinch/bench/schedule/pool_policy.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from foxwinch.core.steward.actions import PoolAction
-from foxwinch.core.steward.events import PoolEvent
+from foxwinch.core.coordinator.actions import PoolAction
+from foxwinch.core.coordinator.events import PoolEvent
 
 
 class PoolPolicy(Protocol):
--- a/src/foxwinch/bench/schedule/simulation.py
+++ b/src/foxwinch/bench/schedule/simulation.py
@@ -13,8 +13,8 @@
 from foxwinch.bench.schedule.runs import Chain, ProgramRun
 from foxwinch.bench.schedule.workload import Workload
 from foxwinch.bench.simulator import Simulator
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.events import ProgramPaused
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.events import ProgramPaused
 from foxwinch.emulator.engine_parameters import EngineParameters
 from foxwinch.identifiers import CallId, ClassName, ProgramId, TenantName, ToolName
 
--- a/src/foxwinch/bench/unit_costs.py
+++ b/src/foxwinch/bench/unit_costs.py
@@ -1,6 +1,6 @@
 """Processor time and bytes of single steps, in memory: `python -m foxwinch.bench.unit_costs FILE`.
 
-Each figure is the median of several rounds of one process, for steward decisions the lowest.
+Each figure is the median of several rounds of one process, for coordinator decisions the lowest.
 Nothing here crosses a socket, so the cost of the request itself between nodes (`foxwinch bench
 peer`) comes on top where there is one.
 """
@@ -33,8 +33,8 @@
 RECORD_BYTES = (200, 4_000, 32_000)
 APPENDS = 500
 QUERIES = 20
-STEWARD_WORKERS = (9, 36, 100)
-STEWARD_QUEUES = (0, 100, 1_000)
+COORDINATOR_WORKERS = (9, 36, 100)
+COORDINATOR_QUEUES = (0, 100, 1_000)
 
 
 class AppendCost(NamedTuple):
@@ -170,7 +170,8 @@
 
 
 def report(
-    steward_workers: Sequence[int] = STEWARD_WORKERS, steward_queues: Sequence[int] = STEWARD_QUEUES
+    coordinator_workers: Sequence[int] = COORDINATOR_WORKERS,
+    coordinator_queues: Sequence[int] = COORDINATOR_QUEUES,
 ) -> dict[str, object]:
     """Measure everything."""
     return {
@@ -181,7 +182,7 @@
         "journal_append": [append_cost(size)._asdict() for size in RECORD_BYTES],
         "limit_shares": asdict(share_cost()),
         "operator_query": asdict(query_cost()),
-        "steward_decisions": decision_costs(steward_workers, steward_queues),
+        "steward_decisions": decision_costs(coordinator_workers, coordinator_queues),
     }
 
 
--- a/src/foxwinch/commands/call_retries.py
+++ b/src/foxwinch/commands/call_retries.py
@@ -78,8 +78,8 @@
     def may_repeat(self, tenant: TenantName, worker: WorkerId, end: Refused, sent: bool) -> bool:
         """Tell whether a call may be dispatched again after `end` at a back end.
 
-        Repeats that no back end has caused cost nothing: after a change of the steward, and when
-        nothing was sent because of an open circuit.
+        Repeats that no back end has caused cost nothing: after a change of the coordinator, and
+        when nothing was sent because of an open circuit.
         """
         paid = sent and end.reason in BACKEND_REASONS
         if paid and not self._budget.try_repeat(RetryKey(tenant, worker)):
--- a/src/foxwinch/commands/drain_worker.py
+++ b/src/foxwinch/commands/drain_worker.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerDrainAccepted:
-    """The order spreads by gossip; the worker's steward acts on it within seconds."""
+    """The order spreads by gossip; the worker's coordinator acts on it within seconds."""
 
     worker: WorkerId
     draining: bool
--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -2,7 +2,7 @@
 
 The grant comes before the intent, so that a call that finds no worker is refused without a trace
 in the journal. A stream that breaks is resumed behind the chunks that were already sent, on the
-worker that the stewards grant next.
+worker that the coordinators grant next.
 """
 
 import asyncio
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -81,7 +81,7 @@
     """Workers that cannot be drained."""
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
-        """Refuse: nothing stewards the workers."""
+        """Refuse: no node coordinates the workers."""
         return not_run(Reason.NOT_FOUND, f"worker {worker} has no steward here")
 
 
--- a/src/foxwinch/core/steward/admission.py
+++ b/src/foxwinch/core/coordinator/admission.py
@@ -1,7 +1,7 @@
 """Early refusal: a new program that cannot meet its deadline is told so at once."""
 
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.policy import PolicySettings
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.policy import PolicySettings
 from foxwinch.outcomes import Reason, Refused, not_run
 
 SHORTEST_RETRY_SECONDS = 1.0
--- a/src/foxwinch/core/steward/assignment.py
+++ b/src/foxwinch/core/coordinator/assignment.py
@@ -1,7 +1,7 @@
-"""Which node is the steward of which worker, and what each node does about it.
+"""Which node is the coordinator of which worker, and what each node does about it.
 
-Every node runs one `StewardAssignment` over the same inputs: the live members, the workers of the
-configuration and the holders heard of by gossip. Rendezvous hashing names the preferred node of
+Every node runs one `CoordinatorAssignment` over the same inputs: the live members, the workers of
+the configuration and the holders heard of by gossip. Rendezvous hashing names the preferred node of
 each resource, members of the resource's own zone first, then the rest of its region. A dead holder
 is replaced at once. A live holder gives a resource up itself, and only after another node has been
 preferred without a break for `HANDOVER_SECONDS`: a member that flaps moves nothing.
@@ -30,7 +30,7 @@
 """Below every epoch that was ever raised."""
 
 
-class StewardState(StrEnum):
+class CoordinatorState(StrEnum):
     """What this node is to a resource."""
 
     UNASSIGNED = "unassigned"
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A live node that may be a steward."""
+    """A live node that may be a coordinator."""
 
     node: NodeId
     zone: ZoneName
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True)
 class _Held:
-    state: StewardState = StewardState.UNASSIGNED
+    state: CoordinatorState = CoordinatorState.UNASSIGNED
     epoch: Epoch = NO_EPOCH
     """Highest epoch known of the resource, this node's own included."""
     other_since: float | None = None
@@ -131,7 +131,7 @@
     retry_at: float = 0.0
 
 
-class StewardAssignment:
+class CoordinatorAssignment:
     """The resources of one node; `advance` is called at every change and at least each second."""
 
     def __init__(self, node: NodeId, region: RegionName, started_at: float) -> None:
@@ -149,14 +149,14 @@
         self._epochs: Mapping[str, Epoch] = {}
         self._draining = False
 
-    def state(self, resource: str) -> StewardState:
+    def state(self, resource: str) -> CoordinatorState:
         """Return what this node is to a resource."""
         held = self._held.get(resource)
-        return StewardState.UNASSIGNED if held is None else held.state
+        return CoordinatorState.UNASSIGNED if held is None else held.state
 
     def held(self) -> dict[str, Epoch]:
         """Return the resources that this node holds, with their epochs."""
-        owned = (StewardState.RESYNCING, StewardState.SERVING, StewardState.RELEASING)
+        owned = (CoordinatorState.RESYNCING, CoordinatorState.SERVING, CoordinatorState.RELEASING)
         return {name: h.epoch for name, h in self._held.items() if h.state in owned}
 
     def update_resources(self, resources: Iterable[Resource]) -> None:
@@ -192,30 +192,30 @@
     def claimed(self, resource: str, epoch: Epoch) -> list[AssignmentAction]:
         """Take note of a new epoch of this node's own."""
         held = self._held.setdefault(resource, _Held())
-        if held.state is not StewardState.CLAIMING or epoch <= held.epoch:
-            held.state = StewardState.UNASSIGNED
+        if held.state is not CoordinatorState.CLAIMING or epoch <= held.epoch:
+            held.state = CoordinatorState.UNASSIGNED
             return []
-        held.state, held.epoch, held.other_since = StewardState.RESYNCING, epoch, None
+        held.state, held.epoch, held.other_since = CoordinatorState.RESYNCING, epoch, None
         return [Resync(resource, epoch)]
 
     def refused(self, resource: str, now: float) -> None:
         """Take note of a failed claim; it is tried again after `CLAIM_RETRY_SECONDS`."""
         held = self._held.setdefault(resource, _Held())
-        if held.state is StewardState.CLAIMING:
-            held.state = StewardState.UNASSIGNED
+        if held.state is CoordinatorState.CLAIMING:
+            held.state = CoordinatorState.UNASSIGNED
             held.retry_at = now + CLAIM_RETRY_SECONDS
 
     def resynced(self, resource: str, epoch: Epoch) -> None:
         """Take note that load and cache have been read: grants may be given."""
         held = self._held.get(resource)
-        if held and held.state is StewardState.RESYNCING and held.epoch == epoch:
-            held.state = StewardState.SERVING
+        if held and held.state is CoordinatorState.RESYNCING and held.epoch == epoch:
+            held.state = CoordinatorState.SERVING
 
     def released(self, resource: str, epoch: Epoch) -> None:
         """Take note that the handover is complete."""
         held = self._held.get(resource)
-        if held and held.state is StewardState.RELEASING and held.epoch == epoch:
-            held.state = StewardState.UNASSIGNED
+        if held and held.state is CoordinatorState.RELEASING and held.epoch == epoch:
+            held.state = CoordinatorState.UNASSIGNED
 
     def fenced(self, resource: str, epoch: Epoch) -> list[AssignmentAction]:
         """Take note of an epoch seen elsewhere: in gossip, or in a refusal by the engine."""
@@ -224,7 +224,7 @@
             return []
         was_held = resource in self.held()
         lost_epoch, held.epoch = held.epoch, epoch
-        held.state, held.other_since = StewardState.UNASSIGNED, None
+        held.state, held.other_since = CoordinatorState.UNASSIGNED, None
         return [Lost(resource, lost_epoch)] if was_held else []
 
     def advance(self, now: float) -> list[AssignmentAction]:
@@ -237,11 +237,11 @@
         return actions
 
     def _decide(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
-        if held.state is StewardState.UNASSIGNED:
+        if held.state is CoordinatorState.UNASSIGNED:
             return self._maybe_claim(name, held, now)
-        if held.state in (StewardState.SERVING, StewardState.RESYNCING):
+        if held.state in (CoordinatorState.SERVING, CoordinatorState.RESYNCING):
             return self._maybe_release(name, held, now)
-        if held.state is StewardState.RELEASING:
+        if held.state is CoordinatorState.RELEASING:
             return self._maybe_take_back(name, held)
         return []
 
@@ -252,7 +252,7 @@
             return []
         if self._preferred_node(resource) != self._node:
             return []
-        held.state = StewardState.UNASSIGNED
+        held.state = CoordinatorState.UNASSIGNED
         return [Lost(name, held.epoch)]
 
     def _maybe_claim(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
@@ -264,7 +264,7 @@
         holder = self._holders.get(name)
         if holder and holder.node != self._node and not holder.releasing:
             return []
-        held.state = StewardState.CLAIMING
+        held.state = CoordinatorState.CLAIMING
         return [Claim(name)]
 
     def _preferred_node(self, resource: Resource) -> NodeId | None:
@@ -280,7 +280,7 @@
     def _maybe_release(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
         resource = self._resources.get(name)
         if resource is None or self._draining:
-            held.state = StewardState.RELEASING
+            held.state = CoordinatorState.RELEASING
             return [Release(name, held.epoch)]
         preferred = self._preferred_node(resource)
         if preferred in (self._node, None):
@@ -290,5 +290,5 @@
             held.other_since = now
         if now - held.other_since < HANDOVER_SECONDS:
             return []
-        held.state = StewardState.RELEASING
+        held.state = CoordinatorState.RELEASING
         return [Release(name, held.epoch)]
--- a/src/foxwinch/core/steward/events.py
+++ b/src/foxwinch/core/coordinator/events.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from foxwinch.core.steward.cache_index import BlockChange as BlockChange
-from foxwinch.core.steward.calls import PoolCall, WorkerDescription
-from foxwinch.core.steward.policy import PolicySettings
+from foxwinch.core.coordinator.cache_index import BlockChange as BlockChange
+from foxwinch.core.coordinator.calls import PoolCall, WorkerDescription
+from foxwinch.core.coordinator.policy import PolicySettings
 from foxwinch.identifiers import CallId, ProgramId, ToolName, WorkerId
 
 
--- a/src/foxwinch/core/steward/grant_ledger.py
+++ b/src/foxwinch/core/coordinator/grant_ledger.py
@@ -1,8 +1,8 @@
-"""The grants that one steward has given, with their leases.
+"""The grants that one coordinator has given, with their leases.
 
 A grant lives while its owner confirms it. One that is not confirmed for `LEASE_SECONDS`, or whose
 owner is dead, is void: its place is free and the engine is told to cancel the call. Calls that
-owners hold from an earlier steward of the same worker are foreign: they take places there, but
+owners hold from an earlier coordinator of the same worker are foreign: they take places there, but
 nothing else is known of them.
 """
 
@@ -52,7 +52,7 @@
         return [record for record in self._grants.values() if record.worker == worker]
 
     def foreign_calls(self, worker: WorkerId) -> int:
-        """Count the calls that run on a worker under grants of an earlier steward."""
+        """Count the calls that run on a worker under grants of an earlier coordinator."""
         return sum(record.worker == worker for record in self._foreign.values())
 
     def grant(self, record: GrantRecord, now: float) -> None:
@@ -63,7 +63,7 @@
     def confirm(
         self, owner: NodeId, call_id: CallId, sequence: int, worker: WorkerId, now: float
     ) -> None:
-        """Take in that an owner still holds a grant, one of an earlier steward included."""
+        """Take in that an owner still holds a grant, one of an earlier coordinator included."""
         record = self._grants.get(call_id)
         if record is None or record.owner != owner or record.sequence != sequence:
             record = GrantRecord(call_id, owner, sequence, worker, Epoch(0), None, "")
@@ -86,7 +86,7 @@
         return None if record is None else self._remove(record)
 
     def drop_worker(self, worker: WorkerId) -> list[GrantRecord]:
-        """Remove and return the grants of a worker that is gone or another steward's."""
+        """Remove and return the grants of a worker that is gone or another coordinator's."""
         self._foreign = {k: r for k, r in self._foreign.items() if r.worker != worker}
         return [self._remove(record) for record in self.on_worker(worker)]
 
--- a/src/foxwinch/core/steward/hot_prefixes.py
+++ b/src/foxwinch/core/coordinator/hot_prefixes.py
@@ -1,9 +1,9 @@
-"""Prefixes that several calls share, for the digest by which owners choose a steward."""
+"""Prefixes that several calls share, for the digest by which owners choose a coordinator."""
 
 from collections import OrderedDict
 
 TOP_PREFIXES = 8
-"""Prefixes in a digest: 64 bytes, which the gossip budget allows each steward."""
+"""Prefixes in a digest: 64 bytes, which the gossip budget allows each coordinator."""
 BLOCKS_COUNTED = 64
 """Leading blocks of a call that are looked at: longer shared prefixes are rare."""
 BLOCKS_KEPT = 2_048
--- a/src/foxwinch/core/steward/placement.py
+++ b/src/foxwinch/core/coordinator/placement.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.estimates import (
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.estimates import (
     PREFILL_TOKEN_SECONDS,
     SEQUENCE_SECONDS,
     Estimates,
 )
-from foxwinch.core.steward.policy import PolicySettings
-from foxwinch.core.steward.workers import WorkerState
+from foxwinch.core.coordinator.policy import PolicySettings
+from foxwinch.core.coordinator.workers import WorkerState
 
 SMALLEST_TRANSFER_BLOCKS = 2
 """Fewer blocks are not worth the round trip of an export and an import."""
--- a/src/foxwinch/core/steward/reasons.py
+++ b/src/foxwinch/core/coordinator/reasons.py
@@ -1,7 +1,7 @@
 """Sentences for `programs show`: why a call waited and why it went where it did."""
 
-from foxwinch.core.steward.placement import Placement
-from foxwinch.core.steward.waiting import WaitingCall
+from foxwinch.core.coordinator.placement import Placement
+from foxwinch.core.coordinator.waiting import WaitingCall
 
 
 def placement_reason(
--- a/src/foxwinch/core/steward/scheduler.py
+++ b/src/foxwinch/core/coordinator/scheduler.py
@@ -15,7 +15,7 @@
 
 from collections.abc import Callable
 
-from foxwinch.core.steward.actions import (
+from foxwinch.core.coordinator.actions import (
     Dispatch,
     MovePrefix,
     PoolAction,
@@ -23,11 +23,11 @@
     ReleaseCache,
     ResyncCache,
 )
-from foxwinch.core.steward.admission import refusal
-from foxwinch.core.steward.cache_index import CacheIndex
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.estimates import PREFILL_TOKEN_SECONDS, Estimates
-from foxwinch.core.steward.events import (
+from foxwinch.core.coordinator.admission import refusal
+from foxwinch.core.coordinator.cache_index import CacheIndex
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.estimates import PREFILL_TOKEN_SECONDS, Estimates
+from foxwinch.core.coordinator.events import (
     CacheChanged,
     CallArrived,
     CallFailed,
@@ -45,12 +45,12 @@
     WorkerLeaving,
     WorkerLeft,
 )
-from foxwinch.core.steward.placement import Placement, choose_worker, private_blocks
-from foxwinch.core.steward.policy import PolicySettings
-from foxwinch.core.steward.programs import ProgramState, ProgramTable
-from foxwinch.core.steward.reasons import placement_reason
-from foxwinch.core.steward.waiting import WaitingCall, WaitingCalls, order_key
-from foxwinch.core.steward.workers import PlacedCall, WorkerState
+from foxwinch.core.coordinator.placement import Placement, choose_worker, private_blocks
+from foxwinch.core.coordinator.policy import PolicySettings
+from foxwinch.core.coordinator.programs import ProgramState, ProgramTable
+from foxwinch.core.coordinator.reasons import placement_reason
+from foxwinch.core.coordinator.waiting import WaitingCall, WaitingCalls, order_key
+from foxwinch.core.coordinator.workers import PlacedCall, WorkerState
 from foxwinch.identifiers import CallId, WorkerId
 
 PREFILL_SHARE_SECONDS = 0.00007
--- a/src/foxwinch/core/steward/waiting.py
+++ b/src/foxwinch/core/coordinator/waiting.py
@@ -10,8 +10,8 @@
 
 from sortedcontainers import SortedKeyList
 
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.policy import PolicySettings
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.policy import PolicySettings
 from foxwinch.identifiers import CallId
 
 
--- a/src/foxwinch/core/steward/workers.py
+++ b/src/foxwinch/core/coordinator/workers.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from foxwinch.core.steward.cache_index import CacheIndex
-from foxwinch.core.steward.calls import PoolCall, WorkerDescription
+from foxwinch.core.coordinator.cache_index import CacheIndex
+from foxwinch.core.coordinator.calls import PoolCall, WorkerDescription
 from foxwinch.identifiers import CallId
 
 
--- a/src/foxwinch/core/membership/entry.py
+++ b/src/foxwinch/core/membership/entry.py
@@ -13,7 +13,7 @@
     MEMBERSHIP = 1
     CONFIGURATION = 2
     SHARD = 3
-    STEWARD = 4
+    COORDINATOR = 4
     USAGE = 5
 
 
@@ -38,7 +38,7 @@
 
 
 GLOBAL_KINDS = frozenset({GossipKind.MEMBERSHIP, GossipKind.CONFIGURATION})
-OWNED_KINDS = frozenset({GossipKind.SHARD, GossipKind.STEWARD, GossipKind.USAGE})
+OWNED_KINDS = frozenset({GossipKind.SHARD, GossipKind.COORDINATOR, GossipKind.USAGE})
 """Kinds in which a node speaks of itself; others outlive the node that published them."""
 PAYLOAD_BYTES = 700
 """Largest payload: with its key, its owner and the sender it still fits one datagram."""
--- a/src/foxwinch/core/program/state.py
+++ b/src/foxwinch/core/program/state.py
@@ -22,7 +22,7 @@
     ADMITTED = "admitted"
     """Its budget is reserved and its intent is being committed, or it waits for a worker."""
     GRANTED = "granted"
-    """A steward has granted a worker."""
+    """A coordinator has granted a worker."""
     RUNNING = "running"
     """Dispatched to a back end."""
     COMMITTING = "committing"
--- a/src/foxwinch/node/parts/grants.py
+++ b/src/foxwinch/node/parts/grants.py
@@ -1,4 +1,4 @@
-"""Part: grants of workers, their stewards and the orders to engines."""
+"""Part: grants of workers, their coordinators and the orders to engines."""
 
 from dataclasses import dataclass, field
 
@@ -10,18 +10,18 @@
 from foxwinch.node.parts.membership import MembershipPart
 from foxwinch.node.parts.records import RecordsPart
 from foxwinch.queries.facts import NoWorkers, WorkerFacts
+from foxwinch.workers.coordinator_client import CoordinatorClient
+from foxwinch.workers.coordinator_directory import CoordinatorDirectory
+from foxwinch.workers.coordinator_facts import CoordinatorFacts, GossipedDrains
+from foxwinch.workers.coordinator_service import CoordinatorPorts, CoordinatorService
 from foxwinch.workers.grants_service import GrantsService
 from foxwinch.workers.orders_service import OrdersService
 from foxwinch.workers.ports import GrantView
-from foxwinch.workers.steward_client import StewardClient
-from foxwinch.workers.steward_directory import StewardDirectory
-from foxwinch.workers.steward_facts import GossipedDrains, StewardFacts
-from foxwinch.workers.steward_service import StewardPorts, StewardService
 
 
 @dataclass(frozen=True, slots=True)
 class GrantsPart:
-    """Access to the stewards of all workers."""
+    """Access to the coordinators of all workers."""
 
     grants: GrantView
     facts: WorkerFacts = field(default_factory=NoWorkers)
@@ -30,19 +30,19 @@
 
 
 class GrantServices:
-    """Steward, orders and grants as one service: their orders of start and drain differ."""
+    """Coordinator, orders and grants as one service: their orders of start and drain differ."""
 
     def __init__(
-        self, steward: StewardService, orders: OrdersService, grants: GrantsService
+        self, coordinator: CoordinatorService, orders: OrdersService, grants: GrantsService
     ) -> None:
         """Hold the three."""
-        self._steward = steward
+        self._coordinator = coordinator
         self._orders = orders
         self._grants = grants
 
     async def start(self) -> None:
-        """Start the steward first: the others use it."""
-        await self._steward.start()
+        """Start the coordinator first: the others use it."""
+        await self._coordinator.start()
         await self._orders.start()
         await self._grants.start()
 
@@ -50,12 +50,12 @@
         """Stop in reverse."""
         await self._grants.stop()
         await self._orders.stop()
-        await self._steward.stop()
+        await self._coordinator.stop()
 
     async def drain(self) -> None:
         """Give every grant back before the workers are handed over."""
         await self._grants.drain()
-        await self._steward.drain()
+        await self._coordinator.drain()
 
 
 def build_grants(
@@ -64,15 +64,17 @@
     configuration: ConfigurationPart,
     records: RecordsPart,
 ) -> GrantsPart:
-    """Build the part; a node without fellow nodes is steward of every worker."""
-    directory = StewardDirectory(membership.membership, membership.gossip)
-    steward = StewardService(_steward_ports(context, membership, configuration, records), directory)
-    client = StewardClient(context.node, steward.desk, context.ports.peers)
+    """Build the part; a node without fellow nodes is coordinator of every worker."""
+    directory = CoordinatorDirectory(membership.membership, membership.gossip)
+    coordinator = CoordinatorService(
+        _coordinator_ports(context, membership, configuration, records), directory
+    )
+    client = CoordinatorClient(context.node, coordinator.desk, context.ports.peers)
     clock = context.ports.clock
     grants = GrantsService(directory, client, configuration.configuration, clock)
     orders = OrdersService(
         RegionName(context.settings.region),
-        steward,
+        coordinator,
         directory,
         client,
         configuration.configuration,
@@ -81,19 +83,19 @@
     )
     return GrantsPart(
         grants=grants,
-        facts=StewardFacts(context.node, steward),
+        facts=CoordinatorFacts(context.node, coordinator),
         drains=GossipedDrains(configuration.configuration, membership.gossip),
-        services=(GrantServices(steward, orders, grants),),
+        services=(GrantServices(coordinator, orders, grants),),
     )
 
 
-def _steward_ports(
+def _coordinator_ports(
     context: NodeContext,
     membership: MembershipPart,
     configuration: ConfigurationPart,
     records: RecordsPart,
-) -> StewardPorts:
-    return StewardPorts(
+) -> CoordinatorPorts:
+    return CoordinatorPorts(
         node=context.node,
         clock=context.ports.clock,
         engine=context.ports.engine,
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -77,7 +77,7 @@
         return [_merged(member, answered.get(member.node)) for member in self._members()]
 
     async def workers(self) -> ListWorkersResponse:
-        """Return the workers of all stewards in order of their names."""
+        """Return the workers of all coordinators in order of their names."""
         facts = await self._ask_all(FactsRequest(workers=True))
         found = [worker for answer in facts.answers for worker in answer.workers]
         found.sort(key=lambda worker: worker.worker)
--- a/src/foxwinch/queries/facts.py
+++ b/src/foxwinch/queries/facts.py
@@ -18,7 +18,7 @@
     """The workers that this node dispatches to."""
 
     def workers(self) -> Sequence[WorkerStatus]:
-        """Return a status for each worker that this node is steward of."""
+        """Return a status for each worker that this node is coordinator of."""
         ...
 
 
--- a/src/foxwinch/workers/__init__.py
+++ b/src/foxwinch/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Stewards of workers: grants, orders, drains, and the cache that they hold."""
+"""Coordinators of workers: grants, orders, drains, and the cache that they hold."""
--- a/src/foxwinch/workers/cache_evacuation.py
+++ b/src/foxwinch/workers/cache_evacuation.py
@@ -4,8 +4,11 @@
 from collections.abc import Iterable
 
 from foxwinch.backends.ports import EnginePort
+from foxwinch.core.coordinator.estimates import (
+    INITIAL_TRANSFER_BLOCK_SECONDS,
+    PREFILL_TOKEN_SECONDS,
+)
 from foxwinch.core.prompt import BLOCK_TOKENS
-from foxwinch.core.steward.estimates import INITIAL_TRANSFER_BLOCK_SECONDS, PREFILL_TOKEN_SECONDS
 from foxwinch.identifiers import ProgramId, WorkerId
 from foxwinch.log import EventLog
 from foxwinch.workers.pool_driver import copy_cache
--- a/src/foxwinch/workers/steward_choices.py
+++ b/src/foxwinch/workers/coordinator_cache.py
@@ -3,9 +3,13 @@
 from dataclasses import dataclass, field
 
 from foxwinch.clock import Clock
-from foxwinch.core.steward.assignment import Holder
+from foxwinch.core.coordinator.assignment import Holder
 from foxwinch.identifiers import ModelName, NodeId, WorkerId
-from foxwinch.workers.steward_directory import ServingSteward, StewardDirectory, worker_resource
+from foxwinch.workers.coordinator_directory import (
+    CoordinatorDirectory,
+    ServingCoordinator,
+    worker_resource,
+)
 
 KEPT_SECONDS = 0.05
 """Far below the time that a digest takes to spread; a wrong choice is refused and made again."""
@@ -15,27 +19,27 @@
 class _Copy:
     read_at: float
     holders: dict[str, Holder]
-    serving: dict[ModelName, list[ServingSteward]] = field(default_factory=dict)
+    serving: dict[ModelName, list[ServingCoordinator]] = field(default_factory=dict)
 
 
-class StewardChoices:
+class CoordinatorCache:
     """Reads the directory at most once in `KEPT_SECONDS`."""
 
-    def __init__(self, directory: StewardDirectory, clock: Clock) -> None:
+    def __init__(self, directory: CoordinatorDirectory, clock: Clock) -> None:
         """Start without a copy."""
         self._directory = directory
         self._clock = clock
         self._copy: _Copy | None = None
 
-    def serving(self, model: ModelName) -> list[ServingSteward]:
-        """Return the stewards with a worker that serves the model."""
+    def serving(self, model: ModelName) -> list[ServingCoordinator]:
+        """Return the coordinators with a worker that serves the model."""
         copy = self._fresh()
         found = copy.serving.get(model)
         if found is None:
             found = copy.serving[model] = self._directory.serving(model)
         return found
 
-    def steward_of(self, worker: WorkerId) -> NodeId | None:
+    def coordinator_of(self, worker: WorkerId) -> NodeId | None:
         """Return the node that holds a worker."""
         holder = self._fresh().holders.get(worker_resource(worker))
         return None if holder is None else holder.node
--- a/src/foxwinch/workers/steward_client.py
+++ b/src/foxwinch/workers/coordinator_client.py
@@ -1,4 +1,4 @@
-"""Asks stewards: the one of this node directly, the others over the kept streams."""
+"""Asks coordinators: the one of this node directly, the others over the kept streams."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -20,7 +20,7 @@
 from foxwinch.identifiers import NodeId
 from foxwinch.outcomes import Reason, Refused, not_run, outcome_unknown
 from foxwinch.peer.ports import PeerPort
-from foxwinch.workers.steward_messages import (
+from foxwinch.workers.coordinator_messages import (
     ACQUIRE_METHOD,
     DESCRIBE_METHOD,
     ORDER_METHOD,
@@ -34,8 +34,8 @@
 Answer = TypeVar("Answer", bound=Message)
 
 
-class StewardEndpoint(Protocol):
-    """What a steward answers; implemented by the steward of this node."""
+class CoordinatorEndpoint(Protocol):
+    """What a coordinator answers; implemented by the coordinator of this node."""
 
     async def acquire(self, owner: NodeId, ask: GrantAsk) -> GrantGiven | Refused:
         """Wait for a grant; cancelling withdraws the request."""
@@ -54,60 +54,64 @@
         ...
 
 
-class StewardClient:
-    """Calls any steward by its member entry."""
+class CoordinatorClient:
+    """Calls any coordinator by its member entry."""
 
-    def __init__(self, node: NodeId, local: StewardEndpoint, peers: PeerPort | None) -> None:
+    def __init__(self, node: NodeId, local: CoordinatorEndpoint, peers: PeerPort | None) -> None:
         """Reach `local` directly; `peers` is None in a node without fellow nodes."""
         self._node = node
         self._local = local
         self._peers = peers
 
-    async def acquire(self, steward: Member, ask: GrantAsk) -> GrantGiven | Refused:
+    async def acquire(self, coordinator: Member, ask: GrantAsk) -> GrantGiven | Refused:
         """Wait for a grant; cancelling withdraws the request."""
-        if steward.node == self._node:
+        if coordinator.node == self._node:
             return await self._local.acquire(self._node, ask)
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
         answers = self._peers.stream(
-            steward.address, ACQUIRE_METHOD, ask.SerializeToString(), ask.remaining_seconds
+            coordinator.address, ACQUIRE_METHOD, ask.SerializeToString(), ask.remaining_seconds
         )
         async with aclosing(cast(AsyncGenerator[bytes | Refused, None], answers)) as stream:
             async for answer in stream:
                 return _parsed(GrantGiven(), answer)
         return outcome_unknown(Reason.PEER_UNREACHABLE, "the steward ended without an answer")
 
-    async def report(self, steward: Member, report: GrantReport) -> GrantReportAnswer | Refused:
+    async def report(self, coordinator: Member, report: GrantReport) -> GrantReportAnswer | Refused:
         """Deliver a report; a refusal leaves open whether it arrived."""
-        if steward.node == self._node:
+        if coordinator.node == self._node:
             return await self._local.report(self._node, report)
         return await self._call(
-            steward, REPORT_METHOD, report, GrantReportAnswer(), REPORT_DEADLINE_SECONDS
+            coordinator, REPORT_METHOD, report, GrantReportAnswer(), REPORT_DEADLINE_SECONDS
         )
 
-    async def describe(self, steward: Member) -> StewardedWorkers | Refused:
-        """Read the state of the steward's workers."""
-        if steward.node == self._node:
+    async def describe(self, coordinator: Member) -> StewardedWorkers | Refused:
+        """Read the state of the coordinator's workers."""
+        if coordinator.node == self._node:
             return await self._local.describe()
         return await self._call(
-            steward, DESCRIBE_METHOD, DescribeWorkers(), StewardedWorkers(), REPORT_DEADLINE_SECONDS
+            coordinator,
+            DESCRIBE_METHOD,
+            DescribeWorkers(),
+            StewardedWorkers(),
+            REPORT_DEADLINE_SECONDS,
         )
 
-    async def order(self, steward: Member, order: WorkerOrder) -> WorkerOrderDone | Refused:
+    async def order(self, coordinator: Member, order: WorkerOrder) -> WorkerOrderDone | Refused:
         """Have a model order carried out."""
-        if steward.node == self._node:
+        if coordinator.node == self._node:
             return await self._local.order(order)
         return await self._call(
-            steward, ORDER_METHOD, order, WorkerOrderDone(), ORDER_DEADLINE_SECONDS
+            coordinator, ORDER_METHOD, order, WorkerOrderDone(), ORDER_DEADLINE_SECONDS
         )
 
     async def _call(
-        self, steward: Member, method: str, request: Message, answer: Answer, deadline: float
+        self, coordinator: Member, method: str, request: Message, answer: Answer, deadline: float
     ) -> Answer | Refused:
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
         payload = await self._peers.call(
-            steward.address, method, request.SerializeToString(), deadline
+            coordinator.address, method, request.SerializeToString(), deadline
         )
         return _parsed(answer, payload)
 
--- a/src/foxwinch/workers/steward_directory.py
+++ b/src/foxwinch/workers/coordinator_directory.py
@@ -1,4 +1,4 @@
-"""Who serves which worker and how busy it is, from the digests that stewards gossip."""
+"""Who serves which worker and how busy it is, from the digests that coordinators gossip."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -6,9 +6,9 @@
 from google.protobuf.message import DecodeError
 
 from foxwinch._generated.steward_pb2 import HeldResource, StewardDigest
+from foxwinch.core.coordinator.assignment import Candidate, Holder
 from foxwinch.core.membership.entry import GossipEntry, GossipKind
 from foxwinch.core.membership.member import Member, MemberState
-from foxwinch.core.steward.assignment import Candidate, Holder
 from foxwinch.identifiers import Epoch, ModelName, NodeId, WorkerId
 from foxwinch.membership.ports import GossipView, MembershipView
 
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServingSteward:
-    """A steward that can grant calls of a model."""
+class ServingCoordinator:
+    """A coordinator that can grant calls of a model."""
 
     member: Member
     workers: int
@@ -44,7 +44,7 @@
     hot_prefixes: frozenset[int]
 
 
-class StewardDirectory:
+class CoordinatorDirectory:
     """Queries over membership and the gossiped digests; holds only decoded copies."""
 
     def __init__(self, membership: MembershipView, gossip: GossipView) -> None:
@@ -56,7 +56,7 @@
     def subscribe(self, listener: Callable[[], None]) -> None:
         """Call `listener` at every change of members or digests."""
         self._membership.subscribe(lambda member: listener())
-        self._gossip.subscribe(GossipKind.STEWARD, lambda entry: listener())
+        self._gossip.subscribe(GossipKind.COORDINATOR, lambda entry: listener())
 
     def member(self, node: NodeId) -> Member | None:
         """Return a member that may still answer."""
@@ -88,27 +88,27 @@
     def epochs(self) -> dict[str, Epoch]:
         """Return the highest epoch heard of each resource, from nodes that are dead included."""
         found: dict[str, Epoch] = {}
-        for key, entry in self._gossip.entries(GossipKind.STEWARD).items():
+        for key, entry in self._gossip.entries(GossipKind.COORDINATOR).items():
             for held in self._decode(key, entry).held:
                 found[held.name] = max(found.get(held.name, Epoch(0)), Epoch(held.epoch))
         return found
 
-    def steward_of(self, worker: WorkerId) -> NodeId | None:
+    def coordinator_of(self, worker: WorkerId) -> NodeId | None:
         """Return the node that holds a worker, handing it over included."""
         holder = self.holders().get(worker_resource(worker))
         return None if holder is None else holder.node
 
-    def serving(self, model: ModelName) -> list[ServingSteward]:
-        """Return the stewards with a worker that serves the model and is not leaving."""
+    def serving(self, model: ModelName) -> list[ServingCoordinator]:
+        """Return the coordinators with a worker that serves the model and is not leaving."""
         holders = self.holders()
-        found: list[ServingSteward] = []
+        found: list[ServingCoordinator] = []
         for member, digest in self._digests():
             workers = sum(_serves(held, model, member, holders) for held in digest.held)
             if not workers:
                 continue
             queue = next((q for q in digest.queues if q.model == model), None)
             found.append(
-                ServingSteward(
+                ServingCoordinator(
                     member=member,
                     workers=workers,
                     queued=queue.queued if queue else 0,
@@ -118,13 +118,13 @@
             )
         return found
 
-    def stewards(self) -> set[NodeId]:
+    def coordinators(self) -> set[NodeId]:
         """Return the members that hold something."""
         return {member.node for member, digest in self._digests() if digest.held}
 
     def unheard(self) -> bool:
         """Tell whether there is a live member whose digest has not arrived."""
-        entries = self._gossip.entries(GossipKind.STEWARD)
+        entries = self._gossip.entries(GossipKind.COORDINATOR)
         this = self._membership.this_member()
         return any(
             node not in entries
@@ -133,7 +133,7 @@
         )
 
     def queued(self) -> dict[ModelName, int]:
-        """Return the number of waiting calls of each model over all stewards."""
+        """Return the number of waiting calls of each model over all coordinators."""
         found: dict[ModelName, int] = {}
         for _, digest in self._digests():
             for queue in digest.queues:
@@ -148,7 +148,7 @@
     def _digests(self) -> Iterator[tuple[Member, StewardDigest]]:
         """Yield the digest of every member that may still answer."""
         present = self._present()
-        entries = self._gossip.entries(GossipKind.STEWARD)
+        entries = self._gossip.entries(GossipKind.COORDINATOR)
         for node in self._decoded.keys() - entries.keys():
             del self._decoded[node]
         for key, entry in entries.items():
--- a/src/foxwinch/workers/steward_facts.py
+++ b/src/foxwinch/workers/coordinator_facts.py
@@ -1,4 +1,4 @@
-"""The workers of a steward as operators see them, and their order to drain one."""
+"""The workers of a coordinator as operators see them, and their order to drain one."""
 
 from collections.abc import Sequence
 
@@ -9,21 +9,21 @@
 from foxwinch.identifiers import NodeId, WorkerId
 from foxwinch.membership.ports import GossipView
 from foxwinch.outcomes import Refused
-from foxwinch.workers.steward_pools import HeldWorker
-from foxwinch.workers.steward_service import StewardService
+from foxwinch.workers.coordinator_pools import HeldWorker
+from foxwinch.workers.coordinator_service import CoordinatorService
 
 
-class StewardFacts:
+class CoordinatorFacts:
     """Implements `foxwinch.queries.facts.WorkerFacts`."""
 
-    def __init__(self, node: NodeId, steward: StewardService) -> None:
-        """Report what `steward` holds."""
+    def __init__(self, node: NodeId, coordinator: CoordinatorService) -> None:
+        """Report what `coordinator` holds."""
         self._node = node
-        self._steward = steward
+        self._coordinator = coordinator
 
     def workers(self) -> Sequence[WorkerStatus]:
-        """Return a status for each worker that this node is steward of."""
-        held = self._steward.pools.held()
+        """Return a status for each worker that this node is coordinator of."""
+        held = self._coordinator.pools.held()
         return [self._status(worker, entry) for worker, entry in held.items()]
 
     def _status(self, worker: WorkerId, held: HeldWorker) -> WorkerStatus:
--- a/src/foxwinch/workers/steward_grants.py
+++ b/src/foxwinch/workers/coordinator_grants.py
@@ -1,4 +1,4 @@
-"""The steward's side of grants: places calls, keeps leases, takes grants back."""
+"""The coordinator's side of grants: places calls, keeps leases, takes grants back."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,23 +9,23 @@
 from foxwinch.backends.ports import EnginePort
 from foxwinch.clock import Clock
 from foxwinch.configuration.ports import ConfigurationView
-from foxwinch.core.steward.actions import Dispatch
-from foxwinch.core.steward.admission import SHORTEST_RETRY_SECONDS
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.events import CallFailed, CallFinished
-from foxwinch.core.steward.grant_ledger import LEASE_SECONDS, GrantLedger, GrantRecord
-from foxwinch.core.steward.hot_prefixes import HotPrefixes
+from foxwinch.core.coordinator.actions import Dispatch
+from foxwinch.core.coordinator.admission import SHORTEST_RETRY_SECONDS
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.events import CallFailed, CallFinished
+from foxwinch.core.coordinator.grant_ledger import LEASE_SECONDS, GrantLedger, GrantRecord
+from foxwinch.core.coordinator.hot_prefixes import HotPrefixes
 from foxwinch.identifiers import CallId, ClassName, Epoch, NodeId, ProgramId, WorkerId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, not_run
+from foxwinch.workers.coordinator_messages import request_of, usage_of
+from foxwinch.workers.coordinator_pools import CoordinatorPools
 from foxwinch.workers.engine_retries import EngineRetries, RetriedKey, RetriedKind
 from foxwinch.workers.pool_driver import PoolDriver
-from foxwinch.workers.steward_messages import request_of, usage_of
-from foxwinch.workers.steward_pools import StewardPools
 from foxwinch.workers.worker_drains import WorkerDrains
 
 ASK_ELSEWHERE_SECONDS = 0.2
-"""When to look for another steward."""
+"""When to look for another coordinator."""
 LOWEST_RANK = 9
 """Rank of a class that the configuration in force does not know (yet)."""
 FAILURES_REMEMBERED = 4_096
@@ -34,7 +34,7 @@
 log = EventLog("steward")
 
 
-class StewardGrants:
+class CoordinatorGrants:
     """Grants of the workers that this node holds."""
 
     def __init__(
@@ -42,7 +42,7 @@
         engine: EnginePort,
         clock: Clock,
         configuration: ConfigurationView,
-        pools: StewardPools,
+        pools: CoordinatorPools,
         ledger: GrantLedger,
         retries: EngineRetries,
         drains: WorkerDrains,
--- a/src/foxwinch/workers/steward_desk.py
+++ b/src/foxwinch/workers/coordinator_handlers.py
@@ -1,4 +1,4 @@
-"""What a steward answers to owners, operators and the node that decides on model orders."""
+"""What a coordinator answers to owners, operators and the node that decides on model orders."""
 
 from collections.abc import AsyncIterator, Callable
 
@@ -16,37 +16,37 @@
 )
 from foxwinch.backends.ports import EnginePort, ModelOrder
 from foxwinch.clock import Clock
-from foxwinch.core.steward.assignment import StewardState
-from foxwinch.core.steward.grant_ledger import GrantLedger
+from foxwinch.core.coordinator.assignment import CoordinatorState
+from foxwinch.core.coordinator.grant_ledger import GrantLedger
 from foxwinch.identifiers import CallId, ModelName, NodeId, ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.peer.ports import PeerContext, PeerPort
-from foxwinch.workers.engine_retries import EngineRetries
-from foxwinch.workers.steward_grants import StewardGrants
-from foxwinch.workers.steward_messages import (
+from foxwinch.workers.coordinator_grants import CoordinatorGrants
+from foxwinch.workers.coordinator_messages import (
     ACQUIRE_METHOD,
     DESCRIBE_METHOD,
     ORDER_METHOD,
     REPORT_METHOD,
 )
-from foxwinch.workers.steward_pools import StewardPools
-from foxwinch.workers.steward_programs import StewardPrograms
+from foxwinch.workers.coordinator_pools import CoordinatorPools
+from foxwinch.workers.coordinator_programs import CoordinatorPrograms
+from foxwinch.workers.engine_retries import EngineRetries
 
 UNREADABLE = not_run(Reason.INVALID_REQUEST, "the message cannot be read")
 
 
-class StewardDesk:
-    """Implements `foxwinch.workers.steward_client.StewardEndpoint`."""
+class CoordinatorHandlers:
+    """Implements `foxwinch.workers.coordinator_client.CoordinatorEndpoint`."""
 
     def __init__(
         self,
         engine: EnginePort,
         clock: Clock,
-        pools: StewardPools,
+        pools: CoordinatorPools,
         ledger: GrantLedger,
         retries: EngineRetries,
-        grants: StewardGrants,
-        state_of: Callable[[WorkerId], StewardState],
+        grants: CoordinatorGrants,
+        state_of: Callable[[WorkerId], CoordinatorState],
     ) -> None:
         """Answer out of the pools; `state_of` tells what this node is to a worker."""
         self._engine = engine
@@ -56,7 +56,7 @@
         self._retries = retries
         self._grants = grants
         self._state_of = state_of
-        self.programs = StewardPrograms(pools, grants)
+        self.programs = CoordinatorPrograms(pools, grants)
         self._orders_epoch = 0
 
     def serve(self, peers: PeerPort) -> None:
--- a/src/foxwinch/workers/steward_metrics.py
+++ b/src/foxwinch/workers/coordinator_metrics.py
@@ -1,15 +1,15 @@
-"""Metrics of the steward of a node."""
+"""Metrics of the coordinator of a node."""
 
 from collections.abc import Mapping
 
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
-from foxwinch.core.steward.grant_ledger import GrantLedger
+from foxwinch.core.coordinator.grant_ledger import GrantLedger
 from foxwinch.identifiers import Epoch
-from foxwinch.workers.steward_pools import StewardPools
+from foxwinch.workers.coordinator_pools import CoordinatorPools
 
 
-class StewardMetrics:
+class CoordinatorMetrics:
     """Counts of one node; label values come from the configuration only."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
@@ -43,7 +43,9 @@
         """Count grants that have just expired."""
         self._expired.inc(count)
 
-    def observe(self, held: Mapping[str, Epoch], ledger: GrantLedger, pools: StewardPools) -> None:
+    def observe(
+        self, held: Mapping[str, Epoch], ledger: GrantLedger, pools: CoordinatorPools
+    ) -> None:
         """Set the gauges."""
         self._held.set(len(held))
         self._granted.set(len(ledger))
--- a/src/foxwinch/workers/steward_pools.py
+++ b/src/foxwinch/workers/coordinator_pools.py
@@ -1,4 +1,4 @@
-"""The workers that a steward holds: their links, their pools' schedulers and their epochs."""
+"""The workers that a coordinator holds: their links, their pools' schedulers and their epochs."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -6,11 +6,11 @@
 
 from foxwinch.backends.ports import EnginePort, LoadReport
 from foxwinch.clock import Clock
+from foxwinch.core.coordinator.calls import WorkerDescription
+from foxwinch.core.coordinator.events import CacheChanged, LoadReported, PolicyChanged, TimePassed
+from foxwinch.core.coordinator.grant_ledger import GrantLedger
+from foxwinch.core.coordinator.policy import PolicySettings, policy_for
 from foxwinch.core.prompt import BLOCK_TOKENS
-from foxwinch.core.steward.calls import WorkerDescription
-from foxwinch.core.steward.events import CacheChanged, LoadReported, PolicyChanged, TimePassed
-from foxwinch.core.steward.grant_ledger import GrantLedger
-from foxwinch.core.steward.policy import PolicySettings, policy_for
 from foxwinch.identifiers import Epoch, ModelName, WorkerId
 from foxwinch.settings.cluster import ClusterConfiguration, WorkerSettings
 from foxwinch.workers.engine_retries import EngineRetries
@@ -37,8 +37,8 @@
     ready: bool = False
 
 
-class StewardPools:
-    """Holds workers; told by the steward service which."""
+class CoordinatorPools:
+    """Holds workers; told by the coordinator service which."""
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
             self.refresh(worker)
 
     def let_go(self, worker: WorkerId) -> None:
-        """Forget a worker: it is another steward's, or nobody's."""
+        """Forget a worker: it is another coordinator's, or nobody's."""
         held = self._held.pop(worker, None)
         if held is None:
             return
--- a/src/foxwinch/workers/steward_programs.py
+++ b/src/foxwinch/workers/coordinator_programs.py
@@ -1,22 +1,22 @@
-"""What a steward does for programs between and after their calls: pauses and releases."""
+"""What a coordinator does for programs between and after their calls: pauses and releases."""
 
 from cachetools import LRUCache
 
 from foxwinch._generated.steward_pb2 import FinishedProgram, PausedProgram
-from foxwinch.core.steward.events import ProgramEnded, ProgramPaused
+from foxwinch.core.coordinator.events import ProgramEnded, ProgramPaused
 from foxwinch.identifiers import NodeId, ProgramId, ToolName, WorkerId
-from foxwinch.workers.steward_grants import StewardGrants
-from foxwinch.workers.steward_pools import StewardPools
+from foxwinch.workers.coordinator_grants import CoordinatorGrants
+from foxwinch.workers.coordinator_pools import CoordinatorPools
 
 PROGRAMS_REMEMBERED = 8_192
 """Programs whose last ask is known, and releases whose end is known. An older pause is taken as
 it comes; an older release is simply done again."""
 
 
-class StewardPrograms:
+class CoordinatorPrograms:
     """Programs as seen from the workers that this node holds."""
 
-    def __init__(self, pools: StewardPools, grants: StewardGrants) -> None:
+    def __init__(self, pools: CoordinatorPools, grants: CoordinatorGrants) -> None:
         """Start knowing no program."""
         self._pools = pools
         self._grants = grants
--- a/src/foxwinch/workers/steward_service.py
+++ b/src/foxwinch/workers/coordinator_service.py
@@ -1,4 +1,4 @@
-"""The steward of a node: claims workers, reads them, gives grants, and hands them over."""
+"""The coordinator of a node: claims workers, reads them, gives grants, and hands them over."""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,18 +10,18 @@
 from foxwinch.backends.ports import EnginePort
 from foxwinch.clock import Clock
 from foxwinch.configuration.ports import ConfigurationSnapshot, ConfigurationView
-from foxwinch.core.membership.entry import GossipEntry, GossipKind
-from foxwinch.core.steward.assignment import (
+from foxwinch.core.coordinator.assignment import (
     AssignmentAction,
     Claim,
+    CoordinatorAssignment,
+    CoordinatorState,
     Lost,
     Release,
     Resource,
     Resync,
-    StewardAssignment,
-    StewardState,
 )
-from foxwinch.core.steward.grant_ledger import GrantLedger
+from foxwinch.core.coordinator.grant_ledger import GrantLedger
+from foxwinch.core.membership.entry import GossipEntry, GossipKind
 from foxwinch.identifiers import Epoch, ModelName, NodeId, WorkerId, ZoneName
 from foxwinch.log import EventLog
 from foxwinch.membership.ports import GossipView, MembershipView
@@ -30,20 +30,25 @@
 from foxwinch.service_tasks import ServiceTasks
 from foxwinch.storage.ports import MachinePort
 from foxwinch.workers.cache_evacuation import CacheEvacuation
+from foxwinch.workers.coordinator_directory import (
+    CoordinatorDirectory,
+    resource_worker,
+    worker_resource,
+)
+from foxwinch.workers.coordinator_grants import LOWEST_RANK, CoordinatorGrants
+from foxwinch.workers.coordinator_handlers import CoordinatorHandlers
+from foxwinch.workers.coordinator_metrics import CoordinatorMetrics
+from foxwinch.workers.coordinator_pools import CoordinatorPools
 from foxwinch.workers.engine_retries import EngineRetries
 from foxwinch.workers.ports import EpochView
-from foxwinch.workers.steward_desk import StewardDesk
-from foxwinch.workers.steward_directory import StewardDirectory, resource_worker, worker_resource
-from foxwinch.workers.steward_grants import LOWEST_RANK, StewardGrants
-from foxwinch.workers.steward_metrics import StewardMetrics
-from foxwinch.workers.steward_pools import StewardPools
 from foxwinch.workers.waiting import wait_for_event
 from foxwinch.workers.worker_drains import WorkerDrains
 
 TICK_SECONDS = 0.25
 """Period of looking at members, leases and waiting calls when nothing wakes the service."""
 HANDOVER_SECONDS = 5.0
-"""For word of the next steward's claim, which comes by gossip and may stand behind much else."""
+"""For word of the next coordinator's claim, which comes by gossip and may stand behind much
+else."""
 DIGEST_SECONDS = 2.0
 DIGEST_SECONDS_PER_MEMBER = 0.3
 """While only queue lengths change a digest is spread at most once in the longer of these, the
@@ -53,8 +58,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StewardPorts:
-    """What the steward needs of its node."""
+class CoordinatorPorts:
+    """What the coordinator needs of its node."""
 
     node: NodeId
     clock: Clock
@@ -68,10 +73,10 @@
     registry: CollectorRegistry
 
 
-class StewardService:
+class CoordinatorService:
     """Runs the assignment of this node; `desk` answers owners."""
 
-    def __init__(self, ports: StewardPorts, directory: StewardDirectory) -> None:
+    def __init__(self, ports: CoordinatorPorts, directory: CoordinatorDirectory) -> None:
         """Build the parts; nothing runs before `start`."""
         self._ports = ports
         self._directory = directory
@@ -80,10 +85,10 @@
         self._evacuation = CacheEvacuation(ports.engine)
         self._wake = asyncio.Event()
         self._drains = WorkerDrains(ports.gossip, ports.machines, ports.clock, self._wake.set)
-        self.pools = StewardPools(
+        self.pools = CoordinatorPools(
             ports.engine, ports.clock, self._ledger, self._retries, self._drains, self._evacuate
         )
-        self._grants = StewardGrants(
+        self._grants = CoordinatorGrants(
             ports.engine,
             ports.clock,
             ports.configuration,
@@ -93,7 +98,7 @@
             self._drains,
             self._fenced,
         )
-        self.desk = StewardDesk(
+        self.desk = CoordinatorHandlers(
             ports.engine,
             ports.clock,
             self.pools,
@@ -102,8 +107,8 @@
             self._grants,
             self.state_of,
         )
-        self._metrics = StewardMetrics(ports.registry)
-        self._assignment: StewardAssignment | None = None
+        self._metrics = CoordinatorMetrics(ports.registry)
+        self._assignment: CoordinatorAssignment | None = None
         self._tasks = ServiceTasks("steward")
         self._extra: tuple[Resource, ...] = ()
         self._draining = False
@@ -112,10 +117,10 @@
         self._digest_version = 0
         self._digest_at = float("-inf")
 
-    def state_of(self, worker: WorkerId) -> StewardState:
+    def state_of(self, worker: WorkerId) -> CoordinatorState:
         """Return what this node is to a worker."""
         if self._assignment is None:
-            return StewardState.UNASSIGNED
+            return CoordinatorState.UNASSIGNED
         return self._assignment.state(worker_resource(worker))
 
     def hold_also(self, resource: Resource) -> None:
@@ -126,14 +131,14 @@
         """Return the epoch of a resource that this node serves, or None."""
         if self._assignment is None or self._draining:
             return None
-        if self._assignment.state(resource) is not StewardState.SERVING:
+        if self._assignment.state(resource) is not CoordinatorState.SERVING:
             return None
         return self._assignment.held().get(resource)
 
     async def start(self) -> None:
         """Serve fellow nodes and begin to claim."""
         member = self._ports.membership.this_member()
-        self._assignment = StewardAssignment(self._ports.node, member.region, self._began_at())
+        self._assignment = CoordinatorAssignment(self._ports.node, member.region, self._began_at())
         self._ports.configuration.subscribe(self._configured)
         snapshot = self._ports.configuration.current()
         if not isinstance(snapshot, Refused):
@@ -181,7 +186,7 @@
             await wait_for_event(self._ports.clock, self._wake, TICK_SECONDS)
 
     def _tick(self) -> None:
-        assignment = cast(StewardAssignment, self._assignment)
+        assignment = cast(CoordinatorAssignment, self._assignment)
         now = self._ports.clock.monotonic()
         assignment.update_candidates(self._directory.candidates())
         assignment.update_holders(self._directory.holders())
@@ -225,7 +230,7 @@
                 self._let_go(worker)
 
     async def _claim(self, resource: str) -> None:
-        assignment = cast(StewardAssignment, self._assignment)
+        assignment = cast(CoordinatorAssignment, self._assignment)
         claim = await self._ports.epochs.raise_epoch(resource)
         if isinstance(claim, Refused):
             log.info("claim_refused", resource=resource, reason=claim.reason)
@@ -236,7 +241,7 @@
         self._wake.set()
 
     def _resync(self, action: Resync, worker: WorkerId | None) -> None:
-        assignment = cast(StewardAssignment, self._assignment)
+        assignment = cast(CoordinatorAssignment, self._assignment)
         if worker is None:
             assignment.resynced(action.resource, action.epoch)
             return
@@ -249,16 +254,16 @@
 
     def _fenced(self, worker: WorkerId, epoch: Epoch) -> None:
         """A worker has refused an epoch of this node: somebody holds a higher one."""
-        assignment = cast(StewardAssignment, self._assignment)
+        assignment = cast(CoordinatorAssignment, self._assignment)
         for action in assignment.fenced(worker_resource(worker), Epoch(epoch + 1)):
             self._carry_out(action)
         self._wake.set()
 
-    def _finish_handovers(self, assignment: StewardAssignment) -> None:
+    def _finish_handovers(self, assignment: CoordinatorAssignment) -> None:
         """End a handover that no other node will take up, once its grants are over."""
         alone = not any(c.node != self._ports.node for c in self._directory.candidates())
         for resource, epoch in assignment.held().items():
-            if assignment.state(resource) is not StewardState.RELEASING:
+            if assignment.state(resource) is not CoordinatorState.RELEASING:
                 continue
             worker = resource_worker(resource)
             if worker is None:
@@ -290,7 +295,7 @@
 
     # --- the digest --------------------------------------------------------------------------
 
-    def _publish(self, assignment: StewardAssignment, now: float) -> None:
+    def _publish(self, assignment: CoordinatorAssignment, now: float) -> None:
         """Spread what has changed: who holds what at once, queue lengths at a slower pace."""
         digest = StewardDigest(draining=self._draining, held=self._held_resources(assignment))
         held_part = digest.SerializeToString(deterministic=True)
@@ -305,7 +310,7 @@
         self._digest, self._digest_held, self._digest_at = payload, held_part, now
         self._digest_version += 1
         entry = GossipEntry(
-            GossipKind.STEWARD, str(self._ports.node), self._digest_version, payload
+            GossipKind.COORDINATOR, str(self._ports.node), self._digest_version, payload
         )
         self._ports.gossip.publish(entry)
 
@@ -313,12 +318,12 @@
         members = len(self._ports.membership.members())
         return max(DIGEST_SECONDS, DIGEST_SECONDS_PER_MEMBER * members)
 
-    def _held_resources(self, assignment: StewardAssignment) -> list[HeldResource]:
+    def _held_resources(self, assignment: CoordinatorAssignment) -> list[HeldResource]:
         found: list[HeldResource] = []
         for resource, epoch in sorted(assignment.held().items()):
             worker = resource_worker(resource)
             held = self.pools.held().get(worker) if worker else None
-            releasing = assignment.state(resource) is StewardState.RELEASING
+            releasing = assignment.state(resource) is CoordinatorState.RELEASING
             item = HeldResource(name=resource, epoch=epoch, releasing=releasing)
             if held is not None and held.ready and held.link.report is not None:
                 item.leaving = held.leaving
--- a/src/foxwinch/workers/engine_retries.py
+++ b/src/foxwinch/workers/engine_retries.py
@@ -79,7 +79,7 @@
             self.drop(key)
 
     def drop_worker(self, worker: WorkerId) -> None:
-        """Give up what concerns a worker that is gone, or is another steward's now."""
+        """Give up what concerns a worker that is gone, or is another coordinator's now."""
         for key in [key for key in self._tasks if key.worker == worker]:
             self.drop(key)
 
--- a/src/foxwinch/workers/grant_reports.py
+++ b/src/foxwinch/workers/grant_reports.py
@@ -1,8 +1,8 @@
-"""What an owner still has to tell the stewards about its grants and programs.
+"""What an owner still has to tell the coordinators about its grants and programs.
 
-Every item stays until the steward that now serves its worker has answered, or until no such worker
-exists any more. Items are idempotent, so that a report whose answer was lost is sent again. A
-steward that dies with a report loses nothing: the next one of the worker is told.
+Every item stays until the coordinator that now serves its worker has answered, or until no such
+worker exists any more. Items are idempotent, so that a report whose answer was lost is sent
+again. A coordinator that dies with a report loses nothing: the next one of the worker is told.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,14 +19,14 @@
     WithdrawnAsk,
 )
 from foxwinch.identifiers import CallId, NodeId, ProgramId, WorkerId
+from foxwinch.workers.coordinator_messages import settled_message
 from foxwinch.workers.ports import Grant, GrantUsage
-from foxwinch.workers.steward_messages import settled_message
 
 ITEMS_PER_REPORT = 256
 """Bounds one message; the rest goes with the next."""
 PROGRAMS_REMEMBERED = 20_000
 """Programs whose workers are known; of an older one every worker is asked to release."""
-StewardOf = Callable[[WorkerId], NodeId | None]
+CoordinatorOf = Callable[[WorkerId], NodeId | None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,9 +44,9 @@
 
 @dataclass(slots=True)
 class Report:
-    """One message to one steward, and what it settles when answered."""
+    """One message to one coordinator, and what it settles when answered."""
 
-    steward: NodeId
+    coordinator: NodeId
     message: GrantReport = field(default_factory=GrantReport)
     settled: list[int] = field(default_factory=list)
     """Sequences of the asks whose grants are given back."""
@@ -107,9 +107,9 @@
         self._workers.setdefault(program_id, set()).add(grant.worker)
         self._last_worker[program_id] = grant.worker
 
-    def withdrew(self, call_id: CallId, sequence: int, steward: NodeId) -> None:
+    def withdrew(self, call_id: CallId, sequence: int, coordinator: NodeId) -> None:
         """A request was given up; its grant may be under way."""
-        self._withdrawn[sequence] = (call_id, steward)
+        self._withdrawn[sequence] = (call_id, coordinator)
 
     def settle(self, grant: Grant, usage: GrantUsage) -> None:
         """Give a grant back; a second time has no effect."""
@@ -145,7 +145,7 @@
             self._finished.setdefault(program_id, set()).update(workers)
 
     def forget_gone(self, workers: set[WorkerId], members: set[NodeId]) -> None:
-        """Drop items about workers out of the configuration and stewards that are gone."""
+        """Drop items about workers out of the configuration and coordinators that are gone."""
         for sequence, (grant, _) in list(self._settled.items()):
             if grant.worker not in workers:
                 del self._settled[sequence]
@@ -160,16 +160,16 @@
             if not served:
                 del self._finished[program_id]
 
-    def build(self, steward_of: StewardOf) -> list[Report]:
-        """Return a report for each steward that there is something to tell."""
-        reports = _ReportSet(steward_of)
+    def build(self, coordinator_of: CoordinatorOf) -> list[Report]:
+        """Return a report for each coordinator that there is something to tell."""
+        reports = _ReportSet(coordinator_of)
         self._build_calls(reports)
         self._build_paused(reports)
         self._build_finished(reports)
         return reports.all()
 
     def answered(self, report: Report, answer: GrantReportAnswer) -> list[CallId]:
-        """Drop what a steward has taken in; returns held calls whose grant is void there."""
+        """Drop what a coordinator has taken in; returns held calls whose grant is void there."""
         for sequence in report.settled:
             self._settled.pop(sequence, None)
         for sequence in report.withdrawn:
@@ -204,7 +204,7 @@
 
     def _build_finished(self, reports: "_ReportSet") -> None:
         for program_id, workers in self._finished.items():
-            for node, served in reports.by_steward(workers).items():
+            for node, served in reports.by_coordinator(workers).items():
                 if (report := reports.with_room(reports.of_node(node))) is not None:
                     item = FinishedProgram(program_id=program_id, workers=sorted(served))
                     report.message.finished.append(item)
@@ -224,10 +224,10 @@
 
 
 class _ReportSet:
-    """Reports under construction, one for each steward."""
+    """Reports under construction, one for each coordinator."""
 
-    def __init__(self, steward_of: StewardOf) -> None:
-        self._steward_of = steward_of
+    def __init__(self, coordinator_of: CoordinatorOf) -> None:
+        self._coordinator_of = coordinator_of
         self._reports: dict[NodeId, Report] = {}
 
     def all(self) -> list[Report]:
@@ -235,22 +235,22 @@
         return list(self._reports.values())
 
     def of_node(self, node: NodeId) -> Report:
-        """Return the report to a steward."""
+        """Return the report to a coordinator."""
         return self._reports.setdefault(node, Report(node))
 
     def of_worker(self, worker: WorkerId) -> Report | None:
-        """Return the report to the steward of a worker, if it has one now."""
-        node = self._steward_of(worker)
+        """Return the report to the coordinator of a worker, if it has one now."""
+        node = self._coordinator_of(worker)
         return None if node is None else self.of_node(node)
 
     def with_room(self, report: Report | None) -> Report | None:
         """Return the report unless it is full."""
         return None if report is None or report.is_full() else report
 
-    def by_steward(self, workers: Iterable[WorkerId]) -> dict[NodeId, set[WorkerId]]:
-        """Return the workers that have a steward now, grouped by it."""
+    def by_coordinator(self, workers: Iterable[WorkerId]) -> dict[NodeId, set[WorkerId]]:
+        """Return the workers that have a coordinator now, grouped by it."""
         found: dict[NodeId, set[WorkerId]] = {}
         for worker in workers:
-            if (node := self._steward_of(worker)) is not None:
+            if (node := self._coordinator_of(worker)) is not None:
                 found.setdefault(node, set()).add(worker)
         return found
--- a/src/foxwinch/workers/grants_service.py
+++ b/src/foxwinch/workers/grants_service.py
@@ -1,4 +1,4 @@
-"""The owner's side of grants: finds stewards, asks them, and reports until it is answered."""
+"""The owner's side of grants: finds coordinators, asks them, and reports until it is answered."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,12 +10,12 @@
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.service_tasks import ServiceTasks
+from foxwinch.workers.coordinator_cache import CoordinatorCache
+from foxwinch.workers.coordinator_client import CoordinatorClient
+from foxwinch.workers.coordinator_directory import CoordinatorDirectory, ServingCoordinator
+from foxwinch.workers.coordinator_messages import ask_message, grant_of
 from foxwinch.workers.grant_reports import GrantReports, Report
 from foxwinch.workers.ports import Grant, GrantRequest, GrantUsage
-from foxwinch.workers.steward_choices import StewardChoices
-from foxwinch.workers.steward_client import StewardClient
-from foxwinch.workers.steward_directory import ServingSteward, StewardDirectory
-from foxwinch.workers.steward_messages import ask_message, grant_of
 from foxwinch.workers.waiting import wait_for_event
 
 REPORT_SECONDS = 2.0
@@ -23,14 +23,14 @@
 GATHER_SECONDS = 0.005
 """Reports of so long go together; short beside a call, which lasts tenths of a second."""
 RETRY_SECONDS = 0.2
-"""Pause before an unanswered report, and before a further search for a steward."""
+"""Pause before an unanswered report, and before a further search for a coordinator."""
 DRAIN_SECONDS = 5.0
-"""A planned stop waits so long for stewards to answer the last reports."""
-NO_STEWARD_SECONDS = 10.0
-"""A request waits at most so long for a worker to get a steward: about two detections of a dead
+"""A planned stop waits so long for coordinators to answer the last reports."""
+NO_COORDINATOR_SECONDS = 10.0
+"""A request waits at most so long for a worker to get a coordinator: about two detections of a dead
 node with the takeover after them. Then it is refused, with a time to come back."""
 COME_BACK_SECONDS = 2.0
-"""When to ask again after no steward was found."""
+"""When to ask again after no coordinator was found."""
 PREFILL_TOKEN_SECONDS = 0.0002
 """Estimated time to compute one prompt token; weighs a cached prefix against a shorter queue."""
 ELSEWHERE = frozenset(
@@ -42,37 +42,37 @@
         Reason.BACKEND_UNAVAILABLE,
     }
 )
-"""Refusals after which another steward may grant; asking twice for a grant harms nothing."""
+"""Refusals after which another coordinator may grant; asking twice for a grant harms nothing."""
 
 log = EventLog("grants")
 
 
 @dataclass(slots=True)
 class _Search:
-    """One request on its way from steward to steward."""
+    """One request on its way from coordinator to coordinator."""
 
     request: GrantRequest
     asked_at: float
     waiting_since: float
-    """Since when no steward has kept the request in its queue."""
+    """Since when no coordinator has kept the request in its queue."""
     last_refusal: Refused | None = None
     refused_by: set[NodeId] = field(default_factory=set)
-    """Stewards that could not grant it; the others are asked before them."""
+    """Coordinators that could not grant it; the others are asked before them."""
 
 
 class GrantsService:
-    """Implements `foxwinch.workers.ports.GrantView` over all stewards of the region."""
+    """Implements `foxwinch.workers.ports.GrantView` over all coordinators of the region."""
 
     def __init__(
         self,
-        directory: StewardDirectory,
-        client: StewardClient,
+        directory: CoordinatorDirectory,
+        client: CoordinatorClient,
         configuration: ConfigurationView,
         clock: Clock,
     ) -> None:
         """Ask by `client` whom `directory` names."""
         self._directory = directory
-        self._choices = StewardChoices(directory, clock)
+        self._choices = CoordinatorCache(directory, clock)
         self._client = client
         self._configuration = configuration
         self._clock = clock
@@ -85,7 +85,7 @@
         self._tasks.keep(self._report_for_ever())
 
     async def stop(self) -> None:
-        """Stop reporting; what is untold expires at the stewards."""
+        """Stop reporting; what is untold expires at the coordinators."""
         await self._tasks.stop()
 
     async def drain(self) -> None:
@@ -109,14 +109,14 @@
             if self._clock.monotonic() >= request.deadline_at_seconds:
                 detail = "no worker was granted before the deadline"
                 return not_run(Reason.DEADLINE, detail, COME_BACK_SECONDS)
-            steward = self._choose(search)
-            if steward is None:
-                refused = await self._wait_for_steward(search)
+            coordinator = self._choose(search)
+            if coordinator is None:
+                refused = await self._wait_for_coordinator(search)
             else:
-                answer = await self._ask(steward, search)
+                answer = await self._ask(coordinator, search)
                 if not isinstance(answer, Refused):
                     return self._accept(request, answer, search)
-                search.refused_by.add(steward.member.node)
+                search.refused_by.add(coordinator.member.node)
                 refused = await self._after_refusal(answer, search)
             if refused is not None:
                 return refused
@@ -142,8 +142,8 @@
 
     # --- asking ------------------------------------------------------------------------------
 
-    def _choose(self, search: _Search) -> ServingSteward | None:
-        """Return the cheapest of the steward with the prefix and two others drawn at random."""
+    def _choose(self, search: _Search) -> ServingCoordinator | None:
+        """Return the cheapest of the coordinator with the prefix and two others drawn at random."""
         request = search.request
         serving = self._choices.serving(request.model)
         unasked = [s for s in serving if s.member.node not in search.refused_by]
@@ -153,28 +153,28 @@
         if len(serving) <= 1:
             return serving[0] if serving else None
         worker = self._reports.last_worker(request.program_id)
-        holder = self._choices.steward_of(worker) if worker else None
-        chosen = [steward for steward in serving if steward.member.node == holder]
+        holder = self._choices.coordinator_of(worker) if worker else None
+        chosen = [coordinator for coordinator in serving if coordinator.member.node == holder]
         chosen += [self._draw(serving), self._draw(serving)]
         return min(chosen, key=lambda s: _cost(s, request, s.member.node == holder))
 
-    def _draw(self, serving: list[ServingSteward]) -> ServingSteward:
+    def _draw(self, serving: list[ServingCoordinator]) -> ServingCoordinator:
         return serving[int(self._clock.uniform() * len(serving))]
 
-    async def _ask(self, steward: ServingSteward, search: _Search) -> GrantGiven | Refused:
+    async def _ask(self, coordinator: ServingCoordinator, search: _Search) -> GrantGiven | Refused:
         now = self._clock.monotonic()
         sequence = self._reports.next_sequence()
         ask = ask_message(search.request, now, now - search.asked_at, sequence)
         told = False
         try:
-            answer = await self._client.acquire(steward.member, ask)
+            answer = await self._client.acquire(coordinator.member, ask)
             told = not isinstance(answer, Refused) or answer.reason is not Reason.PEER_UNREACHABLE
             return answer
         finally:
             if self._clock.monotonic() - now > RETRY_SECONDS:
                 search.waiting_since = self._clock.monotonic()
             if not told:
-                self._reports.withdrew(search.request.call_id, sequence, steward.member.node)
+                self._reports.withdrew(search.request.call_id, sequence, coordinator.member.node)
                 self._news.set()
 
     def _accept(self, request: GrantRequest, given: GrantGiven, search: _Search) -> Grant:
@@ -183,16 +183,16 @@
         return grant
 
     async def _after_refusal(self, refused: Refused, search: _Search) -> Refused | None:
-        """Go on elsewhere after a refusal that is about the steward; else return it."""
+        """Go on elsewhere after a refusal that is about the coordinator; else return it."""
         if refused.reason not in ELSEWHERE:
             return refused
         search.last_refusal = refused
-        return await self._wait_for_steward(search)
+        return await self._wait_for_coordinator(search)
 
-    async def _wait_for_steward(self, search: _Search) -> Refused | None:
-        """Wait a little for a change; refuse when no steward could be asked for too long."""
+    async def _wait_for_coordinator(self, search: _Search) -> Refused | None:
+        """Wait a little for a change; refuse when no coordinator could be asked for too long."""
         now = self._clock.monotonic()
-        if now - search.waiting_since >= NO_STEWARD_SECONDS:
+        if now - search.waiting_since >= NO_COORDINATOR_SECONDS:
             detail = f"no worker of model {search.request.model} has a steward"
             if search.last_refusal is not None:
                 detail = search.last_refusal.detail
@@ -232,7 +232,7 @@
 
     async def _report_once(self) -> None:
         self._reports.forget_gone(self._known_workers(), self._directory.present())
-        reports = self._reports.build(self._choices.steward_of)
+        reports = self._reports.build(self._choices.coordinator_of)
         await asyncio.gather(*(self._deliver(report) for report in reports))
 
     def _known_workers(self) -> set[WorkerId]:
@@ -241,27 +241,27 @@
         return workers or {grant.worker for grant in self._reports.held()}
 
     async def _deliver(self, report: Report) -> None:
-        member = self._directory.member(report.steward)
+        member = self._directory.member(report.coordinator)
         if member is None:
             return
         answer = await self._client.report(member, report.message)
         if isinstance(answer, Refused):
             return
         for call_id in self._reports.answered(report, answer):
-            log.info("grant_void", call=call_id, steward=report.steward)
+            log.info("grant_void", call=call_id, steward=report.coordinator)
 
 
-def _cost(steward: ServingSteward, request: GrantRequest, is_sticky: bool) -> float:
+def _cost(coordinator: ServingCoordinator, request: GrantRequest, is_sticky: bool) -> float:
     """Return the predicted seconds until the first token."""
-    cached = 1.0 if is_sticky else _cached_share(steward, request)
+    cached = 1.0 if is_sticky else _cached_share(coordinator, request)
     prefill = (1.0 - cached) * request.prompt_tokens * PREFILL_TOKEN_SECONDS
-    return steward.predicted_wait_seconds + prefill
+    return coordinator.predicted_wait_seconds + prefill
 
 
-def _cached_share(steward: ServingSteward, request: GrantRequest) -> float:
-    """Return the share of the prompt that a hot prefix of the steward covers."""
+def _cached_share(coordinator: ServingCoordinator, request: GrantRequest) -> float:
+    """Return the share of the prompt that a hot prefix of the coordinator covers."""
     blocks = len(request.prefix_hashes)
     for index in range(blocks - 1, -1, -1):
-        if request.prefix_hashes[index] in steward.hot_prefixes:
+        if request.prefix_hashes[index] in coordinator.hot_prefixes:
             return (index + 1) / blocks
     return 0.0
--- a/src/foxwinch/workers/orders_service.py
+++ b/src/foxwinch/workers/orders_service.py
@@ -1,6 +1,6 @@
 """Reconciles the models of all workers of a region with the configuration.
 
-Every node runs this service; the one that holds the region's orders epoch decides. The stewards
+Every node runs this service; the one that holds the region's orders epoch decides. The coordinators
 carry the orders out under their workers' epochs and refuse a decider that has been replaced.
 """
 
@@ -10,17 +10,17 @@
 from foxwinch._generated.steward_pb2 import StewardedWorker, StewardedWorkers, WorkerOrder
 from foxwinch.clock import Clock
 from foxwinch.configuration.ports import ConfigurationView
+from foxwinch.core.coordinator.assignment import Resource
 from foxwinch.core.orders.model import ModelGoal, Order, OrderKind, WorkerActual
 from foxwinch.core.orders.reconciler import OrderPolicy, OrderReconciler
-from foxwinch.core.steward.assignment import Resource
 from foxwinch.identifiers import Epoch, ModelName, RegionName, WorkerId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, RunState
 from foxwinch.service_tasks import ServiceTasks
 from foxwinch.settings.cluster import ClusterConfiguration
-from foxwinch.workers.steward_client import StewardClient
-from foxwinch.workers.steward_directory import StewardDirectory
-from foxwinch.workers.steward_service import StewardService
+from foxwinch.workers.coordinator_client import CoordinatorClient
+from foxwinch.workers.coordinator_directory import CoordinatorDirectory
+from foxwinch.workers.coordinator_service import CoordinatorService
 
 DECIDE_SECONDS = 2.0
 """Period of comparing: reports lag by a second, and loading takes tens of seconds."""
@@ -49,16 +49,16 @@
     def __init__(
         self,
         region: RegionName,
-        steward: StewardService,
-        directory: StewardDirectory,
-        client: StewardClient,
+        coordinator: CoordinatorService,
+        directory: CoordinatorDirectory,
+        client: CoordinatorClient,
         configuration: ConfigurationView,
         clock: Clock,
         policy: OrderPolicy,
     ) -> None:
-        """Have the orders epoch assigned among the nodes by `steward`."""
+        """Have the orders epoch assigned among the nodes by `coordinator`."""
         self._resource = orders_resource(region)
-        self._steward = steward
+        self._coordinator = coordinator
         self._directory = directory
         self._client = client
         self._configuration = configuration
@@ -70,7 +70,7 @@
         self._deliveries = ServiceTasks("order_deliveries")
         self._versions: dict[tuple[WorkerId, ModelName], str] = {}
         self._adapters: dict[WorkerId, set[tuple[ModelName, str]]] = {}
-        steward.hold_also(self._resource)
+        coordinator.hold_also(self._resource)
 
     async def start(self) -> None:
         """Start deciding whenever this node holds the epoch."""
@@ -90,7 +90,7 @@
 
     async def _follow_epoch(self) -> None:
         """Begin anew under a new epoch: what an earlier decider did is read from the workers."""
-        epoch = self._steward.epoch_of(self._resource.name)
+        epoch = self._coordinator.epoch_of(self._resource.name)
         if epoch == self._epoch:
             return
         await self._deliveries.stop()
@@ -124,7 +124,7 @@
             self._deliveries.keep(self._deliver(order, reconciler))
 
     async def _actual(self, document: ClusterConfiguration) -> list[WorkerActual]:
-        members = [self._directory.member(node) for node in sorted(self._directory.stewards())]
+        members = [self._directory.member(node) for node in sorted(self._directory.coordinators())]
         asked = (self._client.describe(member) for member in members if member is not None)
         answers = await asyncio.gather(*asked)
         pools = {WorkerId(worker.name): worker.pool for worker in document.workers}
@@ -170,7 +170,7 @@
 
     async def _send(self, order: Order) -> Refused | None:
         """Return None when the order was carried out."""
-        node = self._directory.steward_of(order.worker)
+        node = self._directory.coordinator_of(order.worker)
         member = None if node is None else self._directory.member(node)
         if member is None:
             return Refused(Reason.NOT_OWNER, RunState.NOT_RUN, "the worker has no steward")
--- a/src/foxwinch/workers/pool_driver.py
+++ b/src/foxwinch/workers/pool_driver.py
@@ -5,7 +5,7 @@
 
 from foxwinch.backends.ports import Done, EnginePort
 from foxwinch.clock import Clock
-from foxwinch.core.steward.actions import (
+from foxwinch.core.coordinator.actions import (
     Dispatch,
     MovePrefix,
     PoolAction,
@@ -13,8 +13,8 @@
     ReleaseCache,
     ResyncCache,
 )
-from foxwinch.core.steward.calls import PoolCall, WorkerDescription
-from foxwinch.core.steward.events import (
+from foxwinch.core.coordinator.calls import PoolCall, WorkerDescription
+from foxwinch.core.coordinator.events import (
     CallArrived,
     CallWithdrawn,
     PoolEvent,
@@ -24,8 +24,8 @@
     WorkerLeaving,
     WorkerLeft,
 )
-from foxwinch.core.steward.policy import PolicySettings
-from foxwinch.core.steward.scheduler import PoolScheduler
+from foxwinch.core.coordinator.policy import PolicySettings
+from foxwinch.core.coordinator.scheduler import PoolScheduler
 from foxwinch.identifiers import CallId, ModelName, ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.workers.engine_retries import EngineRetries, RetriedKey, RetriedKind
@@ -109,7 +109,7 @@
         self._refuse_unservable()
 
     def remove_worker(self, worker: WorkerId) -> None:
-        """Forget a worker that is gone or another steward's."""
+        """Forget a worker that is gone or another coordinator's."""
         if self._workers.pop(worker, None) is not None:
             self._joined.discard(worker)
             self.handle(WorkerLeft(worker))
--- a/src/foxwinch/workers/ports.py
+++ b/src/foxwinch/workers/ports.py
@@ -1,4 +1,4 @@
-"""What other parts of a node ask of the stewards of workers: epochs and grants."""
+"""What other parts of a node ask of the coordinators of workers: epochs and grants."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -86,11 +86,11 @@
     not_run: bool = False
     """True when the worker itself refused the call without running it."""
     fenced: bool = False
-    """True when it refused because it has seen a newer epoch: the steward has been replaced."""
+    """True when it refused because it has seen a newer epoch: the coordinator has been replaced."""
 
 
 class GrantView(Protocol):
-    """Access to the stewards of all workers."""
+    """Access to the coordinators of all workers."""
 
     async def acquire(self, request: GrantRequest) -> Grant | Refused:
         """Wait for a grant; cancelling the wait withdraws the request."""
--- a/src/foxwinch/workers/worker_drains.py
+++ b/src/foxwinch/workers/worker_drains.py
@@ -13,7 +13,7 @@
 from foxwinch.outcomes import Refused
 from foxwinch.service_tasks import ServiceTasks
 from foxwinch.storage.ports import MachinePort
-from foxwinch.workers.steward_directory import worker_resource
+from foxwinch.workers.coordinator_directory import worker_resource
 
 LIST_SECONDS = 1.0
 """Period of reading the machine list: a leaving worker gets no new work within 3 s of it."""
--- a/src/foxwinch/workers/worker_link.py
+++ b/src/foxwinch/workers/worker_link.py
@@ -1,4 +1,4 @@
-"""What a steward reads from one worker: its lagging load and its late, gapped cache events."""
+"""What a coordinator reads from one worker: its lagging load and its late, gapped cache events."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 
 from foxwinch.backends.ports import CacheEventPage, EnginePort, LoadReport
 from foxwinch.clock import Clock
-from foxwinch.core.steward.events import BlockChange, CacheChanged
+from foxwinch.core.coordinator.events import BlockChange, CacheChanged
 from foxwinch.identifiers import WorkerId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, outcome_unknown
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerLinkEvents:
-    """What the steward is told."""
+    """What the coordinator is told."""
 
     reported: Callable[[WorkerId, LoadReport], None]
     cache_changed: Callable[[CacheChanged], None]
@@ -35,7 +35,7 @@
 
 
 class WorkerLink:
-    """Polls one worker while this node is its steward."""
+    """Polls one worker while this node is its coordinator."""
 
     def __init__(
         self, worker: WorkerId, engine: EnginePort, clock: Clock, events: WorkerLinkEvents
--- a/tests/steward_cluster.py
+++ b/tests/coordinator_cluster.py
@@ -1,4 +1,4 @@
-"""Stewards and owners of several nodes on virtual time, over stand-in engines and a network."""
+"""Coordinators and owners of several nodes on virtual time, over stand-in engines and a network."""
 
 import asyncio
 from pathlib import Path
@@ -19,12 +19,12 @@
 from foxwinch.settings.base import check, read_toml
 from foxwinch.settings.cluster import ClusterConfiguration
 from foxwinch.storage.ports import Machine
+from foxwinch.workers.coordinator_client import CoordinatorClient
+from foxwinch.workers.coordinator_directory import CoordinatorDirectory
+from foxwinch.workers.coordinator_service import CoordinatorPorts, CoordinatorService
 from foxwinch.workers.grants_service import GrantsService
 from foxwinch.workers.orders_service import OrdersService
 from foxwinch.workers.ports import GrantRequest, GrantUsage
-from foxwinch.workers.steward_client import StewardClient
-from foxwinch.workers.steward_directory import StewardDirectory
-from foxwinch.workers.steward_service import StewardPorts, StewardService
 
 CLEDWYN = Path(__file__).parents[1] / "examples" / "cledwyn.toml"
 MODEL = "rail-chat"
@@ -77,7 +77,7 @@
 
 
 class Node:
-    """One node's steward and owner sides."""
+    """One node's coordinator and owner sides."""
 
     def __init__(self, cluster, number, address):
         name = f"n{number}"
@@ -89,8 +89,8 @@
         self.views = Views(cluster, member)
         cluster.members[name] = member
         configuration = LocalConfiguration(cluster.document)
-        self.directory = StewardDirectory(self.views, self.views)
-        ports = StewardPorts(
+        self.directory = CoordinatorDirectory(self.views, self.views)
+        ports = CoordinatorPorts(
             node=name,
             clock=self.clock,
             engine=cluster.engine,
@@ -102,12 +102,12 @@
             machines=InProcessMachines(cluster.machines, self.clock),
             registry=CollectorRegistry(),
         )
-        self.steward = StewardService(ports, self.directory)
-        client = StewardClient(name, self.steward.desk, self.peers)
+        self.coordinator = CoordinatorService(ports, self.directory)
+        client = CoordinatorClient(name, self.coordinator.desk, self.peers)
         self.grants = GrantsService(self.directory, client, configuration, self.clock)
         self.orders = OrdersService(
             "cymru",
-            self.steward,
+            self.coordinator,
             self.directory,
             client,
             configuration,
@@ -116,17 +116,17 @@
         )
 
     async def start(self):
-        await self.steward.start()
+        await self.coordinator.start()
         await self.grants.start()
         await self.orders.start()
 
     async def stop(self):
         await self.orders.stop()
         await self.grants.stop()
-        await self.steward.stop()
+        await self.coordinator.stop()
 
 
-class StewardCluster:
+class CoordinatorCluster:
     """Nodes n0, n1, ... over the engine workers of the example."""
 
     def __init__(self, nodes=3, workers=4, empty=()):
@@ -172,7 +172,7 @@
             worker: node.name
             for node in self.nodes.values()
             for worker in self.engines
-            if node.steward.state_of(worker) == "serving" and not node.views.paused
+            if node.coordinator.state_of(worker) == "serving" and not node.views.paused
         }
 
     async def kill(self, name):
--- a/tests/idle_engine.py
+++ b/tests/idle_engine.py
@@ -1,4 +1,4 @@
-"""What a fake engine needs for a steward to hold it: an idle load, and every order done."""
+"""What a fake engine needs for a coordinator to hold it: an idle load, and every order done."""
 
 from foxwinch.backends.ports import CacheEventPage, Done, LoadReport
 
--- a/tests/test_call_retries.py
+++ b/tests/test_call_retries.py
@@ -85,7 +85,7 @@
     assert isinstance((await collect(rig.model()))[1], CallFinished)
 
 
-def test_repeats_and_refusals_are_counted_and_a_change_of_steward_costs_nothing():
+def test_repeats_and_refusals_are_counted_and_a_change_of_coordinator_costs_nothing():
     registry = CollectorRegistry()
     retries = CallRetries(registry)
     fenced = not_run(Reason.FENCED, "fenced")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -113,15 +113,15 @@
 def test_a_restarted_address_is_a_new_member_and_the_old_one_is_dead_at_once() -> None:
     fleet = fleet_of(6)
     watcher, old = fleet.running()[:2]
-    old.publish(GossipEntry(GossipKind.STEWARD, "digest/old", 1, b"x"))
+    old.publish(GossipEntry(GossipKind.COORDINATOR, "digest/old", 1, b"x"))
     fleet.run(3)
-    assert "digest/old" in watcher.engine.entries(GossipKind.STEWARD)
+    assert "digest/old" in watcher.engine.entries(GossipKind.COORDINATOR)
     old.kill()
     new = fleet.start(old.place)
     fleet.run(2)
     assert state_at(watcher, old) is MemberState.DEAD
     assert state_at(watcher, new) is MemberState.ALIVE
-    assert "digest/old" not in watcher.engine.entries(GossipKind.STEWARD)
+    assert "digest/old" not in watcher.engine.entries(GossipKind.COORDINATOR)
 
 
 def test_a_paused_member_is_declared_dead_and_refutes_when_it_wakes() -> None:
--- a/tests/test_orders_service.py
+++ b/tests/test_orders_service.py
@@ -1,10 +1,10 @@
-"""Orders reach the workers through their stewards, also when the deciding node dies."""
+"""Orders reach the workers through their coordinators, also when the deciding node dies."""
 
 import pytest
 
+from coordinator_cluster import MODEL, CoordinatorCluster, until
 from foxwinch._generated.steward_pb2 import WorkerOrder
 from foxwinch.outcomes import Reason
-from steward_cluster import MODEL, StewardCluster, until
 
 pytestmark = [pytest.mark.looptime]
 
@@ -19,7 +19,7 @@
 
 
 async def test_empty_workers_are_loaded_and_brought_to_the_version():
-    async with StewardCluster(workers=4, empty=("llm-2", "llm-4")) as cluster:
+    async with CoordinatorCluster(workers=4, empty=("llm-2", "llm-4")) as cluster:
         await until(lambda: loaded(cluster) == set(cluster.engines), 300.0)
         await until(
             lambda: all(e.versions.get(MODEL) == "1" for e in cluster.engines.values()
@@ -28,15 +28,15 @@
 
 
 async def test_orders_go_on_when_the_deciding_node_dies_in_the_middle():
-    async with StewardCluster(workers=4, empty=("llm-1", "llm-2", "llm-3")) as cluster:
+    async with CoordinatorCluster(workers=4, empty=("llm-1", "llm-2", "llm-3")) as cluster:
         await until(lambda: decider(cluster) and decider(cluster).orders._reconciler.in_flight())
         await cluster.kill(decider(cluster).name)
         await until(lambda: loaded(cluster) == set(cluster.engines), 400.0)
 
 
 async def test_a_replaced_decider_is_refused():
-    async with StewardCluster(nodes=1, workers=1) as cluster:
-        desk = cluster.nodes["n0"].steward.desk
+    async with CoordinatorCluster(nodes=1, workers=1) as cluster:
+        desk = cluster.nodes["n0"].coordinator.desk
         new = WorkerOrder(token="b-1", orders_epoch=8, worker="llm-1", kind="set_version",
                           model=MODEL, value="2")  # fmt: skip
         old = WorkerOrder(token="a-1", orders_epoch=7, worker="llm-1", kind="unload", model=MODEL)
--- a/tests/test_pool_scheduler.py
+++ b/tests/test_pool_scheduler.py
@@ -4,15 +4,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from foxwinch.core.steward.actions import (
+from foxwinch.core.coordinator.actions import (
     Dispatch,
     MovePrefix,
     RefuseCall,
     ReleaseCache,
     ResyncCache,
 )
-from foxwinch.core.steward.calls import PoolCall, WorkerDescription
-from foxwinch.core.steward.events import (
+from foxwinch.core.coordinator.calls import PoolCall, WorkerDescription
+from foxwinch.core.coordinator.events import (
     BlockChange,
     CacheChanged,
     CallArrived,
@@ -27,8 +27,8 @@
     WorkerLeaving,
     WorkerLeft,
 )
-from foxwinch.core.steward.policy import policy_for
-from foxwinch.core.steward.scheduler import PoolScheduler
+from foxwinch.core.coordinator.policy import policy_for
+from foxwinch.core.coordinator.scheduler import PoolScheduler
 from foxwinch.identifiers import CallId, ClassName, ModelName, ProgramId, TenantName, WorkerId
 from foxwinch.outcomes import RunState
 
--- a/tests/test_steward_assignment.py
+++ b/tests/test_steward_assignment.py
@@ -1,20 +1,20 @@
-"""Assignment of workers to stewards: one holder at a time, stable, replaced when it dies."""
+"""Assignment of workers to coordinators: one holder at a time, stable, replaced when it dies."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from foxwinch.core.steward.assignment import (
+from foxwinch.core.coordinator.assignment import (
     HANDOVER_SECONDS,
     SETTLING_SECONDS,
     Candidate,
     Claim,
+    CoordinatorAssignment,
+    CoordinatorState,
     Holder,
     Lost,
     Release,
     Resource,
     Resync,
-    StewardAssignment,
-    StewardState,
     preferred_node,
 )
 from foxwinch.identifiers import Epoch, NodeId, RegionName, ZoneName
@@ -33,13 +33,13 @@
 
 def serving(node, now=10.0):
     """An assignment of one node that serves the worker under epoch 1."""
-    assignment = StewardAssignment(NodeId(node), REGION, now - SETTLING_SECONDS)
+    assignment = CoordinatorAssignment(NodeId(node), REGION, now - SETTLING_SECONDS)
     assignment.update_resources([WORKER])
     assignment.update_candidates(candidates(node))
     assert assignment.advance(now) == [Claim(WORKER.name)]
     assert assignment.claimed(WORKER.name, Epoch(1)) == [Resync(WORKER.name, Epoch(1))]
     assignment.resynced(WORKER.name, Epoch(1))
-    assert assignment.state(WORKER.name) is StewardState.SERVING
+    assert assignment.state(WORKER.name) is CoordinatorState.SERVING
     return assignment
 
 
@@ -60,12 +60,12 @@
             assert preferred_node(worker, rest, REGION) == before
 
 
-def test_no_candidate_in_the_region_means_no_steward():
+def test_no_candidate_in_the_region_means_no_coordinator():
     assert preferred_node(WORKER, candidates("a"), RegionName("elsewhere")) is None
 
 
 def test_nothing_is_claimed_from_a_live_holder():
-    assignment = StewardAssignment(NodeId("a"), REGION, 0.0)
+    assignment = CoordinatorAssignment(NodeId("a"), REGION, 0.0)
     assignment.update_resources([WORKER])
     assignment.update_candidates(candidates("a"))
     assignment.update_holders({WORKER.name: Holder(NodeId("b"), Epoch(4))})
@@ -75,7 +75,7 @@
 
 
 def test_a_starting_node_waits_for_members_that_it_has_not_heard():
-    assignment = StewardAssignment(NodeId("a"), REGION, 0.0)
+    assignment = CoordinatorAssignment(NodeId("a"), REGION, 0.0)
     assignment.update_resources([WORKER])
     assignment.update_candidates(candidates("a"))
     assignment.update_unheard(True)
@@ -85,7 +85,7 @@
 
 
 def test_a_refused_claim_is_tried_again():
-    assignment = StewardAssignment(NodeId("a"), REGION, 0.0)
+    assignment = CoordinatorAssignment(NodeId("a"), REGION, 0.0)
     assignment.update_resources([WORKER])
     assignment.update_candidates(candidates("a"))
     assert assignment.advance(10.0) == [Claim(WORKER.name)]
@@ -125,7 +125,7 @@
     assignment.update_epochs({WORKER.name: Epoch(2)})
     assignment.update_holders({WORKER.name: Holder(NodeId("b"), Epoch(2))})
     assert assignment.advance(60.0) == [Lost(WORKER.name, Epoch(1))]
-    assert assignment.state(WORKER.name) is StewardState.UNASSIGNED
+    assert assignment.state(WORKER.name) is CoordinatorState.UNASSIGNED
 
 
 def test_draining_hands_over_and_claims_nothing():
@@ -151,7 +151,7 @@
 )
 def test_nodes_that_share_a_view_settle_on_one_holder_of_the_highest_epoch(steps):
     names = [f"n{i}" for i in range(4)]
-    cluster = {n: StewardAssignment(NodeId(n), REGION, 0.0) for n in names}
+    cluster = {n: CoordinatorAssignment(NodeId(n), REGION, 0.0) for n in names}
     up, epoch, now = set(names), 0, 0.0
     for action, index, pause in [*steps, ("up", 0, 8.0)] + [("up", 0, 6.0)] * 6:
         now += pause
@@ -168,13 +168,13 @@
                     epoch += 1
                     node.claimed(WORKER.name, Epoch(epoch))
                     node.resynced(WORKER.name, Epoch(epoch))
-    serving_now = [n for n in up if cluster[n].state(WORKER.name) is StewardState.SERVING]
+    serving_now = [n for n in up if cluster[n].state(WORKER.name) is CoordinatorState.SERVING]
     assert len(serving_now) == 1
     assert cluster[serving_now[0]].held()[WORKER.name] == epoch
 
 
 def releasing(node):
-    return node.state(WORKER.name) is StewardState.RELEASING
+    return node.state(WORKER.name) is CoordinatorState.RELEASING
 
 
 def highest_holder(cluster, up):
--- a/tests/test_steward_service.py
+++ b/tests/test_steward_service.py
@@ -1,15 +1,15 @@
-"""Stewards and owners together: grants, takeover, fencing, leaving workers, releases."""
+"""Coordinators and owners together: grants, takeover, fencing, leaving workers, releases."""
 
 import asyncio
 
 import pytest
 
+from coordinator_cluster import MODEL, CoordinatorCluster, request, run_call, until
 from foxwinch.backends.ports import GenerateFinished, GenerateOrder, Message
 from foxwinch.emulator.faults import EngineFaults
 from foxwinch.outcomes import Reason, Refused
 from foxwinch.workers.ports import Grant, GrantUsage
 from foxwinch.workers.worker_drains import drain_entry
-from steward_cluster import MODEL, StewardCluster, request, run_call, until
 
 pytestmark = [pytest.mark.looptime]
 
@@ -20,12 +20,12 @@
 
 
 def granted(cluster):
-    """Grants that stewards have given and not taken back."""
-    return sum(len(node.steward._ledger) for node in cluster.nodes.values())
+    """Grants that coordinators have given and not taken back."""
+    return sum(len(node.coordinator._ledger) for node in cluster.nodes.values())
 
 
-async def test_every_worker_has_one_steward_and_any_owner_gets_grants():
-    async with StewardCluster() as cluster:
+async def test_every_worker_has_one_coordinator_and_any_owner_gets_grants():
+    async with CoordinatorCluster() as cluster:
         assert set(cluster.serving()) == set(cluster.engines)
         for number, node in enumerate(cluster.nodes.values()):
             grant, last = await run_call(cluster, node, f"c{number}", f"p{number}")
@@ -34,16 +34,16 @@
         await until(lambda: granted(cluster) == 0)
 
 
-async def test_a_program_goes_back_to_the_steward_of_its_prefix():
-    async with StewardCluster() as cluster:
+async def test_a_program_goes_back_to_the_coordinator_of_its_prefix():
+    async with CoordinatorCluster() as cluster:
         node = cluster.nodes["n0"]
         grants = [(await run_call(cluster, node, f"c{i}"))[0] for i in range(6)]
-        stewards = {cluster.serving()[grant.worker] for grant in grants}
-        assert len(stewards) == 1
+        coordinators = {cluster.serving()[grant.worker] for grant in grants}
+        assert len(coordinators) == 1
 
 
 async def test_withdrawn_requests_leave_nothing_behind():
-    async with StewardCluster(workers=1) as cluster:
+    async with CoordinatorCluster(workers=1) as cluster:
         nodes = list(cluster.nodes.values())
         holding = [await nodes[0].grants.acquire(request(f"c{i}", f"p{i}")) for i in range(16)]
         assert all(isinstance(grant, Grant) for grant in holding)
@@ -59,7 +59,7 @@
 
 
 async def test_a_request_is_refused_at_its_deadline_as_not_run():
-    async with StewardCluster(workers=1) as cluster:
+    async with CoordinatorCluster(workers=1) as cluster:
         node = cluster.nodes["n0"]
         for i in range(16):
             await node.grants.acquire(request(f"c{i}", f"p{i}"))
@@ -69,10 +69,10 @@
 
 
 async def test_parallel_sub_agents_share_the_step_of_their_root_across_nodes():
-    async with StewardCluster(workers=1) as cluster:
+    async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         owner = next(node for node in cluster.nodes.values() if node.name != name)
-        scheduler = cluster.nodes[name].steward.pools.pool("llm-1").scheduler
+        scheduler = cluster.nodes[name].coordinator.pools.pool("llm-1").scheduler
         held = [await owner.grants.acquire(request(f"c{i}", f"p{i}", 600.0)) for i in range(16)]
         order, waiting = [], []
         for program in ("t/root~a", "t/newcomer", "t/root~b"):
@@ -97,8 +97,8 @@
 
 
 @pytest.mark.parametrize("workers", [1, 2])
-async def test_a_call_that_has_failed_at_a_stewards_only_worker_is_granted_again(workers):
-    async with StewardCluster(nodes=workers, workers=workers) as cluster:
+async def test_a_call_that_has_failed_at_a_coordinators_only_worker_is_granted_again(workers):
+    async with CoordinatorCluster(nodes=workers, workers=workers) as cluster:
         node = cluster.nodes["n0"]
         used = []
         for _ in range(3):
@@ -110,8 +110,8 @@
         assert len(set(used[:2])) == workers
 
 
-async def test_a_steward_killed_with_waiting_requests_is_replaced():
-    async with StewardCluster(workers=1) as cluster:
+async def test_a_coordinator_killed_with_waiting_requests_is_replaced():
+    async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         owner = next(node for node in cluster.nodes.values() if node.name != name)
         for i in range(16):
@@ -126,7 +126,7 @@
 
 
 async def test_grants_of_a_killed_owner_are_taken_back():
-    async with StewardCluster(workers=1) as cluster:
+    async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         owner = next(node for node in cluster.nodes.values() if node.name != name)
         for i in range(16):
@@ -135,8 +135,8 @@
         await until(lambda: granted(cluster) == 0, 5.0)
 
 
-async def test_a_paused_steward_that_wakes_is_fenced():
-    async with StewardCluster(workers=1) as cluster:
+async def test_a_paused_coordinator_that_wakes_is_fenced():
+    async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         old = cluster.nodes[name]
         stale = await old.grants.acquire(request("stale", "stale"))
@@ -154,9 +154,9 @@
         assert (last.reason, last.run_state) == (Reason.FENCED, "not_run")
         cluster.members[name] = member
         cluster.resume(name)
-        await until(lambda: not old.steward.pools.held() or new.steward.pools.held() == {})
+        await until(lambda: not old.coordinator.pools.held() or new.coordinator.pools.held() == {})
         await asyncio.sleep(20.0)
-        assert len([n for n in cluster.nodes.values() if n.steward.pools.held()]) == 1
+        assert len([n for n in cluster.nodes.values() if n.coordinator.pools.held()]) == 1
 
 
 LEAVING = {
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("source", LEAVING)
 async def test_a_leaving_worker_gets_no_new_work_within_three_seconds(source):
-    async with StewardCluster(nodes=3, workers=2) as cluster:
+    async with CoordinatorCluster(nodes=3, workers=2) as cluster:
         leaving = "llm-1"
         LEAVING[source](cluster, leaving)
         await asyncio.sleep(3.0)
@@ -185,8 +185,8 @@
             node.grants.settle(grant, GrantUsage(grant.call_id, 1, 0, 1, False))
 
 
-async def test_memory_of_finished_programs_is_released_also_by_the_next_steward():
-    async with StewardCluster(workers=1) as cluster:
+async def test_memory_of_finished_programs_is_released_also_by_the_next_coordinator():
+    async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         owner = next(node for node in cluster.nodes.values() if node.name != name)
         await run_call(cluster, owner, "c1", "p1")
@@ -204,7 +204,7 @@
 
 
 async def test_a_lost_answer_to_a_release_is_settled_by_releasing_again():
-    async with StewardCluster(workers=1) as cluster:
+    async with CoordinatorCluster(workers=1) as cluster:
         owner = cluster.nodes["n0"]
         await run_call(cluster, owner, "c1", "p1")
         cluster.engines["llm-1"].gate.faults = EngineFaults(lose_answer_probability=0.7)
@@ -214,7 +214,7 @@
 
 
 async def test_a_worker_that_is_gone_frees_its_places_and_serves_again_when_back():
-    async with StewardCluster(nodes=1, workers=1) as cluster:
+    async with CoordinatorCluster(nodes=1, workers=1) as cluster:
         node = cluster.nodes["n0"]
         lost = [await node.grants.acquire(request(f"c{i}", f"p{i}")) for i in range(16)]
         engine = cluster.engines.pop("llm-1")
@@ -229,10 +229,10 @@
 
 
 async def test_a_planned_stop_hands_every_worker_over():
-    async with StewardCluster() as cluster:
+    async with CoordinatorCluster() as cluster:
         leaving = cluster.nodes["n1"]
         grant = await leaving.grants.acquire(request("running", "r"))
-        await asyncio.wait_for(leaving.steward.drain(), 20.0)
+        await asyncio.wait_for(leaving.coordinator.drain(), 20.0)
         assert "n1" not in cluster.serving().values()
         await until(lambda: set(cluster.serving()) == set(cluster.engines))
         leaving.grants.settle(grant, GrantUsage("running", 1, 0, 1, False))
@@ -240,21 +240,21 @@
         await until(lambda: granted(cluster) == 0)
 
 
-async def test_a_steward_that_a_worker_refuses_as_old_gives_it_up_and_claims_anew():
-    async with StewardCluster(nodes=1, workers=1) as cluster:
+async def test_a_coordinator_that_a_worker_refuses_as_old_gives_it_up_and_claims_anew():
+    async with CoordinatorCluster(nodes=1, workers=1) as cluster:
         node = cluster.nodes["n0"]
         old = await node.grants.acquire(request("c1"))
         cluster.engines["llm-1"].newest_epoch = old.epoch + 1
         cluster.epochs._epochs["worker/llm-1"] = old.epoch + 1
         node.grants.settle(old, GrantUsage("c1", 0, 0, 0, True, not_run=True, fenced=True))
         await until(lambda: cluster.epochs._epochs["worker/llm-1"] > old.epoch + 1)
-        await until(lambda: node.steward.state_of("llm-1") == "serving")
+        await until(lambda: node.coordinator.state_of("llm-1") == "serving")
         new = await node.grants.acquire(request("c1"))
         assert new.epoch > old.epoch + 1
 
 
 async def test_the_next_owner_releases_what_an_earlier_owner_used():
-    async with StewardCluster(workers=2) as cluster:
+    async with CoordinatorCluster(workers=2) as cluster:
         first, second = cluster.nodes["n0"], cluster.nodes["n1"]
         await run_call(cluster, first, "c1", "p1")
         (used,) = [n for n, engine in cluster.engines.items() if engine.holds("p1")]
--- a/tests/test_virtual_cluster.py
+++ b/tests/test_virtual_cluster.py
@@ -1,4 +1,4 @@
-"""Whole nodes form one cluster: members, one configuration, one steward a worker, calls."""
+"""Whole nodes form one cluster: members, one configuration, one coordinator a worker, calls."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -49,8 +49,8 @@
     return all(seen(virtual) == expected for virtual in cluster.nodes.values())
 
 
-def stewards(cluster):
-    """Return the stewards of each worker."""
+def coordinators(cluster):
+    """Return the coordinators of each worker."""
     found = {}
     for virtual in cluster.nodes.values():
         for status in virtual.node.parts.grants.facts.workers():
@@ -60,14 +60,14 @@
 
 
 def settled(cluster):
-    """Tell whether all nodes know each other and are ready, and each worker has one steward."""
-    found = stewards(cluster)
+    """Tell whether all nodes know each other and are ready, and each worker has one coordinator."""
+    found = coordinators(cluster)
     ready = [n.node.parts.operator.readiness.not_ready_because() for n in cluster.nodes.values()]
     return (
         everyone_sees(cluster)
         and not any(ready)
         and set(found) == set(cluster.engines)
-        and all(len(stewarding) == 1 for stewarding in found.values())
+        and all(len(holders) == 1 for holders in found.values())
     )
 
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -29,7 +29,7 @@
 
 
 async def until_served(client):
-    """Wait until the workers have stewards, asking again when the node says to."""
+    """Wait until the workers have coordinators, asking again when the node says to."""
     while True:
         async with client.post("/v1/chat/completions", json=CALL) as response:
             if response.status != 503:
