--- a/src/foxwinch/bench/cluster_fuzz/planted.py
+++ b/src/foxwinch/bench/cluster_fuzz/planted.py
@@ -16,7 +16,7 @@
 from foxwinch.core.program import budget
 from foxwinch.identifiers import NodeId, ProgramId, WorkerId
 from foxwinch.outcomes import Refused, RunState, not_run
-from foxwinch.records.families import OpenedFamily
+from foxwinch.records.program_trees import OpenedTree
 
 Decorate = Callable[[str, Any], Any]
 
@@ -105,16 +105,16 @@
 
 def _lose_outcomes(node: FuzzNode) -> None:
     """Say that outcomes are committed without committing them."""
-    families: Any = node.node.parts.records.families
-    begin = families.open
+    trees: Any = node.node.parts.records.trees
+    begin = trees.open
 
     async def opened(root: ProgramId, over: NodeId | None = None) -> Any:
         found = await begin(root, over)
-        if isinstance(found, OpenedFamily):
+        if isinstance(found, OpenedTree):
             _lose_outcomes_of(found.journal)
         return found
 
-    families.open = opened
+    trees.open = opened
 
 
 def _lose_outcomes_of(journal: Any) -> None:
--- a/src/foxwinch/bench/schedule/clairvoyant.py
+++ b/src/foxwinch/bench/schedule/clairvoyant.py
@@ -40,7 +40,7 @@
         return super().handle(event, now)
 
     def order_key(
-        self, call: PoolCall, family: ProgramState, expected_seconds: float, now: float
+        self, call: PoolCall, tree: ProgramState, expected_seconds: float, now: float
     ) -> float:
         """Order by class, then by remaining work."""
         return CLASS_STEP_SECONDS * call.class_rank + self.remaining_seconds(call.call_id)
--- a/src/foxwinch/bench/schedule/simulation.py
+++ b/src/foxwinch/bench/schedule/simulation.py
@@ -117,7 +117,7 @@
             prefix_hashes=chain.context.hashes(chain.prompt_tokens),
             service_seconds=run.service_seconds,
             deadline_at_seconds=now + shape.deadline_seconds - spent,
-            family_id=run.program_id if chain.is_child else None,
+            tree_id=run.program_id if chain.is_child else None,
         )
         self._plan_abandonment(chain, now)
         self._pool.add_call(chain, call, now)
--- a/src/foxwinch/bench/unit_costs.py
+++ b/src/foxwinch/bench/unit_costs.py
@@ -22,9 +22,9 @@
 from foxwinch.core.limits.shares import SPREAD_SECONDS, ShareTable
 from foxwinch.core.limits.usage import DIGEST_ENTRIES, UsageDigest, decode, encode
 from foxwinch.identifiers import NodeId, ProgramId
-from foxwinch.records.families import FamilyHead
-from foxwinch.records.family_rows import batch_writes, records_of
 from foxwinch.records.ports import StoredRow
+from foxwinch.records.program_trees import TreeHead
+from foxwinch.records.tree_rows import batch_writes, records_of
 
 ROUNDS = 5
 NODES_OF_A_REGION = 71
@@ -88,7 +88,7 @@
     root = ProgramId("tenant/program")
     answer = HistoryMessage(role="assistant", content="x" * record_bytes)
     record = JournalRecord(call_outcome=CallOutcome(answer=[answer]))
-    head = FamilyHead(1, 1, NodeId("node"), "", "")
+    head = TreeHead(1, 1, NodeId("node"), "", "")
     size = 0
 
     def run() -> None:
--- a/src/foxwinch/commands/call_lifecycle.py
+++ b/src/foxwinch/commands/call_lifecycle.py
@@ -13,9 +13,9 @@
     JournalRecord,
     ProgramFinished,
 )
-from foxwinch.commands.held_family import HeldFamily, lost_family
 from foxwinch.commands.ports import ProgramPorts
 from foxwinch.commands.running_call import FinalEvent, RunningCall
+from foxwinch.commands.served_tree import ServedTree, lost_tree
 from foxwinch.core.program.admission import start_call
 from foxwinch.core.program.budget import Amount
 from foxwinch.core.program.requests import CallIntent
@@ -38,7 +38,7 @@
     """Takes one call from its arrival to its committed end."""
 
     ports: ProgramPorts
-    family: HeldFamily
+    tree: ServedTree
     running: RunningCall
     single_call: bool = False
     admitted: CallAdmitted | None = None
@@ -50,7 +50,7 @@
 
     async def wait_turn(self) -> None:
         """Wait until every earlier call of the program has ended."""
-        table = self.family.table
+        table = self.tree.table
         if table.next_waiting(self.program) == self.running.call_id:
             return
         turn = asyncio.get_running_loop().create_future()
@@ -60,7 +60,7 @@
 
     def start(self, intent: CallIntent) -> CallAdmitted | Refused:
         """Check the call against the program's state and reserve its budget."""
-        if self.program.program_id in self.family.ending:
+        if self.program.program_id in self.tree.ending:
             return not_run(Reason.PROGRAM_FINISHED, "the program is being ended")
         started = start_call(self.program, intent, self.ports.clock.wall())
         if isinstance(started, Refused):
@@ -70,7 +70,7 @@
 
     def refuse(self, refused: Refused) -> None:
         """End a call whose intent was never sent to the journal."""
-        self.family.table.withdraw(self.program, self.running.call_id)
+        self.tree.table.withdraw(self.program, self.running.call_id)
         self.running.end(refused)
 
     async def commit_intent(self, following: list[JournalRecord] | None = None) -> bool:
@@ -79,17 +79,17 @@
         `following` is committed with it. On False the call has ended and nothing was dispatched.
         """
         assert self.admitted is not None
-        creation = self.family.uncommitted.get(self.program.program_id)
+        creation = self.tree.uncommitted.get(self.program.program_id)
         records = [creation] if creation is not None else []
         records += [JournalRecord(call_admitted=self.admitted), *(following or [])]
         self.running.intent_sent = True
-        refused = await self.family.commit(records)
+        refused = await self.tree.commit(records)
         if refused is None:
             return True
         if refused.run_state is RunState.NOT_RUN:
             self.running.intent_sent = False
             fenced = refused.reason is Reason.FENCED
-            self.refuse(lost_family(RunState.NOT_RUN) if fenced else refused)
+            self.refuse(lost_tree(RunState.NOT_RUN) if fenced else refused)
             return False
         await self._cancel_intent(records, refused)
         return False
@@ -99,17 +99,17 @@
         self.running.end(not_run(refused.reason, refused.detail, refused.retry_after_seconds))
         outcome = self.failed(not_run(refused.reason, refused.detail), Amount())
         records = [*records, *self._closing_records(outcome)]
-        await self.family.commit_until_done(records, lambda _: None)
+        await self.tree.commit_until_done(records, lambda _: None)
 
     def step(self, state: CallState) -> None:
         """Note a step of the call."""
-        self.family.table.step(self.program, self.running.call_id, state)
+        self.tree.table.step(self.program, self.running.call_id, state)
 
     async def commit_outcome(self, outcome: CallOutcome, final: FinalEvent) -> None:
         """Commit the outcome, then tell the end."""
         self.step(CallState.COMMITTING)
         outcome.finished_at_seconds = self.ports.clock.wall()
-        done = await self.family.commit_until_done(
+        done = await self.tree.commit_until_done(
             self._closing_records(outcome), self._tell_uncommitted
         )
         if done:
@@ -143,17 +143,17 @@
 
     def close(self) -> None:
         """Let the program's next call go; runs when the call's task ends, however it ends."""
-        family, program = self.family, self.program
-        family.running.pop(self.running.call_id, None)
-        if family.lost:
+        tree, program = self.tree, self.program
+        tree.running.pop(self.running.call_id, None)
+        if tree.lost:
             return
-        family.advance(program.program_id)
-        creation_open = program.program_id in family.uncommitted
+        tree.advance(program.program_id)
+        creation_open = program.program_id in tree.uncommitted
         if creation_open and not program.waiting and program.active is None:
-            family.table.drop_uncommitted(program.program_id)
-            del family.uncommitted[program.program_id]
+            tree.table.drop_uncommitted(program.program_id)
+            del tree.uncommitted[program.program_id]
         elif self.single_call and not program.keys:
-            family.table.forget(program.program_id)
+            tree.table.forget(program.program_id)
 
     def _closing_records(self, outcome: CallOutcome) -> list[JournalRecord]:
         records = [JournalRecord(call_outcome=outcome)]
--- a/src/foxwinch/commands/end_program.py
+++ b/src/foxwinch/commands/end_program.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from foxwinch._generated.journal_pb2 import JournalRecord, ProgramFinished
-from foxwinch.commands.held_family import HeldFamily
 from foxwinch.commands.ports import ProgramPorts
+from foxwinch.commands.served_tree import ServedTree
 from foxwinch.core.program.lifetime import PARENT_ENDED
 from foxwinch.core.program.state import Program
 from foxwinch.outcomes import Reason, Refused, not_run
@@ -14,7 +14,7 @@
 
 
 async def end_program(
-    ports: ProgramPorts, held: HeldFamily, program: Program, abandoned: bool, reason: str
+    ports: ProgramPorts, held: ServedTree, program: Program, abandoned: bool, reason: str
 ) -> Refused | None:
     """End a program; None when it has ended (or had before).
 
@@ -35,7 +35,7 @@
 
 
 async def _end(
-    ports: ProgramPorts, held: HeldFamily, program: Program, abandoned: bool, reason: str
+    ports: ProgramPorts, held: ServedTree, program: Program, abandoned: bool, reason: str
 ) -> Refused | None:
     await _cancel_calls(held, program)
     for child_id in list(program.children):
@@ -57,7 +57,7 @@
     return refused
 
 
-async def _cancel_calls(held: HeldFamily, program: Program) -> None:
+async def _cancel_calls(held: ServedTree, program: Program) -> None:
     calls = [call for call in held.running.values() if call.program is program]
     for call in calls:
         call.cancel(ENDED_CAUSE)
--- a/src/foxwinch/commands/execute.py
+++ b/src/foxwinch/commands/execute.py
@@ -6,7 +6,6 @@
 from foxwinch._generated.journal_pb2 import CallAdmitted, JournalRecord, ProgramCreated
 from foxwinch.commands.call_lifecycle import CallLifecycle
 from foxwinch.commands.end_program import end_program
-from foxwinch.commands.held_family import HeldFamily
 from foxwinch.commands.model_call import ModelCallDriver
 from foxwinch.commands.program_owner import ProgramOwner
 from foxwinch.commands.requests import (
@@ -20,6 +19,7 @@
     ToolCallRequest,
 )
 from foxwinch.commands.running_call import RunningCall
+from foxwinch.commands.served_tree import ServedTree
 from foxwinch.commands.spawn import SpawnDriver
 from foxwinch.commands.terms import creation, find_template, model_terms, tool_declaration
 from foxwinch.commands.tool_call import ToolCallDriver
@@ -50,14 +50,14 @@
 
 
 class ProgramExecutor:
-    """Carries out requests on the programs of families served here."""
+    """Carries out requests on the programs of trees served here."""
 
     def __init__(self, owner: ProgramOwner) -> None:
         """Use the owner's ports."""
         self._owner = owner
         self._ports = owner.ports
 
-    def execute(self, held: HeldFamily, request: ProgramRequest) -> AsyncIterator[ProgramEvent]:
+    def execute(self, held: ServedTree, request: ProgramRequest) -> AsyncIterator[ProgramEvent]:
         """Start a request and iterate over its events."""
         match request:
             case ModelCallRequest():
@@ -75,7 +75,7 @@
             case HistoryRequest():
                 return self._read(held, request)
 
-    async def _read(self, held: HeldFamily, request: HistoryRequest) -> AsyncIterator[ProgramEvent]:
+    async def _read(self, held: ServedTree, request: HistoryRequest) -> AsyncIterator[ProgramEvent]:
         """Read a program once it is certain that no other node has taken it over."""
         refused = await held.confirm_read()
         if refused is not None:
@@ -87,7 +87,7 @@
     # --- calls ---------------------------------------------------------------------------
 
     def _model_call(
-        self, held: HeldFamily, request: ModelCallRequest
+        self, held: ServedTree, request: ModelCallRequest
     ) -> AsyncIterator[ProgramEvent]:
         document = self._document()
         if isinstance(document, Refused):
@@ -123,7 +123,7 @@
         self._owner.drive(opened, driver.run(intent))
         return opened.follow(request.resume_offset)
 
-    def _tool_call(self, held: HeldFamily, request: ToolCallRequest) -> AsyncIterator[ProgramEvent]:
+    def _tool_call(self, held: ServedTree, request: ToolCallRequest) -> AsyncIterator[ProgramEvent]:
         program = self._find(held, request)
         if program is None:
             return one_event(NOT_FOUND)
@@ -152,7 +152,7 @@
         self._owner.drive(opened, driver.run(intent))
         return opened.follow()
 
-    def _spawn(self, held: HeldFamily, request: SpawnRequest) -> AsyncIterator[ProgramEvent]:
+    def _spawn(self, held: ServedTree, request: SpawnRequest) -> AsyncIterator[ProgramEvent]:
         program = self._find(held, request)
         if program is None:
             return one_event(NOT_FOUND)
@@ -179,7 +179,7 @@
         return opened.follow()
 
     def _open(
-        self, held: HeldFamily, program: Program, intent: CallIntent, offset: int
+        self, held: ServedTree, program: Program, intent: CallIntent, offset: int
     ) -> RunningCall | AsyncIterator[ProgramEvent]:
         """Queue a new call, or return the events of the one that its key names already."""
         if program.program_id in held.ending:
@@ -205,7 +205,7 @@
             return one_event(LEAVING)
         return self._owner.open_call(held, program, intent.call_id, intent.idempotency_key)
 
-    def _attach(self, held: HeldFamily, request: AttachRequest) -> AsyncIterator[ProgramEvent]:
+    def _attach(self, held: ServedTree, request: AttachRequest) -> AsyncIterator[ProgramEvent]:
         program = self._find(held, request)
         if program is None:
             return one_event(NOT_FOUND)
@@ -218,7 +218,7 @@
         return one_event(CALL_NOT_FOUND)
 
     def _follow(
-        self, held: HeldFamily, call_id: CallId, offset: int
+        self, held: ServedTree, call_id: CallId, offset: int
     ) -> AsyncIterator[ProgramEvent]:
         running = held.running.get(call_id)
         if running is None:
@@ -231,7 +231,7 @@
     # --- programs ------------------------------------------------------------------------
 
     async def _create(
-        self, held: HeldFamily, request: CreateRequest
+        self, held: ServedTree, request: CreateRequest
     ) -> AsyncIterator[ProgramEvent]:
         template = self._template(request, request.template)
         if isinstance(template, Refused):
@@ -251,7 +251,7 @@
             return
         yield program_details(known)
 
-    async def _end(self, held: HeldFamily, request: EndRequest) -> AsyncIterator[ProgramEvent]:
+    async def _end(self, held: ServedTree, request: EndRequest) -> AsyncIterator[ProgramEvent]:
         program = self._find(held, request)
         if program is None:
             yield NOT_FOUND
@@ -260,7 +260,7 @@
         yield program_details(program) if refused is None else refused
 
     def _create_on_first_use(
-        self, held: HeldFamily, document: ClusterConfiguration, request: ModelCallRequest
+        self, held: ServedTree, document: ClusterConfiguration, request: ModelCallRequest
     ) -> Program | Refused:
         """Create a program by its first call; it is committed with that call's intent."""
         if is_single_call(request.program_id) and not request.single_call:
@@ -274,7 +274,7 @@
         program = held.table.find(request.program_id)
         return NOT_FOUND if program is None else program
 
-    def _drop_if_unused(self, held: HeldFamily, program: Program) -> None:
+    def _drop_if_unused(self, held: ServedTree, program: Program) -> None:
         unused = not program.waiting and program.active is None
         if unused and held.uncommitted.pop(program.program_id, None) is not None:
             held.table.drop_uncommitted(program.program_id)
@@ -288,7 +288,7 @@
 
     # --- helpers -------------------------------------------------------------------------
 
-    def _find(self, held: HeldFamily, request: ProgramRequest) -> Program | None:
+    def _find(self, held: ServedTree, request: ProgramRequest) -> Program | None:
         program = held.table.find(request.program_id)
         return program if program is not None and program.tenant == request.tenant else None
 
--- a/src/foxwinch/commands/forward.py
+++ b/src/foxwinch/commands/forward.py
@@ -14,7 +14,7 @@
 from foxwinch.core.program.call_events import FINAL_EVENTS, ProgramEvent
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.peer.ports import PeerContext, PeerPort, parse_address
-from foxwinch.records.families import ServedElsewhere
+from foxwinch.records.program_trees import OwnedElsewhere
 
 METHOD = "program"
 DEADLINE_SECONDS = 3_600.0
@@ -55,7 +55,7 @@
         self._peers.handle_stream(METHOD, handle)
 
     async def forward(
-        self, served: ServedElsewhere, request: ProgramRequest
+        self, served: OwnedElsewhere, request: ProgramRequest
     ) -> AsyncIterator[ProgramEvent]:
         """Send a request to the node that serves it and iterate over the events that come back.
 
--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -69,7 +69,7 @@
             if intent is None or await self._prepare(intent):
                 await self._finish(await self._attempts())
         except asyncio.CancelledError:
-            if self.life.family.lost or not self.life.running.cancel_cause:
+            if self.life.tree.lost or not self.life.running.cancel_cause:
                 raise
             await self._cancelled()
         finally:
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from foxwinch.commands.apply_configuration import ApplyConfiguration
-from foxwinch.commands.ports import LocateFamily
+from foxwinch.commands.ports import LocateTree
 from foxwinch.configuration.local import LocalConfiguration
 from foxwinch.core.configuration.change import ChangeAccepted
 from foxwinch.core.membership.member import MemberState
@@ -16,7 +16,7 @@
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.peer.ports import PeerAddress, PeerContext, PeerPort, parse_address
 from foxwinch.queries.configuration import NodeRevision
-from foxwinch.records.families import ServedElsewhere
+from foxwinch.records.program_trees import OwnedElsewhere
 
 DRAIN_METHOD = "operator.drain"
 ABANDON_METHOD = "operator.abandon"
@@ -110,7 +110,7 @@
     def __init__(
         self,
         membership: MembershipView,
-        locate: LocateFamily,
+        locate: LocateTree,
         peers: PeerPort | None,
         local: LocalCommands,
     ) -> None:
@@ -143,7 +143,7 @@
         located = await self._locate(root)
         if isinstance(located, Refused):
             return located
-        if isinstance(located, ServedElsewhere):
+        if isinstance(located, OwnedElsewhere):
             answer = await self._abandon_at(located, program_id)
             if not isinstance(answer, Refused) or answer.reason not in GONE:
                 return answer
@@ -156,7 +156,7 @@
         return await self._local.configuration.apply(command)
 
     async def _abandon_at(
-        self, served: ServedElsewhere, program_id: ProgramId
+        self, served: OwnedElsewhere, program_id: ProgramId
     ) -> Accepted | Refused:
         address = parse_address(served.address)
         if address is None:
--- a/src/foxwinch/commands/ports.py
+++ b/src/foxwinch/commands/ports.py
@@ -6,12 +6,12 @@
 from foxwinch.backends.ports import GeneratePort, ToolPort
 from foxwinch.clock import Clock
 from foxwinch.commands.call_retries import CallRetries
-from foxwinch.commands.held_family import HeldFamily
+from foxwinch.commands.served_tree import ServedTree
 from foxwinch.configuration.ports import ConfigurationView
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.limits.ports import LimitView
 from foxwinch.outcomes import Refused
-from foxwinch.records.families import Families, ServedElsewhere
+from foxwinch.records.program_trees import OwnedElsewhere, ProgramTreeStore
 from foxwinch.workers.ports import GrantView
 
 DEFAULT_HISTORY_BYTES = 4 * 1024 * 1024
@@ -23,7 +23,7 @@
 
     clock: Clock
     configuration: ConfigurationView
-    families: Families
+    trees: ProgramTreeStore
     grants: GrantView
     limits: LimitView
     engine: GeneratePort
@@ -34,11 +34,11 @@
     """Circuits and budgets of repeats, shared by all calls of the node."""
 
 
-class LocateFamily(Protocol):
-    """Finds the node that serves a family; one that nobody serves is served here from then on."""
+class LocateTree(Protocol):
+    """Finds the node that serves a program tree; one without a node is served here from then on."""
 
     async def __call__(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> HeldFamily | ServedElsewhere | Refused:
-        """Return the family, or the node that serves it unless that is `over`."""
+    ) -> ServedTree | OwnedElsewhere | Refused:
+        """Return the program tree, or the node that serves it unless that is `over`."""
         ...
--- a/src/foxwinch/commands/program_owner.py
+++ b/src/foxwinch/commands/program_owner.py
@@ -1,7 +1,7 @@
-"""The programs that this node serves: their families, their calls, and how calls end.
+"""The programs that this node serves: their trees, their calls, and how calls end.
 
-A family is opened by the first request for one of its programs. It is served until another node
-takes it over, or until all its programs are over and nobody may read them any more.
+A program tree is opened by the first request for one of its programs. It is served until another
+node takes it over, or until all its programs are over and nobody may read them any more.
 """
 
 import asyncio
@@ -10,10 +10,10 @@
 
 from foxwinch._generated.journal_pb2 import CallAdmitted
 from foxwinch.commands.call_lifecycle import CallLifecycle
-from foxwinch.commands.held_family import HeldFamily, lost_family
 from foxwinch.commands.model_call import ModelCallDriver
 from foxwinch.commands.ports import ProgramPorts
 from foxwinch.commands.running_call import RunningCall
+from foxwinch.commands.served_tree import ServedTree, lost_tree
 from foxwinch.commands.terms import model_terms, tool_declaration
 from foxwinch.commands.tool_call import ToolCallDriver
 from foxwinch.core.program.identity import is_single_call
@@ -23,7 +23,7 @@
 from foxwinch.identifiers import CallId, NodeId, ProgramId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, RunState
-from foxwinch.records.families import OpenedFamily, ServedElsewhere
+from foxwinch.records.program_trees import OpenedTree, OwnedElsewhere
 
 Result = TypeVar("Result")
 CLIENT_GONE = "client_gone"
@@ -31,28 +31,28 @@
 
 
 class ProgramOwner:
-    """Holds the families of programs that this node serves."""
+    """Holds the program trees that this node serves."""
 
     def __init__(self, ports: ProgramPorts) -> None:
-        """Start without families."""
+        """Start without program trees."""
         self.ports = ports
         self.log = EventLog("programs")
         self.closing = False
         """True while this node is leaving: what is idle is left to other nodes."""
-        self._families: dict[ProgramId, HeldFamily] = {}
-        self._opening: dict[ProgramId, asyncio.Task[HeldFamily | ServedElsewhere | Refused]] = {}
+        self._trees: dict[ProgramId, ServedTree] = {}
+        self._opening: dict[ProgramId, asyncio.Task[ServedTree | OwnedElsewhere | Refused]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    # --- families ------------------------------------------------------------------------
+    # --- program trees ------------------------------------------------------------------------
 
     async def locate(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> HeldFamily | ServedElsewhere | Refused:
-        """Return the family of a root, served from now on if no other node serves it.
+    ) -> ServedTree | OwnedElsewhere | Refused:
+        """Return the program tree of a root, served from now on if no other node serves it.
 
-        A family that node `over` serves is taken over.
+        A program tree that node `over` serves is taken over.
         """
-        held = self._families.get(root)
+        held = self._trees.get(root)
         if held is not None:
             held.closing = self.closing
             return held
@@ -63,39 +63,39 @@
             opening.add_done_callback(lambda _: self._opening.pop(root, None))
         return await asyncio.shield(opening)
 
-    def held(self, root: ProgramId) -> HeldFamily | None:
-        """Return a family if this node serves it."""
-        return self._families.get(root)
+    def held(self, root: ProgramId) -> ServedTree | None:
+        """Return a program tree if this node serves it."""
+        return self._trees.get(root)
 
-    def families(self) -> Iterator[HeldFamily]:
-        """Iterate over the families that this node serves."""
-        return iter(list(self._families.values()))
+    def trees(self) -> Iterator[ServedTree]:
+        """Iterate over the program trees that this node serves."""
+        return iter(list(self._trees.values()))
 
     def held_count(self) -> int:
-        """Return how many families this node serves."""
-        return len(self._families)
+        """Return how many program trees this node serves."""
+        return len(self._trees)
 
-    def drop(self, held: HeldFamily) -> None:
-        """Give a family up: its running calls end truthfully, its programs leave memory."""
-        if self._families.get(held.root) is not held:
+    def drop(self, held: ServedTree) -> None:
+        """Give a program tree up: its running calls end truthfully, its programs leave memory."""
+        if self._trees.get(held.root) is not held:
             return
-        del self._families[held.root]
+        del self._trees[held.root]
         self.log.info("family_dropped", family=held.root, running=len(held.running))
         held.lose()
 
     async def _open(
         self, root: ProgramId, over: NodeId | None
-    ) -> HeldFamily | ServedElsewhere | Refused:
-        opened = await self.ports.families.open(root, over)
-        if not isinstance(opened, OpenedFamily):
+    ) -> ServedTree | OwnedElsewhere | Refused:
+        opened = await self.ports.trees.open(root, over)
+        if not isinstance(opened, OpenedTree):
             return opened
         return self._serve(root, opened)
 
-    def _serve(self, root: ProgramId, opened: OpenedFamily) -> HeldFamily:
-        """Rebuild a family's programs and settle what was left running."""
+    def _serve(self, root: ProgramId, opened: OpenedTree) -> ServedTree:
+        """Rebuild a program tree's programs and settle what was left running."""
         table = ProgramTable(opened.records)
-        held = HeldFamily(root, table, opened.journal, self.ports.clock, self.log, self.drop)
-        self._families[root] = held
+        held = ServedTree(root, table, opened.journal, self.ports.clock, self.log, self.drop)
+        self._trees[root] = held
         if opened.records:
             self.log.info("family_opened", family=root, programs=len(table))
         for program in table:
@@ -110,7 +110,7 @@
     # --- calls ---------------------------------------------------------------------------
 
     def open_call(
-        self, held: HeldFamily, program: Program, call_id: CallId, key: str
+        self, held: ServedTree, program: Program, call_id: CallId, key: str
     ) -> RunningCall:
         """Return a new call of a program, to be driven by `drive`."""
         running = RunningCall(call_id, program, bool(key), self._unfollowed)
@@ -144,8 +144,8 @@
         return await asyncio.shield(task)
 
     async def stop(self) -> None:
-        """Drop every family and end every task."""
-        for held in self.families():
+        """Drop every program tree and end every task."""
+        for held in self.trees():
             self.drop(held)
         tasks = list(self._tasks)
         for task in tasks:
@@ -159,12 +159,12 @@
 
     def running_calls(self) -> int:
         """Return the number of calls that have not ended."""
-        return sum(len(held.running) for held in self._families.values())
+        return sum(len(held.running) for held in self._trees.values())
 
     def _task_ended(self, task: asyncio.Task[None], running: RunningCall | None) -> None:
         if running is not None and running.final is None:
             state = RunState.UNKNOWN if running.intent_sent else RunState.NOT_RUN
-            running.end(lost_family(state) if task.cancelled() else _internal(state))
+            running.end(lost_tree(state) if task.cancelled() else _internal(state))
         if not task.cancelled() and task.exception() is not None:
             self.log.error(
                 "call_driver_failed",
@@ -181,7 +181,7 @@
 
     # --- recovery ------------------------------------------------------------------------
 
-    def _recover(self, held: HeldFamily, program: Program, call: Call) -> None:
+    def _recover(self, held: ServedTree, program: Program, call: Call) -> None:
         now = self.ports.clock.wall()
         running = self.open_call(held, program, call.call_id, call.admitted.idempotency_key)
         running.intent_sent = True
--- a/src/foxwinch/commands/router.py
+++ b/src/foxwinch/commands/router.py
@@ -1,7 +1,7 @@
 """Carry a request out here, or send it on to the node that serves its program.
 
 A node that cannot be reached, or that has given the program up, is replaced at once: this node
-takes the program's family over.
+takes the program tree over.
 """
 
 from collections.abc import AsyncIterator
@@ -10,15 +10,15 @@
 
 from foxwinch.commands.execute import ProgramExecutor
 from foxwinch.commands.forward import Forwarder
-from foxwinch.commands.held_family import HeldFamily
 from foxwinch.commands.program_owner import IDLE_POLL_SECONDS, ProgramOwner
 from foxwinch.commands.requests import ProgramRequest
+from foxwinch.commands.served_tree import ServedTree
 from foxwinch.commands.views import one_event
 from foxwinch.core.program.call_events import ProgramEvent
 from foxwinch.core.program.identity import root_of
 from foxwinch.identifiers import ProgramId
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
-from foxwinch.records.families import ServedElsewhere
+from foxwinch.records.program_trees import OwnedElsewhere
 
 NOT_OWNER_RETRY_SECONDS = 0.2
 GONE = frozenset({Reason.PEER_UNREACHABLE, Reason.NOT_OWNER})
@@ -40,7 +40,7 @@
         """Carry a request out and iterate over its events."""
         root = root_of(request.program_id)
         located = await self._owner.locate(root)
-        if isinstance(located, ServedElsewhere) and self._forwarder is not None:
+        if isinstance(located, OwnedElsewhere) and self._forwarder is not None:
             async with aclosing(cast(Any, self._forward(root, located, request))) as events:
                 async for event in events:
                     yield event
@@ -73,7 +73,7 @@
         return self._owner.ports.clock.identifier()
 
     async def _forward(
-        self, root: ProgramId, served: ServedElsewhere, request: ProgramRequest
+        self, root: ProgramId, served: OwnedElsewhere, request: ProgramRequest
     ) -> AsyncIterator[ProgramEvent]:
         """Send a request on; carry it out here when the other node certainly has not."""
         assert self._forwarder is not None
@@ -92,9 +92,9 @@
                 yield event
 
     def _carry_out(
-        self, located: HeldFamily | ServedElsewhere | Refused, request: ProgramRequest
+        self, located: ServedTree | OwnedElsewhere | Refused, request: ProgramRequest
     ) -> AsyncIterator[ProgramEvent]:
-        if isinstance(located, HeldFamily):
+        if isinstance(located, ServedTree):
             return self._executor.execute(located, request)
         return one_event(located if isinstance(located, Refused) else _not_owner())
 
--- a/src/foxwinch/commands/held_family.py
+++ b/src/foxwinch/commands/served_tree.py
@@ -1,4 +1,4 @@
-"""A family of programs that this node serves: its state, running calls and commits."""
+"""A program tree of programs that this node serves: its state, running calls and commits."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -11,7 +11,7 @@
 from foxwinch.identifiers import CallId, ProgramId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
-from foxwinch.records.families import FamilyJournal
+from foxwinch.records.program_trees import TreeJournal
 
 READ_RETRY_SECONDS = 0.5
 """When to read again after the store has not confirmed a read."""
@@ -25,19 +25,19 @@
 """How long a caller waits for an outcome to be committed before it is told `unknown`."""
 
 
-class HeldFamily:
+class ServedTree:
     """A program with its sub-agents, until another node serves them."""
 
     def __init__(
         self,
         root: ProgramId,
         table: ProgramTable,
-        journal: FamilyJournal,
+        journal: TreeJournal,
         clock: Clock,
         log: EventLog,
-        on_lost: Callable[["HeldFamily"], None],
+        on_lost: Callable[["ServedTree"], None],
     ) -> None:
-        """Serve the family of `root`; `on_lost` runs soon after another node is found to do so."""
+        """Serve the program tree of `root`; `on_lost` runs soon after another node took it."""
         self.root = root
         self.table = table
         self.journal = journal
@@ -57,13 +57,13 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of the family runs or waits here."""
+        """Whether nothing of the program tree runs or waits here."""
         return not self.running and not self.ending
 
     async def commit(self, records: Sequence[JournalRecord]) -> Refused | None:
         """Append records and apply them; returns the refusal when they are not committed."""
         if self.lost:
-            return lost_family(RunState.NOT_RUN)
+            return lost_tree(RunState.NOT_RUN)
         refused = await self.journal.append(records)
         if refused is None:
             self.apply(records)
@@ -71,7 +71,7 @@
         return refused
 
     async def confirm_read(self) -> Refused | None:
-        """Prove that no other node has taken the family over; returns why that was not possible.
+        """Prove that no other node has taken the program tree over; returns why that failed.
 
         A node that was cut off or has slept would else read out what is no longer the newest.
         """
@@ -85,7 +85,7 @@
     async def commit_until_done(
         self, records: Sequence[JournalRecord], on_delay: Callable[[Refused], None]
     ) -> bool:
-        """Commit an outcome, however long it takes; False when the family is lost first.
+        """Commit an outcome, however long it takes; False when the program tree is lost first.
 
         `on_delay` is called once when the wait is longer than a caller should bear. A record that
         is committed twice after an unknown first try is dropped when it is applied.
@@ -117,7 +117,7 @@
                 self._log.warning("record_dropped", family=self.root, cause=applied.cause)
 
     def _look_for_loss(self, refused: Refused | None) -> None:
-        """Give the family up once whoever asked has dealt with the refusal."""
+        """Give the program tree up once whoever asked has dealt with the refusal."""
         if refused is not None and refused.reason is Reason.FENCED:
             asyncio.get_running_loop().call_soon(self._on_lost, self)
 
@@ -130,19 +130,19 @@
             running.turn.set_result(None)
 
     def lose(self) -> list[asyncio.Task[None]]:
-        """Stop all calls: another node serves the family now; returns the tasks that are ending."""
+        """Stop all calls: another node serves the tree now; returns the tasks that are ending."""
         self.lost = True
         calls = list(self.running.values())
         for call in calls:
-            call.end(lost_family(RunState.UNKNOWN if call.intent_sent else RunState.NOT_RUN))
+            call.end(lost_tree(RunState.UNKNOWN if call.intent_sent else RunState.NOT_RUN))
         tasks = [call.task for call in calls if call.task is not None]
         for task in tasks:
             task.cancel()
         return tasks
 
 
-def lost_family(run_state: RunState) -> Refused:
-    """Return the refusal of a call whose family has gone to another node."""
+def lost_tree(run_state: RunState) -> Refused:
+    """Return the refusal of a call whose program tree has gone to another node."""
     if run_state is RunState.NOT_RUN:
         return not_run(Reason.NOT_OWNER, TAKEN_OVER, TAKEN_OVER_RETRY_SECONDS)
     return Refused(Reason.NOT_OWNER, run_state, TAKEN_OVER, TAKEN_OVER_RETRY_SECONDS)
--- a/src/foxwinch/commands/spawn.py
+++ b/src/foxwinch/commands/spawn.py
@@ -31,7 +31,7 @@
         try:
             await self._run(intent)
         except asyncio.CancelledError:
-            if self.life.family.lost or not self.life.running.cancel_cause:
+            if self.life.tree.lost or not self.life.running.cancel_cause:
                 raise
             self.life.forgive_cancellation()
             cause = self.life.running.cancel_cause
@@ -54,7 +54,7 @@
             JournalRecord(call_outcome=self._outcome(started)),
         ]
         if await self.life.commit_intent(following):
-            child = self.life.family.table.find(ProgramId(self.created.program_id))
+            child = self.life.tree.table.find(ProgramId(self.created.program_id))
             assert child is not None
             self.life.running.end(program_details(child))
 
--- a/src/foxwinch/commands/sweep.py
+++ b/src/foxwinch/commands/sweep.py
@@ -1,9 +1,9 @@
-"""What ends by itself: calls that nobody follows, programs left alone, families that are over."""
+"""What ends by itself: calls that nobody follows, programs left alone, trees that are over."""
 
 from foxwinch.commands.end_program import end_program
-from foxwinch.commands.held_family import HeldFamily
 from foxwinch.commands.periodic import PeriodicWork
 from foxwinch.commands.program_owner import CLIENT_GONE
+from foxwinch.commands.served_tree import ServedTree
 from foxwinch.core.program.lifetime import cause_of_abandonment
 from foxwinch.core.program.state import Program
 from foxwinch.outcomes import Reason
@@ -12,7 +12,7 @@
 RECONNECT_SECONDS = 10.0
 """How long a call with an idempotency key runs on after its caller has gone."""
 EMPTY_SECONDS = 5.0
-"""A family without programs is kept so long: its first call may still be on its way."""
+"""A program tree without programs is kept so long: its first call may still be on its way."""
 RETENTION_SECONDS = 600.0
 """How long a finished program can be read and its calls repeated by key."""
 
@@ -23,12 +23,12 @@
     async def _run(self) -> None:
         while True:
             await self._clock.sleep(SWEEP_SECONDS)
-            for held in self._owner.families():
+            for held in self._owner.trees():
                 self.sweep(held)
                 await self._remove_if_over(held)
 
-    def sweep(self, held: HeldFamily) -> None:
-        """Look over one family."""
+    def sweep(self, held: ServedTree) -> None:
+        """Look over one program tree."""
         now = self._clock.monotonic()
         for call in list(held.running.values()):
             left_at = call.unfollowed_at_seconds
@@ -43,8 +43,8 @@
             elif not program.children and _expired(program, wall):
                 held.table.forget(program.program_id)
 
-    async def _remove_if_over(self, held: HeldFamily) -> None:
-        """Drop a family without programs, and remove what the store still keeps of it."""
+    async def _remove_if_over(self, held: ServedTree) -> None:
+        """Drop a program tree without programs, and remove what the store still keeps of it."""
         kept_seconds = self._clock.monotonic() - held.opened_at_seconds
         if len(held.table) or not held.idle or kept_seconds < EMPTY_SECONDS:
             return
@@ -52,7 +52,7 @@
         if refused is None or refused.reason is Reason.FENCED:
             self._owner.drop(held)
 
-    async def _abandon(self, held: HeldFamily, program: Program, cause: str) -> None:
+    async def _abandon(self, held: ServedTree, program: Program, cause: str) -> None:
         refused = await end_program(self._owner.ports, held, program, True, cause)
         self._owner.log.info(
             "program_abandoned",
--- a/src/foxwinch/commands/adopt.py
+++ b/src/foxwinch/commands/tree_takeover.py
@@ -23,11 +23,11 @@
 log = EventLog("programs")
 
 
-class FamilyAdoption(PeriodicWork):
-    """Looks for families of nodes that are gone."""
+class TreeTakeover(PeriodicWork):
+    """Looks for program trees of nodes that are gone."""
 
     def __init__(self, owner: ProgramOwner, membership: MembershipView) -> None:
-        """Take families over into `owner`."""
+        """Take program trees over into `owner`."""
         super().__init__(owner)
         self._membership = membership
 
@@ -39,7 +39,7 @@
                     await self._look(partition_name(number))
 
     async def _look(self, partition: str) -> None:
-        served = await self._owner.ports.families.served(partition)
+        served = await self._owner.ports.trees.served(partition)
         if isinstance(served, Refused):
             return
         for root, node in self._orphans(served):
--- a/src/foxwinch/core/coordinator/calls.py
+++ b/src/foxwinch/core/coordinator/calls.py
@@ -26,15 +26,15 @@
     deadline_at_seconds: float
     """On the clock whose `now` is given with each event."""
     repeatable: bool = True
-    family_id: ProgramId | None = None
+    tree_id: ProgramId | None = None
     """The program at the root of a tree of sub-agents; None for a program without a parent."""
     excluded_workers: tuple[WorkerId, ...] = ()
     """Workers that have already failed this call."""
 
     @property
-    def family(self) -> ProgramId:
+    def tree(self) -> ProgramId:
         """The root program, which is the program itself when it has no parent."""
-        return self.family_id or self.program_id
+        return self.tree_id or self.program_id
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/foxwinch/core/coordinator/scheduler.py
+++ b/src/foxwinch/core/coordinator/scheduler.py
@@ -131,23 +131,23 @@
             return [refused]
         program = self._programs.ensure(call.program_id)
         program.hashes = call.prefix_hashes
-        family = self._programs.ensure(call.family)
-        if family.active_calls == 0:
-            family.step_began_at_seconds = now
-        family.active_calls += 1
-        key = self.order_key(call, family, expected, now)
+        tree = self._programs.ensure(call.tree)
+        if tree.active_calls == 0:
+            tree.step_began_at_seconds = now
+        tree.active_calls += 1
+        key = self.order_key(call, tree, expected, now)
         self._sequence += 1
         self._waiting.add(WaitingCall(call, key, self._sequence, now, expected))
         return []
 
     def order_key(
-        self, call: PoolCall, family: ProgramState, expected_seconds: float, now: float
+        self, call: PoolCall, tree: ProgramState, expected_seconds: float, now: float
     ) -> float:
         """Return a call's place in the order; an experiment may order otherwise."""
-        return order_key(self.policy, call, now, family.step_began_at_seconds, expected_seconds)
+        return order_key(self.policy, call, now, tree.step_began_at_seconds, expected_seconds)
 
     def _admit(self, call: PoolCall, now: float) -> RefuseCall | None:
-        known = self._programs.get(call.family) is not None or call.service_seconds > 0
+        known = self._programs.get(call.tree) is not None or call.service_seconds > 0
         if known or not self.policy.features.admission:
             return None
         wait = self.predicted_wait_seconds(call.class_rank)
@@ -162,7 +162,7 @@
     def _call_withdrawn(self, event: CallWithdrawn, now: float) -> list[PoolAction]:
         waiting = self._waiting.remove(event.call_id)
         if waiting is not None:
-            self._family_call_over(waiting.call)
+            self._tree_call_over(waiting.call)
             return []
         return self._vacate(event.call_id)
 
@@ -187,7 +187,7 @@
         if placed is None:
             return []
         placed.worker.leave(placed)
-        self._family_call_over(placed.call)
+        self._tree_call_over(placed.call)
         program_id = placed.call.program_id
         gone = self._programs.get(program_id) is None
         worker = placed.worker.description.worker
@@ -195,10 +195,10 @@
             return [ReleaseCache(worker, program_id)]
         return []
 
-    def _family_call_over(self, call: PoolCall) -> None:
-        family = self._programs.get(call.family)
-        if family is not None:
-            family.active_calls = max(0, family.active_calls - 1)
+    def _tree_call_over(self, call: PoolCall) -> None:
+        tree = self._programs.get(call.tree)
+        if tree is not None:
+            tree.active_calls = max(0, tree.active_calls - 1)
 
     # --- programs ----------------------------------------------------------------------------
 
--- a/src/foxwinch/core/program/identity.py
+++ b/src/foxwinch/core/program/identity.py
@@ -1,7 +1,7 @@
 """How program identifiers are built.
 
 `<tenant>/<name>` for a program, `<tenant>/<name>~<suffix>` for a child program. The tenant in front
-keeps equal names of two tenants apart. A whole family is found by its root, so that
+keeps equal names of two tenants apart. A whole program tree is found by its root, so that
 a child always lives with the parent whose budget it spends.
 """
 
@@ -32,7 +32,7 @@
 
 
 def root_of(program_id: ProgramId) -> ProgramId:
-    """Return the root of the program's family: the identifier that it is found by."""
+    """Return the root of the program's tree: the identifier that it is found by."""
     return ProgramId(program_id.partition(CHILD_SEPARATOR)[0])
 
 
--- a/src/foxwinch/core/program/state.py
+++ b/src/foxwinch/core/program/state.py
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class Program:
-    """One program: its history, budget, calls and place in a family."""
+    """One program: its history, budget, calls and place in a program tree."""
 
     created: ProgramCreated
     ledger: Ledger
--- a/src/foxwinch/core/program/table.py
+++ b/src/foxwinch/core/program/table.py
@@ -1,4 +1,4 @@
-"""The programs of one family: applies journal records and decides on calls.
+"""The programs of one program tree: applies journal records and decides on calls.
 
 `apply` is the only way by which calls end and histories grow, both live and in recovery. Between
 the records live only the waiting calls, the reservation of a call whose intent is being committed,
@@ -32,7 +32,7 @@
 
 
 class ProgramTable:
-    """All programs of one family."""
+    """All programs of one program tree."""
 
     def __init__(self, records: Iterable[JournalRecord] = ()) -> None:
         """Rebuild the programs from the records of their journal."""
--- a/src/foxwinch/node/local.py
+++ b/src/foxwinch/node/local.py
@@ -11,16 +11,16 @@
 )
 from foxwinch.limits.ports import Admitted
 from foxwinch.outcomes import Refused
-from foxwinch.records.families import (
+from foxwinch.records.program_trees import (
     Applied,
-    Families,
-    FamilyJournal,
-    OpenedFamily,
-    ServedElsewhere,
+    OpenedTree,
+    OwnedElsewhere,
+    ProgramTreeStore,
+    TreeJournal,
 )
 
 
-class LocalJournal(FamilyJournal):
+class LocalJournal(TreeJournal):
     """A journal in this process's memory; nothing survives its end."""
 
     def __init__(self, records: list[JournalRecord]) -> None:
@@ -43,7 +43,7 @@
         return None
 
     async def confirm(self) -> Refused | None:
-        """Nobody else can take the family over."""
+        """Nobody else can take the program tree over."""
         return None
 
     async def remove(self) -> Refused | None:
@@ -52,8 +52,8 @@
         return None
 
 
-class LocalFamilies(Families):
-    """This node serves every family."""
+class LocalTreeStore(ProgramTreeStore):
+    """This node serves every program tree."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -61,17 +61,17 @@
 
     async def open(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> OpenedFamily | ServedElsewhere | Refused:
-        """Return the family."""
+    ) -> OpenedTree | OwnedElsewhere | Refused:
+        """Return the program tree."""
         records = self._records.setdefault(root, [])
-        return OpenedFamily(LocalJournal(records), list(records))
+        return OpenedTree(LocalJournal(records), list(records))
 
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
-        """Return a family's records."""
+        """Return a program tree's records."""
         return list(self._records.get(root, ()))
 
     async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
-        """Return nothing: there is no other node whose families could be left behind."""
+        """Return nothing: there is no other node whose program trees could be left behind."""
         return ()
 
 
--- a/src/foxwinch/node/parts/operator.py
+++ b/src/foxwinch/node/parts/operator.py
@@ -24,14 +24,14 @@
         self,
         context: NodeContext,
         configuration: ConfigurationView,
-        families: Callable[[], int],
+        trees: Callable[[], int],
         regions: Callable[[], Sequence[RegionState]],
     ) -> None:
         """Read the gate of `context` and the given parts."""
         self._context = context
         self._regions = regions
         self._configuration = configuration
-        self._families = families
+        self._trees = trees
 
     def not_ready_because(self) -> str | None:
         """Return None when the node takes new work, else the reason."""
@@ -48,7 +48,7 @@
             configuration_revision=0 if isinstance(snapshot, Refused) else snapshot.revision,
             draining=self._context.gate.closed,
             running_requests=self._context.gate.running,
-            held_families=self._families(),
+            held_families=self._trees(),
             not_ready_because=self.not_ready_because() or "",
             cut_off_regions=[state.region for state in self._regions() if state.cut_off],
         )
--- a/src/foxwinch/node/parts/programs.py
+++ b/src/foxwinch/node/parts/programs.py
@@ -7,7 +7,6 @@
 
 from foxwinch.backends.no_tools import NoTools
 from foxwinch.commands.abandon_program import AbandonCommand
-from foxwinch.commands.adopt import FamilyAdoption
 from foxwinch.commands.call_retries import CallRetries
 from foxwinch.commands.forward import Forwarder
 from foxwinch.commands.operator import ProgramAbandons
@@ -16,6 +15,7 @@
 from foxwinch.commands.requests import ProgramRequest
 from foxwinch.commands.router import ProgramRouter
 from foxwinch.commands.sweep import ProgramSweeper
+from foxwinch.commands.tree_takeover import TreeTakeover
 from foxwinch.core.program.call_events import ProgramEvent
 from foxwinch.gateway.authentication import Authenticator
 from foxwinch.gateway.chat import ChatHandlers, GatewayContext
@@ -53,7 +53,7 @@
         self._owner = owner
         self._router = router
         self._sweeper = ProgramSweeper(owner)
-        self._adoption = FamilyAdoption(owner, membership)
+        self._adoption = TreeTakeover(owner, membership)
 
     async def start(self) -> None:
         """Start sweeping and looking."""
@@ -88,7 +88,7 @@
     ports = ProgramPorts(
         clock=context.ports.clock,
         configuration=configuration.configuration,
-        families=records.families,
+        trees=records.trees,
         grants=grants.grants,
         limits=configuration.limits,
         engine=context.ports.engine,
--- a/src/foxwinch/node/parts/records.py
+++ b/src/foxwinch/node/parts/records.py
@@ -1,21 +1,21 @@
-"""Part: what lies in the shared store: families of programs, and epochs of workers."""
+"""Part: what lies in the shared store: program trees, and epochs of workers."""
 
 from dataclasses import dataclass
 
-from foxwinch.node.local import LocalFamilies
+from foxwinch.node.local import LocalTreeStore
 from foxwinch.node.local_cluster import LocalEpochs
 from foxwinch.node.parts.context import NodeContext
-from foxwinch.records.families import Families
-from foxwinch.records.family_store import StoredFamilies
+from foxwinch.records.program_trees import ProgramTreeStore
+from foxwinch.records.tree_store import RecordTreeStore
 from foxwinch.workers.epochs import StoredEpochs
 from foxwinch.workers.ports import EpochView
 
 
 @dataclass(frozen=True, slots=True)
 class RecordsPart:
-    """Families and epochs."""
+    """Program trees and epochs."""
 
-    families: Families
+    trees: ProgramTreeStore
     epochs: EpochView
 
 
@@ -23,6 +23,6 @@
     """Build the part; without a store this node serves all and keeps it in memory."""
     ports = context.ports
     if ports.records is None:
-        return RecordsPart(LocalFamilies(), LocalEpochs())
-    families = StoredFamilies(ports.records, ports.clock, context.node, str(ports.peer_address))
-    return RecordsPart(families, StoredEpochs(ports.records, ports.clock))
+        return RecordsPart(LocalTreeStore(), LocalEpochs())
+    trees = RecordTreeStore(ports.records, ports.clock, context.node, str(ports.peer_address))
+    return RecordsPart(trees, StoredEpochs(ports.records, ports.clock))
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -13,7 +13,7 @@
     NodeStatus,
     ProgramDetail,
 )
-from foxwinch.commands.ports import LocateFamily
+from foxwinch.commands.ports import LocateTree
 from foxwinch.core.membership.member import Member, MemberState
 from foxwinch.core.program.identity import root_of
 from foxwinch.identifiers import NodeId, ProgramId
@@ -21,7 +21,7 @@
 from foxwinch.outcomes import Refused
 from foxwinch.peer.ports import PeerContext, PeerPort, parse_address
 from foxwinch.queries.facts import NodeFacts, ProgramFacts, WorkerFacts
-from foxwinch.records.families import ServedElsewhere
+from foxwinch.records.program_trees import OwnedElsewhere
 
 FACTS_METHOD = "operator.facts"
 PROGRAM_METHOD = "operator.program"
@@ -57,7 +57,7 @@
     def __init__(
         self,
         membership: MembershipView,
-        locate: LocateFamily,
+        locate: LocateTree,
         peers: PeerPort | None,
         local: LocalFacts,
     ) -> None:
@@ -97,7 +97,7 @@
         located = await self._locate(root_of(program_id))
         if isinstance(located, Refused):
             return located
-        address = parse_address(located.address) if isinstance(located, ServedElsewhere) else None
+        address = parse_address(located.address) if isinstance(located, OwnedElsewhere) else None
         if address is not None and self._peers is not None:
             answer = await self._peers.call(
                 address, PROGRAM_METHOD, program_id.encode(), FACTS_SECONDS
--- a/src/foxwinch/queries/programs.py
+++ b/src/foxwinch/queries/programs.py
@@ -9,8 +9,8 @@
     ProgramDetail,
     ProgramSummary,
 )
-from foxwinch.commands.held_family import HeldFamily
 from foxwinch.commands.program_owner import ProgramOwner
+from foxwinch.commands.served_tree import ServedTree
 from foxwinch.commands.views import state_name
 from foxwinch.core.program.identity import root_of
 from foxwinch.core.program.state import Call, Program, WaitingCall
@@ -29,7 +29,7 @@
     """Implements `foxwinch.queries.facts.ProgramFacts`."""
 
     def __init__(self, owner: ProgramOwner, node: NodeId) -> None:
-        """Read the owner's families; `node` is this node."""
+        """Read the owner's program trees; `node` is this node."""
         self._owner = owner
         self._node = node
 
@@ -38,7 +38,7 @@
         limit = min(request.limit or DEFAULT_LIMIT, MAXIMUM_LIMIT)
         matching = [
             (held, program)
-            for held in self._owner.families()
+            for held in self._owner.trees()
             for program in held.table
             if _matches(request, program)
         ]
@@ -51,13 +51,13 @@
         held = self._owner.held(root)
         if held is not None:
             return self._detail(held.table.find(program_id), program_id, held)
-        records = await self._owner.ports.families.read(root)
+        records = await self._owner.ports.trees.read(root)
         if isinstance(records, Refused):
             return records
         return self._detail(ProgramTable(records).find(program_id), program_id, None)
 
     def _detail(
-        self, program: Program | None, program_id: ProgramId, held: HeldFamily | None
+        self, program: Program | None, program_id: ProgramId, held: ServedTree | None
     ) -> ProgramDetail | Refused:
         """Describe a program; one that is not served here as its journal tells."""
         if program is None:
@@ -71,7 +71,7 @@
             cost=program.ledger.spent.cost,
         )
 
-    def _summary(self, held: HeldFamily | None, program: Program) -> ProgramSummary:
+    def _summary(self, held: ServedTree | None, program: Program) -> ProgramSummary:
         created = program.created
         return ProgramSummary(
             program_id=program.program_id,
@@ -92,14 +92,14 @@
     return not request.state or state_name(program) == request.state
 
 
-def _calls(held: HeldFamily | None, program: Program) -> Iterator[CallStatus]:
+def _calls(held: ServedTree | None, program: Program) -> Iterator[CallStatus]:
     for call in program.calls.values():
         yield _call(held, call)
     for position, waiting in enumerate(program.waiting.values()):
         yield _waiting(waiting, position + (program.active is not None))
 
 
-def _call(held: HeldFamily | None, call: Call) -> CallStatus:
+def _call(held: ServedTree | None, call: Call) -> CallStatus:
     outcome = call.outcome
     running = held.running.get(call.call_id) if held is not None else None
     started = running.started if running is not None else None
--- a/src/foxwinch/records/families.py
+++ b/src/foxwinch/records/program_trees.py
@@ -1,7 +1,7 @@
-"""Journals of program families: what a node asks of whoever keeps them.
+"""Journals of program trees: what a node asks of whoever keeps them.
 
-A family is a program with all its sub-agents, named by its root. One node at a time serves it; a
-node that cannot reach that one takes the family over, and the former node's next append fails.
+A program tree is a program with all its sub-agents, named by its root. One node at a time serves
+it; a node that cannot reach that one takes the tree over, and the former node's next append fails.
 """
 
 from abc import ABC, abstractmethod
@@ -16,16 +16,16 @@
 """Told of records that turn out to be in the journal after their append was given up."""
 
 
-class ServedElsewhere(NamedTuple):
-    """Another node serves the family."""
+class OwnedElsewhere(NamedTuple):
+    """Another node serves the program tree."""
 
     node: NodeId
     address: str
     """`ip:port` of its peer side."""
 
 
-class FamilyHead(NamedTuple):
-    """A family's row as it stands."""
+class TreeHead(NamedTuple):
+    """A program tree's row as it stands."""
 
     version: int
     """The row's version; 0 when there is no row."""
@@ -37,8 +37,8 @@
     """Batches before this one are gone, or about to be."""
 
 
-class FamilyJournal(ABC):
-    """The journal of one family, as the node that serves it appends to it."""
+class TreeJournal(ABC):
+    """The journal of one program tree, as the node that serves it appends to it."""
 
     @property
     @abstractmethod
@@ -53,40 +53,40 @@
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
         """Append records, all or none; None when they are there for good.
 
-        `FENCED`: another node has taken the family over. A refusal with run state `unknown` may
-        take effect, also later, as long as nothing else is appended.
+        `FENCED`: another node has taken the program tree over. A refusal with run state `unknown`
+        may take effect, also later, as long as nothing else is appended.
         """
 
     @abstractmethod
     async def confirm(self) -> Refused | None:
-        """Prove that no other node has taken the family over; returns why that was not possible."""
+        """Prove that no other node has taken the program tree over; returns why that failed."""
 
     @abstractmethod
     async def remove(self) -> Refused | None:
-        """Remove the journal of a family that is over."""
+        """Remove the journal of a program tree that is over."""
 
 
-class OpenedFamily(NamedTuple):
-    """A family that this node serves from now on."""
+class OpenedTree(NamedTuple):
+    """A program tree that this node serves from now on."""
 
-    journal: FamilyJournal
+    journal: TreeJournal
     records: Sequence[JournalRecord]
     """All that was appended so far, oldest first."""
 
 
-class Families(ABC):
-    """The families of all programs."""
+class ProgramTreeStore(ABC):
+    """The program trees of all programs."""
 
     @abstractmethod
     async def open(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> OpenedFamily | ServedElsewhere | Refused:
-        """Begin to serve a family that no other node serves, or that `over` serves."""
+    ) -> OpenedTree | OwnedElsewhere | Refused:
+        """Begin to serve a program tree that no other node serves, or that `over` serves."""
 
     @abstractmethod
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
-        """Read a family's journal without serving it."""
+        """Read a program tree's journal without serving it."""
 
     @abstractmethod
     async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
-        """Return the families of a partition, each with the node that serves it."""
+        """Return the program trees of a partition, each with the node that serves it."""
--- a/src/foxwinch/records/family_journal.py
+++ b/src/foxwinch/records/tree_journal.py
@@ -1,6 +1,6 @@
-"""The journal of one family in the shared store.
+"""The journal of one program tree in the shared store.
 
-Each append is one transaction: the rows of a batch and the family's head, under the version of the
+Each append is one transaction: the rows of a batch and the tree's head, under the version of the
 head. When the answer is lost, the same append is sent again: at the same version only one of all
 that were sent can take effect, and the token in the head tells which.
 """
@@ -14,8 +14,10 @@
 from foxwinch.identifiers import ProgramId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
-from foxwinch.records.families import Applied, FamilyHead, FamilyJournal
-from foxwinch.records.family_rows import (
+from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowWrite, Written
+from foxwinch.records.program_trees import Applied, TreeHead, TreeJournal
+from foxwinch.records.repeat import CALL_SECONDS
+from foxwinch.records.tree_rows import (
     after_batches,
     batch_writes,
     first_batch,
@@ -23,8 +25,6 @@
     head_row,
     head_write,
 )
-from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowWrite, Written
-from foxwinch.records.repeat import CALL_SECONDS
 
 APPEND_SECONDS = 2.0
 """For which an append is sent again before its outcome is told as unknown."""
@@ -35,15 +35,15 @@
 log = EventLog("families")
 
 
-class StoredJournal(FamilyJournal):
-    """One family's journal; appends go one after another."""
+class StoredJournal(TreeJournal):
+    """One program tree's journal; appends go one after another."""
 
     def __init__(
         self,
         store: RecordStore,
         clock: Clock,
         root: ProgramId,
-        head: FamilyHead,
+        head: TreeHead,
         new_token: Callable[[], str],
     ) -> None:
         """Append after `head`; `new_token` returns what no other change has."""
@@ -72,7 +72,7 @@
             return await self._append(tuple(records))
 
     async def confirm(self) -> Refused | None:
-        """Prove that no other node has taken the family over."""
+        """Prove that no other node has taken the program tree over."""
         async with self._lock:
             return await self._confirm()
 
@@ -100,7 +100,7 @@
                 return refused
 
     async def _change(
-        self, wanted: FamilyHead, rows: list[RowWrite], records: tuple[JournalRecord, ...]
+        self, wanted: TreeHead, rows: list[RowWrite], records: tuple[JournalRecord, ...]
     ) -> Refused | None:
         """Put a head and rows; a refusal after which the head has moved on may be tried anew."""
         if self._lost:
@@ -143,9 +143,7 @@
         refused = self._conflict(answer, head, may_have_run=False)
         return refused if self._lost or self._head is head else None
 
-    def _conflict(
-        self, conflict: Conflict, wanted: FamilyHead, may_have_run: bool
-    ) -> Refused | None:
+    def _conflict(self, conflict: Conflict, wanted: TreeHead, may_have_run: bool) -> Refused | None:
         """Find out who has changed the head: this very change, an earlier one, or another node."""
         found = head_of(conflict.rows[0])
         if found is not None and found.version and found.token == wanted.token:
@@ -163,7 +161,7 @@
         run_state = RunState.UNKNOWN if may_have_run else RunState.NOT_RUN
         return Refused(Reason.FENCED, run_state, TAKEN_OVER)
 
-    def _settled(self, head: FamilyHead) -> None:
+    def _settled(self, head: TreeHead) -> None:
         """Take a head that is in force: nothing that was sent before can take effect any more."""
         self._head = head
         self._doubtful.clear()
--- a/src/foxwinch/records/family_rows.py
+++ b/src/foxwinch/records/tree_rows.py
@@ -1,4 +1,4 @@
-"""The rows of a family in the shared store: one head, and the batches of its journal."""
+"""The rows of a program tree in the shared store: one head, and the batches of its journal."""
 
 from collections.abc import Sequence
 
@@ -8,9 +8,9 @@
 from foxwinch._generated.families_pb2 import JournalBatch
 from foxwinch._generated.journal_pb2 import JournalRecord
 from foxwinch.identifiers import NodeId, ProgramId
-from foxwinch.records.families import FamilyHead
 from foxwinch.records.partitions import partition_of
 from foxwinch.records.ports import RowKey, RowWrite, StoredRow
+from foxwinch.records.program_trees import TreeHead
 from foxwinch.records.turns import PIECE_BYTES
 
 HEADS_TABLE = "families"
@@ -19,34 +19,34 @@
 """Rows of one batch: some 720 kB in base64, below the 1 MB of a transaction."""
 SEPARATOR = "/"
 AFTER_SEPARATOR = "0"
-"""The character after the separator, which ends the range of a family's batches."""
+"""The character after the separator, which ends the range of a program tree's batches."""
 BATCH_DIGITS = 8
 
 
 def head_row(root: ProgramId) -> RowKey:
-    """Return where a family's head lies."""
+    """Return where a program tree's head lies."""
     return RowKey(HEADS_TABLE, partition_of(root), root)
 
 
 def first_batch(root: ProgramId) -> RowKey:
-    """Return where the range of a family's batches begins."""
+    """Return where the range of a program tree's batches begins."""
     return RowKey(JOURNALS_TABLE, partition_of(root), root + SEPARATOR)
 
 
 def after_batches(root: ProgramId) -> str:
-    """Return the key that ends the range of a family's batches."""
+    """Return the key that ends the range of a program tree's batches."""
     return root + AFTER_SEPARATOR
 
 
-def head_of(stored: StoredRow) -> FamilyHead | None:
+def head_of(stored: StoredRow) -> TreeHead | None:
     """Read a head; None for one that cannot be read."""
     if stored.value is None:
-        return FamilyHead(0, 0, NodeId(""), "", "")
+        return TreeHead(0, 0, NodeId(""), "", "")
     try:
         message = FamilyHeadMessage.FromString(stored.value)
     except DecodeError:
         return None
-    return FamilyHead(
+    return TreeHead(
         stored.version,
         message.batches,
         NodeId(message.node),
@@ -56,7 +56,7 @@
     )
 
 
-def head_write(root: ProgramId, head: FamilyHead) -> RowWrite:
+def head_write(root: ProgramId, head: TreeHead) -> RowWrite:
     """Return the write that puts a head; its version is the store's to give."""
     message = FamilyHeadMessage(
         batches=head.batches,
@@ -83,7 +83,7 @@
 
 
 def records_of(
-    root: ProgramId, rows: Sequence[StoredRow], head: FamilyHead
+    root: ProgramId, rows: Sequence[StoredRow], head: TreeHead
 ) -> list[JournalRecord] | None:
     """Put batches together; None when one is missing, as in a read that is too old."""
     numbers = range(head.first, head.batches)
--- a/src/foxwinch/records/family_store.py
+++ b/src/foxwinch/records/tree_store.py
@@ -1,4 +1,4 @@
-"""Families in the shared store: who serves one is its row, and every append is under that row.
+"""Program trees in the shared store: who serves one is its row, and every append is under that row.
 
 Appends are conditions on the row's version, so no lease and no epoch is needed: whoever changes the
 row first goes on, and the other finds out by its next append.
@@ -12,9 +12,11 @@
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
-from foxwinch.records.families import Families, FamilyHead, OpenedFamily, ServedElsewhere
-from foxwinch.records.family_journal import StoredJournal
-from foxwinch.records.family_rows import (
+from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowKey, Written
+from foxwinch.records.program_trees import OpenedTree, OwnedElsewhere, ProgramTreeStore, TreeHead
+from foxwinch.records.repeat import CALL_SECONDS, repeat_until
+from foxwinch.records.tree_journal import StoredJournal
+from foxwinch.records.tree_rows import (
     HEADS_TABLE,
     after_batches,
     first_batch,
@@ -23,11 +25,9 @@
     head_write,
     records_of,
 )
-from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowKey, Written
-from foxwinch.records.repeat import CALL_SECONDS, repeat_until
 
 OPEN_SECONDS = 3.0
-"""For which a request waits for its family to be read."""
+"""For which a request waits for its program tree to be read."""
 LAST_KEY = "\U0010ffff"
 UNREADABLE = Refused(Reason.INTERNAL, RunState.NOT_RUN, "the family's row cannot be read")
 STALE = not_run(Reason.STORE_UNAVAILABLE, "the store's answer is older than the family", 0.2)
@@ -35,8 +35,8 @@
 log = EventLog("families")
 
 
-class StoredFamilies(Families):
-    """The families of all programs, in the shared store."""
+class RecordTreeStore(ProgramTreeStore):
+    """The program trees of all programs, in the shared store."""
 
     def __init__(self, store: RecordStore, clock: Clock, node: NodeId, address: str) -> None:
         """Serve as `node`, which other nodes reach at `address` (`ip:port`)."""
@@ -48,8 +48,8 @@
 
     async def open(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> OpenedFamily | ServedElsewhere | Refused:
-        """Begin to serve a family; one without a row is served without writing anything.
+    ) -> OpenedTree | OwnedElsewhere | Refused:
+        """Begin to serve a program tree; one without a row is served without writing anything.
 
         Whoever had this node's address before is gone.
         """
@@ -59,19 +59,19 @@
             return head
         if head.version and head.node != self._node:
             if head.node != over and head.address != self._address:
-                return ServedElsewhere(head.node, head.address)
+                return OwnedElsewhere(head.node, head.address)
             taken = await self._take(root, head, give_up_at)
-            if not isinstance(taken, FamilyHead):
+            if not isinstance(taken, TreeHead):
                 return taken
             head = taken
         records = await self._records(root, head, give_up_at)
         if isinstance(records, Refused):
             return records
         journal = StoredJournal(self._store, self._clock, root, head, self._token)
-        return OpenedFamily(journal, records)
+        return OpenedTree(journal, records)
 
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
-        """Read a family's journal without serving it."""
+        """Read a program tree's journal without serving it."""
         give_up_at = self._clock.monotonic() + OPEN_SECONDS
         head = await self._head(root, give_up_at)
         if isinstance(head, Refused):
@@ -79,7 +79,7 @@
         return await self._records(root, head, give_up_at)
 
     async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
-        """Return the families of a partition, each with the node that serves it."""
+        """Return the program trees of a partition, each with the node that serves it."""
         first = RowKey(HEADS_TABLE, partition, "")
         read = await self._store.read(first, LAST_KEY, CALL_SECONDS)
         if isinstance(read, Refused):
@@ -87,7 +87,7 @@
         heads = ((ProgramId(row.row.key), head_of(row)) for row in read.rows)
         return [(root, head.node) for root, head in heads if head is not None and head.version]
 
-    async def _head(self, root: ProgramId, give_up_at: float) -> FamilyHead | Refused:
+    async def _head(self, root: ProgramId, give_up_at: float) -> TreeHead | Refused:
         """Read the head by a transaction, which never sees an older state as a read may."""
         condition = RowCondition(head_row(root), 0)
 
@@ -98,12 +98,12 @@
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         if isinstance(answer, Written):
-            return FamilyHead(0, 0, self._node, self._address, "")
+            return TreeHead(0, 0, self._node, self._address, "")
         return head_of(answer.rows[0]) or UNREADABLE
 
     async def _take(
-        self, root: ProgramId, head: FamilyHead, give_up_at: float
-    ) -> FamilyHead | ServedElsewhere | Refused:
+        self, root: ProgramId, head: TreeHead, give_up_at: float
+    ) -> TreeHead | OwnedElsewhere | Refused:
         """Write this node into the head; a lost answer is settled by reading it back."""
         wanted = head._replace(node=self._node, address=self._address, token=self._token())
         condition = RowCondition(head_row(root), head.version)
@@ -124,10 +124,10 @@
             return UNREADABLE
         if found.token == wanted.token:
             return found
-        return ServedElsewhere(found.node, found.address) if found.version else RACED
+        return OwnedElsewhere(found.node, found.address) if found.version else RACED
 
     async def _records(
-        self, root: ProgramId, head: FamilyHead, give_up_at: float
+        self, root: ProgramId, head: TreeHead, give_up_at: float
     ) -> list[JournalRecord] | Refused:
         if head.first == head.batches:
             return []
--- a/src/foxwinch/workers/coordinator_grants.py
+++ b/src/foxwinch/workers/coordinator_grants.py
@@ -187,7 +187,7 @@
             service_seconds=request.service_seconds,
             deadline_at_seconds=request.deadline_at_seconds,
             repeatable=request.repeatable,
-            family_id=request.family_id,
+            tree_id=request.tree_id,
             excluded_workers=tuple(self._failed_on.get(request.call_id, ())),
         )
 
--- a/src/foxwinch/workers/ports.py
+++ b/src/foxwinch/workers/ports.py
@@ -54,8 +54,8 @@
     repeatable: bool = True
 
     @property
-    def family_id(self) -> ProgramId:
-        """The root of the program's family; sub-agents share the arrival time of its step."""
+    def tree_id(self) -> ProgramId:
+        """The root of the program's tree; sub-agents share the arrival time of its step."""
         return root_of(self.program_id)
 
 
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -16,7 +16,7 @@
 from foxwinch.identifiers import Epoch, ModelName, TenantName, ToolName, WorkerId
 from foxwinch.limits.ports import Admitted
 from foxwinch.outcomes import Reason, Refused, RunState
-from foxwinch.records.families import Families, FamilyJournal, OpenedFamily
+from foxwinch.records.program_trees import OpenedTree, ProgramTreeStore, TreeJournal
 from foxwinch.settings.base import check, read_toml
 from foxwinch.settings.cluster import ClusterConfiguration
 from foxwinch.workers.ports import Grant
@@ -73,7 +73,7 @@
         return self.answers.pop(0) if self.answers else ToolResult("held")
 
 
-class FakeJournal(FamilyJournal):
+class FakeJournal(TreeJournal):
     """Keeps records; `refusals` are given in turn, None letting an append through."""
 
     def __init__(self):
@@ -107,8 +107,8 @@
         self.removed += 1
 
 
-class FakeFamilies(Families):
-    """One journal for all families; `elsewhere` names the node that serves them instead."""
+class FakeTreeStore(ProgramTreeStore):
+    """One journal for all program trees; `elsewhere` names the node that serves them instead."""
 
     def __init__(self, journal):
         self.journal = journal
@@ -122,7 +122,7 @@
             return self.elsewhere
         if over is not None:
             self.taken_over.append(over)
-        return OpenedFamily(self.journal, list(self.records))
+        return OpenedTree(self.journal, list(self.records))
 
     async def read(self, root):
         return list(self.records)
@@ -182,20 +182,20 @@
         self.clock = VirtualClock(seed)
         self.engine, self.tools = FakeEngine(), FakeTools()
         self.journal, self.grants, self.limits = FakeJournal(), FakeGrants(), FakeLimits()
-        self.families = FakeFamilies(self.journal)
+        self.trees = FakeTreeStore(self.journal)
         self.ports = ProgramPorts(
-            self.clock, LocalConfiguration(document()), self.families,
+            self.clock, LocalConfiguration(document()), self.trees,
             self.grants, self.limits, self.engine, self.tools,
         )  # fmt: skip
         self.owner = ProgramOwner(self.ports)
         self.router = ProgramRouter(self.owner, forwarder)
 
     async def reopen(self, records, name="p"):
-        """Serve the family anew from these records, as after the loss of its node."""
+        """Serve the program tree anew from these records, as after the loss of its node."""
         held = self.owner.held(scoped(TENANT, name))
         if held is not None:
             self.owner.drop(held)
-        self.families.records = list(records)
+        self.trees.records = list(records)
         return await self.owner.locate(scoped(TENANT, name))
 
     def program(self, name="p"):
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from foxwinch.commands.adopt import LOOK_SECONDS, FamilyAdoption
+from foxwinch.commands.tree_takeover import LOOK_SECONDS, TreeTakeover
 from foxwinch.core.membership.member import Member, MemberState
 from foxwinch.core.program.identity import scoped
 from foxwinch.identifiers import NodeId, PeerAddress
@@ -33,12 +33,12 @@
     async def served(partition):
         return [(PROGRAM, NodeId(holder))] if partition == partition_of(PROGRAM) else []
 
-    rig.families.served = served
-    adoption = FamilyAdoption(rig.owner, members)
+    rig.trees.served = served
+    adoption = TreeTakeover(rig.owner, members)
     await adoption.start()
     await asyncio.sleep(LOOK_SECONDS + 1.0)
     await adoption.stop()
-    return rig.families.taken_over
+    return rig.trees.taken_over
 
 
 async def test_a_program_of_a_node_that_is_gone_is_taken_over():
--- a/tests/test_program_commands.py
+++ b/tests/test_program_commands.py
@@ -31,7 +31,7 @@
 from foxwinch.identifiers import CallId, NodeId, TenantName
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.queries.programs import OwnedPrograms
-from foxwinch.records.families import OpenedFamily, ServedElsewhere
+from foxwinch.records.program_trees import OpenedTree, OwnedElsewhere
 from program_fakes import BROKEN, TENANT, Rig, collect
 
 pytestmark = [pytest.mark.looptime]
@@ -285,7 +285,7 @@
     assert rig.program() is not None
 
 
-async def test_a_late_end_of_a_lost_family_changes_nothing(rig):
+async def test_a_late_end_of_a_lost_tree_changes_nothing(rig):
     call = asyncio.create_task(collect(rig.model()))
     await asyncio.sleep(1.5)
     records = len(rig.journal.records)
@@ -365,7 +365,7 @@
     near, far = addresses(2)
     ports = [network.join(NodeId("near"), near), network.join(NodeId("far"), far)]
     first = Rig(Forwarder(ports[0]), seed=4)
-    first.families.elsewhere = ServedElsewhere(NodeId("far"), str(far))
+    first.trees.elsewhere = OwnedElsewhere(NodeId("far"), str(far))
     owner = Rig(Forwarder(ports[1]), seed=5)
     return network, near, far, first, owner
 
@@ -397,7 +397,7 @@
 async def test_a_known_call_without_driver_or_outcome_is_not_called_not_run(rig):
     events = rig.model(idempotency_key="k")
     assert isinstance(await anext(events), CallStarted)
-    (held,) = rig.owner.families()
+    (held,) = rig.owner.trees()
     held.running.clear()
     _, repeated = await collect(rig.model(idempotency_key="k"))
     assert (repeated.reason, repeated.run_state) == (Reason.NOT_OWNER, RunState.UNKNOWN)
@@ -416,10 +416,10 @@
 
 async def test_a_program_that_the_other_node_has_given_up_is_taken_over():
     _, near, _, first, owner = networked()
-    owner.families.elsewhere = ServedElsewhere(NodeId("near"), str(near))
+    owner.trees.elsewhere = OwnedElsewhere(NodeId("near"), str(near))
     text, last = await collect(first.model())
     assert (text, isinstance(last, CallFinished)) == (TEXT, True)
-    assert first.families.taken_over == ["far"]
+    assert first.trees.taken_over == ["far"]
     assert owner.engine.orders == []
 
 
@@ -429,7 +429,7 @@
     began = asyncio.get_running_loop().time()
     text, last = await collect(first.model())
     assert (text, isinstance(last, CallFinished)) == (TEXT, True)
-    assert first.families.taken_over == ["far"]
+    assert first.trees.taken_over == ["far"]
     assert asyncio.get_running_loop().time() - began < 8.0
     assert owner.engine.orders == []
 
@@ -442,7 +442,7 @@
     _, refused = await collect(first.model("second"))
     assert (refused.reason, refused.run_state) == (Reason.DRAINING, RunState.NOT_RUN)
     assert (await call)[0] == TEXT
-    first.families.records = list(owner.journal.records)
+    first.trees.records = list(owner.journal.records)
     text, _ = await collect(first.model("second"))
     assert text == TEXT
     assert [m.content for m in first.program().history] == ["hello", TEXT, "second", TEXT]
@@ -537,7 +537,7 @@
 async def test_abandoning_after_a_takeover_does_not_hide_the_earlier_owners_run(call):
     later, records = await left_running(call)
     # Ended before the call that is run again has had a turn of the loop.
-    held = later.owner._serve(PROGRAM, OpenedFamily(later.journal, records))
+    held = later.owner._serve(PROGRAM, OpenedTree(later.journal, records))
     program = held.table.find(PROGRAM)
     assert await end_program(later.ports, held, program, True, "test") is None
     await later.owner.wait_idle()
--- a/tests/test_program_machine.py
+++ b/tests/test_program_machine.py
@@ -300,8 +300,8 @@
     def budgets_hold_with_answers_in_flight(self):
         for name in PROGRAMS:
             ledger = self.table.find(name).ledger
-            family = (ROOT, CHILD) if name == ROOT else (name,)
-            members = [c for c in self.calls.values() if c.intent.program_id in family]
+            tree = (ROOT, CHILD) if name == ROOT else (name,)
+            members = [c for c in self.calls.values() if c.intent.program_id in tree]
             assert ledger.spent.tokens == sum(c.spent[0] for c in members)
             assert ledger.spent.calls == sum(c.spent[1] for c in members)
             assert ledger.reserved.tokens == sum(c.reserved for c in members)
--- a/tests/test_families.py
+++ b/tests/test_program_trees.py
@@ -1,4 +1,4 @@
-"""Families of programs in the shared store: one node serves each, whatever becomes of answers."""
+"""Program trees in the shared store: one node serves each, whatever becomes of answers."""
 
 import asyncio
 import random
@@ -11,10 +11,10 @@
 from foxwinch.emulator.record_store import Mood, RecordStoreModel
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.outcomes import Reason, Refused, RunState
-from foxwinch.records.families import OpenedFamily, ServedElsewhere
-from foxwinch.records.family_rows import HEADS_TABLE, JOURNALS_TABLE
-from foxwinch.records.family_store import StoredFamilies
 from foxwinch.records.partitions import partition_of
+from foxwinch.records.program_trees import OpenedTree, OwnedElsewhere
+from foxwinch.records.tree_rows import HEADS_TABLE, JOURNALS_TABLE
+from foxwinch.records.tree_store import RecordTreeStore
 from virtual_clock import VirtualClock
 
 pytestmark = [pytest.mark.looptime]
@@ -41,7 +41,7 @@
     def node(self, name, store=None):
         self.ways[name] = InProcessRecords(self.store, self.clock)
         address = f"127.0.0.1:{7000 + len(self.ways)}"
-        return StoredFamilies(store or self.ways[name], self.clock, NodeId(name), address)
+        return RecordTreeStore(store or self.ways[name], self.clock, NodeId(name), address)
 
 
 @pytest.fixture
@@ -55,7 +55,7 @@
     assert opened.records == []
     assert await opened.journal.append([record("one"), record("two")]) is None
     assert await opened.journal.append([record("three")]) is None
-    assert await second.open(ROOT) == ServedElsewhere(NodeId("a"), "127.0.0.1:7001")
+    assert await second.open(ROOT) == OwnedElsewhere(NodeId("a"), "127.0.0.1:7001")
     taken = await second.open(ROOT, over=NodeId("a"))
     assert texts(taken.records) == ["one", "two", "three"]
     assert taken.journal.batches == 2
@@ -63,7 +63,7 @@
 
 async def test_asking_for_a_program_that_was_never_written_writes_nothing(world):
     opened = await world.node("a").open(ROOT)
-    assert isinstance(opened, OpenedFamily)
+    assert isinstance(opened, OpenedTree)
     assert await opened.journal.confirm() is None
     assert world.store.calls.commits == 0
     assert await world.node("b").read(ROOT) == []
@@ -90,18 +90,18 @@
 
 
 async def test_a_lost_answer_of_an_append_is_settled_by_sending_it_again(world):
-    families = world.node("a")
-    journal = (await families.open(ROOT)).journal
+    trees = world.node("a")
+    journal = (await trees.open(ROOT)).journal
     await journal.append([record("one")])
     world.ways["a"].gate.faults = ServiceFaults(lose_answers=1)
     assert await journal.append([record("two")]) is None
     assert await journal.append([record("three")]) is None
-    assert texts(await families.read(ROOT)) == ["one", "two", "three"]
+    assert texts(await trees.read(ROOT)) == ["one", "two", "three"]
 
 
 async def test_an_append_given_up_that_took_effect_is_told_before_the_next_one(world):
-    families = world.node("a")
-    journal = (await families.open(ROOT)).journal
+    trees = world.node("a")
+    journal = (await trees.open(ROOT)).journal
     late = []
     journal.on_applied(late.extend)
     world.ways["a"].gate.faults = LOST
@@ -110,22 +110,22 @@
     world.ways["a"].gate.faults = ServiceFaults()
     assert await journal.append([record("two")]) is None
     assert texts(late) == ["one"]
-    assert texts(await families.read(ROOT)) == ["one", "two"]
+    assert texts(await trees.read(ROOT)) == ["one", "two"]
 
 
 async def test_an_append_that_the_store_does_late_never_comes_after_a_newer_one(world):
-    families = world.node("a", world.store)
-    journal = (await families.open(ROOT)).journal
+    trees = world.node("a", world.store)
+    journal = (await trees.open(ROOT)).journal
     await journal.append([record("one")])
     world.store.moods.mood = Mood.LATE
     assert (await journal.append([record("lost")])).run_state is RunState.UNKNOWN
     world.store.moods.mood = Mood.WELL
     assert await journal.append([record("two")]) is None
     await asyncio.sleep(10)
-    found = texts(await families.read(ROOT))
+    found = texts(await trees.read(ROOT))
     assert found in (["one", "two"], ["one", "lost", "two"])
     assert await journal.append([record("three")]) is None
-    assert texts(await families.read(ROOT)) == [*found, "three"]
+    assert texts(await trees.read(ROOT)) == [*found, "three"]
 
 
 async def test_a_takeover_whose_answer_was_lost_is_in_force(world):
@@ -138,50 +138,50 @@
 
 
 async def test_a_store_that_is_down_refuses_truthfully(world):
-    families = world.node("a")
-    journal = (await families.open(ROOT)).journal
+    trees = world.node("a")
+    journal = (await trees.open(ROOT)).journal
     world.ways["a"].gate.faults = ServiceFaults(down=True)
     refused = await journal.append([record("one")])
     assert (refused.reason, refused.run_state) == (Reason.STORE_UNAVAILABLE, RunState.NOT_RUN)
-    assert (await families.open(ROOT)).run_state is RunState.NOT_RUN
+    assert (await trees.open(ROOT)).run_state is RunState.NOT_RUN
     world.ways["a"].gate.faults = ServiceFaults()
     assert await journal.append([record("one")]) is None
 
 
 async def test_a_restarted_node_serves_what_its_former_life_served(world):
-    before = StoredFamilies(world.store, world.clock, NodeId("a-1"), "127.0.0.1:7001")
+    before = RecordTreeStore(world.store, world.clock, NodeId("a-1"), "127.0.0.1:7001")
     await (await before.open(ROOT)).journal.append([record("one")])
-    after = StoredFamilies(world.store, world.clock, NodeId("a-2"), "127.0.0.1:7001")
+    after = RecordTreeStore(world.store, world.clock, NodeId("a-2"), "127.0.0.1:7001")
     assert texts((await after.open(ROOT)).records) == ["one"]
 
 
 async def test_large_records_lie_in_several_rows_and_too_large_ones_are_refused(world):
-    families = world.node("a")
-    journal = (await families.open(ROOT)).journal
+    trees = world.node("a")
+    journal = (await trees.open(ROOT)).journal
     assert await journal.append([record("large", 200_000)]) is None
     assert await journal.append([record("small")]) is None
     refused = await journal.append([record("huge", 600_000)])
     assert (refused.reason, refused.run_state) == (Reason.INVALID_REQUEST, RunState.NOT_RUN)
-    assert texts(await families.read(ROOT)) == ["large", "small"]
+    assert texts(await trees.read(ROOT)) == ["large", "small"]
 
 
-async def test_a_removed_family_leaves_no_row_and_can_begin_again(world):
-    families = world.node("a")
-    journal = (await families.open(ROOT)).journal
+async def test_a_removed_tree_leaves_no_row_and_can_begin_again(world):
+    trees = world.node("a")
+    journal = (await trees.open(ROOT)).journal
     for number in range(150):
         await journal.append([record(str(number))])
     assert await journal.remove() is None
     assert world.store.rows_of(HEADS_TABLE) == {}
     assert world.store.rows_of(JOURNALS_TABLE) == {}
     assert (await journal.append([record("late")])).reason is Reason.FENCED
-    again = (await families.open(ROOT)).journal
+    again = (await trees.open(ROOT)).journal
     await again.append([record("again")])
-    assert texts(await families.read(ROOT)) == ["again"]
+    assert texts(await trees.read(ROOT)) == ["again"]
 
 
-async def test_a_removal_cut_short_leaves_an_empty_family_that_can_be_removed(world):
-    families = world.node("a")
-    journal = (await families.open(ROOT)).journal
+async def test_a_removal_cut_short_leaves_an_empty_tree_that_can_be_removed(world):
+    trees = world.node("a")
+    journal = (await trees.open(ROOT)).journal
     for number in range(3):
         await journal.append([record(str(number))])
     world.ways["a"].read = _down
@@ -199,10 +199,10 @@
     return Refused(Reason.STORE_UNAVAILABLE, RunState.NOT_RUN, "down")
 
 
-async def test_nodes_tell_who_serves_the_families_of_a_partition(world):
-    families = world.node("a")
-    await (await families.open(ROOT)).journal.append([record("one")])
-    served = await families.served(partition_of(ROOT))
+async def test_nodes_tell_who_serves_the_trees_of_a_partition(world):
+    trees = world.node("a")
+    await (await trees.open(ROOT)).journal.append([record("one")])
+    served = await trees.served(partition_of(ROOT))
     assert served == [(ROOT, NodeId("a"))]
 
 
@@ -225,7 +225,7 @@
         if chance.random() < 0.25 or number not in journals:
             other = NodeId(f"n{chance.randrange(3)}")
             opened = await nodes[number].open(ROOT, over=other)
-            if isinstance(opened, OpenedFamily):
+            if isinstance(opened, OpenedTree):
                 journals[number] = opened.journal
                 assert set(acknowledged) <= set(texts(opened.records))
             continue
