--- a/src/foxwinch/bench/failover/programs.py
+++ b/src/foxwinch/bench/failover/programs.py
@@ -9,7 +9,7 @@
 from foxwinch.backends.ports import Message
 from foxwinch.bench.failover.calls import Ask, Attempt, Caller, LogicalCall, Outcome
 from foxwinch.bench.failover.cluster import FailoverCluster
-from foxwinch.core.program.identity import scoped
+from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.emulator.engine_answers import history_marker
 from foxwinch.identifiers import TenantName
 from foxwinch.settings.cluster import ClusterConfiguration, TemplateSettings
@@ -102,7 +102,7 @@
         seed: int,
     ) -> None:
         tenant = TenantName(cluster.document.tenants[0].name)
-        self.record = ProgramRecord(name, scoped(tenant, name))
+        self.record = ProgramRecord(name, scoped_program_id(tenant, name))
         self._template = template
         self._tools = tools
         self._caller = Caller(cluster, seed)
--- a/src/foxwinch/commands/execute.py
+++ b/src/foxwinch/commands/execute.py
@@ -5,6 +5,7 @@
 
 from foxwinch._generated.journal_pb2 import CallAdmitted, JournalRecord, ProgramCreated
 from foxwinch.commands.call_lifecycle import CallLifecycle
+from foxwinch.commands.call_settings import creation, find_template, model_terms, tool_declaration
 from foxwinch.commands.end_program import end_program
 from foxwinch.commands.model_call import ModelCallDriver
 from foxwinch.commands.program_owner import ProgramOwner
@@ -21,11 +22,10 @@
 from foxwinch.commands.running_call import RunningCall
 from foxwinch.commands.served_tree import ServedTree
 from foxwinch.commands.spawn import SpawnDriver
-from foxwinch.commands.terms import creation, find_template, model_terms, tool_declaration
 from foxwinch.commands.tool_call import ToolCallDriver
 from foxwinch.commands.views import ended_call, one_event, program_details
 from foxwinch.core.program.call_events import ProgramEvent
-from foxwinch.core.program.identity import child_of, is_single_call
+from foxwinch.core.program.identity import child_program_id, is_single_call
 from foxwinch.core.program.requests import Attached, CallIntent, Repeated
 from foxwinch.core.program.state import Program
 from foxwinch.identifiers import CallId, ProgramId
@@ -159,7 +159,7 @@
         template = self._template(request, request.template or program.created.template)
         if isinstance(template, Refused):
             return one_event(template)
-        child = child_of(program.program_id, self._ports.clock.identifier()[:12])
+        child = child_program_id(program.program_id, self._ports.clock.identifier()[:12])
         intent = self._plain_intent(
             program,
             CallAdmitted.SPAWN,
--- a/src/foxwinch/commands/program_owner.py
+++ b/src/foxwinch/commands/program_owner.py
@@ -10,11 +10,11 @@
 
 from foxwinch._generated.journal_pb2 import CallAdmitted
 from foxwinch.commands.call_lifecycle import CallLifecycle
+from foxwinch.commands.call_settings import model_terms, tool_declaration
 from foxwinch.commands.model_call import ModelCallDriver
 from foxwinch.commands.ports import ProgramPorts
 from foxwinch.commands.running_call import RunningCall
 from foxwinch.commands.served_tree import ServedTree, lost_tree
-from foxwinch.commands.terms import model_terms, tool_declaration
 from foxwinch.commands.tool_call import ToolCallDriver
 from foxwinch.core.program.identity import is_single_call
 from foxwinch.core.program.recovery import Recovery, decide, unknown_outcome
--- a/src/foxwinch/commands/spawn.py
+++ b/src/foxwinch/commands/spawn.py
@@ -11,7 +11,7 @@
 from foxwinch.commands.call_lifecycle import CallLifecycle
 from foxwinch.commands.ports import ProgramPorts
 from foxwinch.commands.views import program_details
-from foxwinch.core.program.admission import depth_shortage
+from foxwinch.core.program.admission import check_depth
 from foxwinch.core.program.budget import Amount
 from foxwinch.core.program.requests import CallIntent
 from foxwinch.identifiers import ProgramId
@@ -41,7 +41,7 @@
 
     async def _run(self, intent: CallIntent) -> None:
         await self.life.wait_turn()
-        too_deep = depth_shortage(self.life.program)
+        too_deep = check_depth(self.life.program)
         if too_deep is not None:
             self.life.refuse(too_deep)
             return
--- a/src/foxwinch/commands/sweep.py
+++ b/src/foxwinch/commands/sweep.py
@@ -4,7 +4,7 @@
 from foxwinch.commands.periodic import PeriodicWork
 from foxwinch.commands.program_owner import CLIENT_GONE
 from foxwinch.commands.served_tree import ServedTree
-from foxwinch.core.program.lifetime import cause_of_abandonment
+from foxwinch.core.program.lifetime import abandonment_reason
 from foxwinch.core.program.state import Program
 from foxwinch.outcomes import Reason
 
@@ -36,7 +36,7 @@
                 call.cancel(CLIENT_GONE)
         wall = self._clock.wall()
         for program in list(held.table):
-            cause = cause_of_abandonment(program, wall)
+            cause = abandonment_reason(program, wall)
             if cause is not None:
                 if program.program_id not in held.ending:
                     self._owner.spawn_task(self._abandon(held, program, cause))
--- a/src/foxwinch/core/program/admission.py
+++ b/src/foxwinch/core/program/admission.py
@@ -52,7 +52,7 @@
     )
 
 
-def depth_shortage(program: Program) -> Refused | None:
+def check_depth(program: Program) -> Refused | None:
     """Tell whether a child program would lie deeper than an ancestor's budget allows."""
     depth = program.created.depth + 1
     for ancestor in program.lineage():
--- a/src/foxwinch/core/program/identity.py
+++ b/src/foxwinch/core/program/identity.py
@@ -14,14 +14,14 @@
 CHILD_SEPARATOR = "~"
 NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$")
 """What callers may choose as a program's name."""
-GIVEN_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:~-]{0,511}$")
+EXISTING_NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:~-]{0,511}$")
 """What callers may send as the name of a program that exists, child programs included."""
 NAME_RULE = "1 to 128 letters, digits, and . _ : - after a letter or digit"
 SINGLE_CALL_PREFIX = "once-"
 """Names of programs of one call; callers may not choose such names."""
 
 
-def scoped(tenant: TenantName, name: str) -> ProgramId:
+def scoped_program_id(tenant: TenantName, name: str) -> ProgramId:
     """Return the identifier of a tenant's program."""
     return ProgramId(f"{tenant}{TENANT_SEPARATOR}{name}")
 
@@ -36,22 +36,22 @@
     return ProgramId(program_id.partition(CHILD_SEPARATOR)[0])
 
 
-def child_of(parent: ProgramId, suffix: str) -> ProgramId:
+def child_program_id(parent: ProgramId, suffix: str) -> ProgramId:
     """Return the identifier of a child program."""
     return ProgramId(f"{parent}{CHILD_SEPARATOR}{suffix}")
 
 
-def keyed_name(idempotency_key: str) -> str:
+def single_call_name_for_key(idempotency_key: str) -> str:
     """Return the name of the single-call program of a key, so that a repeat finds the first."""
     return SINGLE_CALL_PREFIX + hashlib.sha256(idempotency_key.encode()).hexdigest()[:40]
 
 
-def named_by_key(idempotency_key: str) -> str:
+def program_name_for_key(idempotency_key: str) -> str:
     """Return the name of a program created without one under a key."""
     return "key-" + hashlib.sha256(idempotency_key.encode()).hexdigest()[:40]
 
 
-def unkeyed_name(identifier: str) -> str:
+def single_call_name(identifier: str) -> str:
     """Return the name of a single-call program without an idempotency key."""
     return SINGLE_CALL_PREFIX + identifier
 
--- a/src/foxwinch/gateway/chat.py
+++ b/src/foxwinch/gateway/chat.py
@@ -8,7 +8,11 @@
 from foxwinch.clock import Clock
 from foxwinch.commands.requests import ModelCallRequest, ProgramRequest
 from foxwinch.core.program.call_events import ProgramEvent
-from foxwinch.core.program.identity import keyed_name, scoped, unkeyed_name
+from foxwinch.core.program.identity import (
+    scoped_program_id,
+    single_call_name,
+    single_call_name_for_key,
+)
 from foxwinch.gateway.authentication import Authenticator, Caller
 from foxwinch.gateway.errors import error_response
 from foxwinch.gateway.headers import (
@@ -143,10 +147,12 @@
 
 def _program_id(context: GatewayContext, caller: Caller, name: str, key: str) -> ProgramId:
     if name:
-        return scoped(caller.tenant, name)
+        return scoped_program_id(caller.tenant, name)
     if key:
-        return scoped(caller.tenant, keyed_name(key))
-    return scoped(caller.tenant, unkeyed_name(context.new_program_name(caller.tenant)))
+        return scoped_program_id(caller.tenant, single_call_name_for_key(key))
+    return scoped_program_id(
+        caller.tenant, single_call_name(context.new_program_name(caller.tenant))
+    )
 
 
 def _model_document(name: str) -> dict[str, object]:
--- a/src/foxwinch/gateway/headers.py
+++ b/src/foxwinch/gateway/headers.py
@@ -2,7 +2,7 @@
 
 from aiohttp import web
 
-from foxwinch.core.program.identity import GIVEN_PATTERN, NAME_RULE
+from foxwinch.core.program.identity import EXISTING_NAME_PATTERN, NAME_RULE
 from foxwinch.gateway.errors import InvalidField, invalid_field
 from foxwinch.outcomes import Refused
 
@@ -26,7 +26,7 @@
 
 def check_name(field: str, name: str) -> str | InvalidField:
     """Check a program's name as a caller gave it."""
-    if GIVEN_PATTERN.match(name):
+    if EXISTING_NAME_PATTERN.match(name):
         return name
     return invalid_field(field, name, NAME_RULE)
 
--- a/src/foxwinch/gateway/programs.py
+++ b/src/foxwinch/gateway/programs.py
@@ -20,8 +20,8 @@
     NAME_PATTERN,
     NAME_RULE,
     SINGLE_CALL_PREFIX,
-    named_by_key,
-    scoped,
+    program_name_for_key,
+    scoped_program_id,
 )
 from foxwinch.gateway.authentication import Caller
 from foxwinch.gateway.chat import GatewayContext, run_chat
@@ -78,7 +78,7 @@
         name = self._name_of_new(caller, body, key)
         if isinstance(name, Refused):
             return error_response(name)
-        asked = CreateRequest(caller.tenant, scoped(caller.tenant, name), template, key)
+        asked = CreateRequest(caller.tenant, scoped_program_id(caller.tenant, name), template, key)
         return _program_response(await self._final(asked), HTTPStatus.CREATED)
 
     def _of_program(
@@ -132,7 +132,7 @@
         key = idempotency_key(request)
         if isinstance(key, Refused):
             return error_response(key)
-        asked = SpawnRequest(caller.tenant, scoped(caller.tenant, name), template, key)
+        asked = SpawnRequest(caller.tenant, scoped_program_id(caller.tenant, name), template, key)
         return _program_response(await self._final(asked), HTTPStatus.CREATED)
 
     async def _finish(self, request: web.Request, caller: Caller, name: str) -> web.StreamResponse:
@@ -144,7 +144,7 @@
     async def _end(
         self, request: web.Request, caller: Caller, name: str, abandoned: bool
     ) -> web.StreamResponse:
-        program_id = scoped(caller.tenant, name)
+        program_id = scoped_program_id(caller.tenant, name)
         asked = EndRequest(caller.tenant, program_id, abandoned, "asked by the caller")
         return _program_response(await self._final(asked))
 
@@ -153,7 +153,9 @@
         if isinstance(resume, Refused):
             return error_response(resume)
         call_id = CallId(request.match_info["call"])
-        asked = AttachRequest(caller.tenant, scoped(caller.tenant, name), call_id, resume)
+        asked = AttachRequest(
+            caller.tenant, scoped_program_id(caller.tenant, name), call_id, resume
+        )
         created = int(self._context.clock.wall())
         events = self._context.execute(asked)
         return await respond_stream(request, events, created, True, first=resume == 0)
@@ -168,7 +170,9 @@
         if isinstance(name, Refused):
             return name
         if not name:
-            return named_by_key(key) if key else self._context.new_program_name(caller.tenant)
+            return (
+                program_name_for_key(key) if key else self._context.new_program_name(caller.tenant)
+            )
         if not NAME_PATTERN.match(name) or name.startswith(SINGLE_CALL_PREFIX):
             return invalid_field("name", name, f"{NAME_RULE}, not starting with once-")
         return name
@@ -189,14 +193,14 @@
     key = idempotency_key(request)
     if isinstance(key, Refused):
         return key
-    program_id = scoped(caller.tenant, name)
+    program_id = scoped_program_id(caller.tenant, name)
     return ToolCallRequest(
         caller.tenant, program_id, ToolName(tool), canonical_json(arguments), tool_call_id, key
     )
 
 
 def _history_request(caller: Caller, name: str) -> HistoryRequest:
-    return HistoryRequest(caller.tenant, ProgramId(scoped(caller.tenant, name)))
+    return HistoryRequest(caller.tenant, ProgramId(scoped_program_id(caller.tenant, name)))
 
 
 def _program_response(
--- a/src/foxwinch/platform/front_door.py
+++ b/src/foxwinch/platform/front_door.py
@@ -24,8 +24,8 @@
 )
 from foxwinch.serving.messages import (
     AnswerHead,
-    ModelTerms,
-    ProgramTerms,
+    ModelParameters,
+    ProgramParameters,
     RejectedRequest,
     Rejection,
     ServiceRequest,
@@ -117,19 +117,19 @@
             return None
 
 
-def _program(headers: Mapping[str, str]) -> ProgramTerms | None:
+def _program(headers: Mapping[str, str]) -> ProgramParameters | None:
     program_id = headers.get(PROGRAM)
     if not program_id:
         return None
     finish_ms = _number(headers.get(FINISH_MS))
-    return ProgramTerms(
+    return ProgramParameters(
         program_id,
         headers.get(LINE) or program_id,
         finish_ms / 1e3 if finish_ms is not None else None,
     )
 
 
-def _model(headers: Mapping[str, str]) -> ModelTerms | None:
+def _model(headers: Mapping[str, str]) -> ModelParameters | None:
     tokens = headers.get(TOKENS)
     if not tokens:
         return None
@@ -140,7 +140,7 @@
         if separator:
             parts.append((identity, int(size)))
     hint = _integer(headers.get(LENGTH_HINT))
-    return ModelTerms(int(prompt), int(output or 0), hint, tuple(parts))
+    return ModelParameters(int(prompt), int(output or 0), hint, tuple(parts))
 
 
 def _number(value: str | None) -> float | None:
--- a/src/foxwinch/serving/messages.py
+++ b/src/foxwinch/serving/messages.py
@@ -7,18 +7,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProgramTerms:
+class ProgramParameters:
     """What a request tells of the program that it belongs to."""
 
     program_id: str
-    line_id: str
-    """One line of turns of the program; a sub-agent has a line of its own."""
+    conversation_id: str
+    """One conversation of the program; a sub-agent has one of its own."""
     finish_seconds: float | None
     """Time left, on arrival, before the program should be over."""
 
 
 @dataclass(frozen=True, slots=True)
-class ModelTerms:
+class ModelParameters:
     """What a model call tells of its size."""
 
     prompt_tokens: int
@@ -45,8 +45,8 @@
     """On the node's steady clock."""
     deadline_seconds: float | None
     """How long after `received_at` the caller waits; None when it does not say."""
-    program: ProgramTerms | None = None
-    model: ModelTerms | None = None
+    program: ProgramParameters | None = None
+    model: ModelParameters | None = None
     budget_tokens: int | None = None
     previous_turn: str | None = None
     last_event_id: int | None = None
--- a/src/foxwinch/serving/stream.py
+++ b/src/foxwinch/serving/stream.py
@@ -57,7 +57,7 @@
 
 
 class StreamServer:
-    """Serves streams, and remembers which worker served each line of turns last."""
+    """Serves streams, and remembers which worker served each conversation last."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._clock = clock
         self._metrics = metrics
         self._last_workers: dict[str, str] = {}
-        """Incarnations by line of turns."""
+        """Incarnations by conversation."""
 
     async def serve(
         self, attempts: Attempts, prompt: Prompt, caller: Caller, summary: StreamSummary
@@ -216,7 +216,7 @@
 
     def _last_worker(self, attempts: Attempts) -> str | None:
         program = attempts.request.program
-        return self._last_workers.get(program.line_id) if program is not None else None
+        return self._last_workers.get(program.conversation_id) if program is not None else None
 
     def _remember(self, attempts: Attempts, taken: Taken) -> None:
         program = attempts.request.program
@@ -224,5 +224,5 @@
             return
         while len(self._last_workers) >= LINES_MAXIMUM:
             self._last_workers.pop(next(iter(self._last_workers)))
-        self._last_workers.pop(program.line_id, None)
-        self._last_workers[program.line_id] = taken.worker.incarnation
+        self._last_workers.pop(program.conversation_id, None)
+        self._last_workers[program.conversation_id] = taken.worker.incarnation
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -11,7 +11,7 @@
 from foxwinch.commands.router import ProgramRouter
 from foxwinch.configuration.local import LocalConfiguration
 from foxwinch.core.program.call_events import CallChunks
-from foxwinch.core.program.identity import scoped
+from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.emulator.clock import VirtualClock
 from foxwinch.identifiers import Epoch, ModelName, TenantName, ToolName, WorkerId
 from foxwinch.limits.ports import Admitted
@@ -192,28 +192,28 @@
 
     async def reopen(self, records, name="p"):
         """Serve the program tree anew from these records, as after the loss of its node."""
-        held = self.owner.held(scoped(TENANT, name))
+        held = self.owner.held(scoped_program_id(TENANT, name))
         if held is not None:
             self.owner.drop(held)
         self.trees.records = list(records)
-        return await self.owner.locate(scoped(TENANT, name))
+        return await self.owner.locate(scoped_program_id(TENANT, name))
 
     def program(self, name="p"):
-        held = self.owner.held(scoped(TENANT, name))
-        return held.table.find(scoped(TENANT, name)) if held is not None else None
+        held = self.owner.held(scoped_program_id(TENANT, name))
+        return held.table.find(scoped_program_id(TENANT, name)) if held is not None else None
 
     def model(self, text="hello", name="p", **fields):
         message = HistoryMessage(role="user", content=text)
         base = {"append": True, "maximum_tokens": 16, **fields}
         return self.router.execute(
             ModelCallRequest(
-                TENANT, scoped(TENANT, name), ModelName("rail-chat"), (message,), **base
+                TENANT, scoped_program_id(TENANT, name), ModelName("rail-chat"), (message,), **base
             )
         )
 
     def tool(self, tool="timetable", name="p", **fields):
         return self.router.execute(
-            ToolCallRequest(TENANT, scoped(TENANT, name), ToolName(tool), "{}", **fields)
+            ToolCallRequest(TENANT, scoped_program_id(TENANT, name), ToolName(tool), "{}", **fields)
         )
 
 
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -6,13 +6,13 @@
 
 from foxwinch.commands.tree_takeover import LOOK_SECONDS, TreeTakeover
 from foxwinch.core.membership.member import Member, MemberState
-from foxwinch.core.program.identity import scoped
+from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.identifiers import NodeId, PeerAddress
 from foxwinch.records.partitions import partition_of
 from program_fakes import TENANT, Rig
 
 pytestmark = [pytest.mark.looptime]
-PROGRAM = scoped(TENANT, "p")
+PROGRAM = scoped_program_id(TENANT, "p")
 
 
 class Members:
--- a/tests/test_engine_silence.py
+++ b/tests/test_engine_silence.py
@@ -12,7 +12,7 @@
 from foxwinch.backends.ports import GenerateOrder, Message
 from foxwinch.clock import SystemClock
 from foxwinch.core.program.call_events import CallFinished
-from foxwinch.core.program.identity import scoped
+from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.emulator.engine_answers import plan_answer
 from foxwinch.emulator.faults import EngineFaults
 from foxwinch.emulator.server import build_application
@@ -24,7 +24,7 @@
 TOKENS = 4
 HANG_SECONDS = 30
 ORDER = GenerateOrder(
-    "any", scoped(TENANT, "p"), "rail-chat", (Message("user", "hello"),), TOKENS, 0, 1
+    "any", scoped_program_id(TENANT, "p"), "rail-chat", (Message("user", "hello"),), TOKENS, 0, 1
 )
 PLAN = plan_answer(ORDER, TOKENS).tokens
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_program_commands.py
+++ b/tests/test_program_commands.py
@@ -25,7 +25,7 @@
     ProgramDetails,
     ToolFinished,
 )
-from foxwinch.core.program.identity import scoped
+from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.core.program.snapshot import snapshot_records
 from foxwinch.emulator.network import MemoryNetwork, addresses
 from foxwinch.identifiers import CallId, NodeId, TenantName
@@ -35,7 +35,7 @@
 from program_fakes import BROKEN, TENANT, Rig, collect
 
 pytestmark = [pytest.mark.looptime]
-PROGRAM = scoped(TENANT, "p")
+PROGRAM = scoped_program_id(TENANT, "p")
 TEXT = "the next train"
 
 
@@ -181,7 +181,7 @@
     _, last = await collect(events)
     assert (last.reason, last.run_state) == (Reason.OVERLOADED, RunState.UNKNOWN)
     assert last.retry_after_seconds == 2.0
-    await create(rig, program=scoped(TENANT, "q"))
+    await create(rig, program=scoped_program_id(TENANT, "q"))
     hung = Refused(Reason.TOOL_TIMEOUT, RunState.UNKNOWN, "hung")
     rig.tools.answers = [hung, not_run(Reason.INVALID_REQUEST, "no")]
     _, last = await collect(rig.tool("timetable", name="q"))
@@ -353,7 +353,7 @@
 async def test_another_tenants_program_looks_like_one_that_is_not_there(rig):
     await create(rig)
     other = TenantName("other")
-    asked = [HistoryRequest(other, scoped(other, name)) for name in ("p", "q")]
+    asked = [HistoryRequest(other, scoped_program_id(other, name)) for name in ("p", "q")]
     answers = [(await collect(rig.router.execute(request)))[1] for request in asked]
     assert answers[0] == answers[1]
     assert answers[0].reason is Reason.NOT_FOUND
--- a/tests/test_program_table.py
+++ b/tests/test_program_table.py
@@ -15,7 +15,7 @@
     Spending,
 )
 from foxwinch.core.program.admission import start_call
-from foxwinch.core.program.lifetime import cause_of_abandonment
+from foxwinch.core.program.lifetime import abandonment_reason
 from foxwinch.core.program.recovery import Recovery, decide
 from foxwinch.core.program.requests import Applied, Attached, CallIntent, Dropped, Queued, Repeated
 from foxwinch.core.program.requests import Started as StartedCall
@@ -229,8 +229,8 @@
 def test_abandoned_when_idle_over_time_or_parent_ended(table):
     child = ProgramId(PROGRAM + "~x")
     table.apply(created(child, parent=PROGRAM, depth=1))
-    assert cause_of_abandonment(table.find(PROGRAM), 49.0) is None
-    assert cause_of_abandonment(table.find(PROGRAM), 51.0) == "idle"
-    assert cause_of_abandonment(table.find(PROGRAM), 101.0) == "wall_time"
+    assert abandonment_reason(table.find(PROGRAM), 49.0) is None
+    assert abandonment_reason(table.find(PROGRAM), 51.0) == "idle"
+    assert abandonment_reason(table.find(PROGRAM), 101.0) == "wall_time"
     table.apply(JournalRecord(program_finished=ProgramFinished(program_id=PROGRAM)))
-    assert cause_of_abandonment(table.find(child), 1.0) == "parent_ended"
+    assert abandonment_reason(table.find(child), 1.0) == "parent_ended"
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -9,7 +9,7 @@
 
 from foxwinch.backends.ports import GenerateOrder, Message
 from foxwinch.clock import SystemClock
-from foxwinch.core.program.identity import scoped
+from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.emulator.engine_answers import plan_answer
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import settings_of_cluster
@@ -68,7 +68,7 @@
     async with caller.post("/v1/chat/completions", json=CALL) as response:
         document = await response.json()
     assert response.status == 200
-    program = scoped("seat-reservations", response.headers["X-Foxwinch-Program"])
+    program = scoped_program_id("seat-reservations", response.headers["X-Foxwinch-Program"])
     messages = (Message("user", "To Wrecsam, please."),)
     order = GenerateOrder("any", program, "rail-chat", messages, 3, 0, 1)
     expected = "".join(plan_answer(order, 3).tokens)
