--- a/src/foxwinch/backends/engine_stream.py
+++ b/src/foxwinch/backends/engine_stream.py
@@ -11,7 +11,7 @@
 
 EVENT_PREFIX = "data: "
 END_OF_STREAM = "[DONE]"
-MAXIMUM_LINE_BYTES = 1024 * 1024
+MAX_LINE_BYTES = 1024 * 1024
 """A longer line without an end is no event of an engine."""
 MALFORMED_ERRORS = (ValueError, KeyError, TypeError, AttributeError, IndexError)
 """What reading an answer of another shape raises."""
@@ -35,7 +35,7 @@
             begun = True
             on_begun()
         lines, _, rest = (rest + data).rpartition(b"\n")
-        if len(rest) > MAXIMUM_LINE_BYTES:
+        if len(rest) > MAX_LINE_BYTES:
             yield MALFORMED
             return
         for event in reader.read(lines):
--- a/src/foxwinch/backends/engine_waits.py
+++ b/src/foxwinch/backends/engine_waits.py
@@ -21,7 +21,7 @@
 """Between two events: covers a call that the engine preempts and computes again."""
 DEADLINE_SHARE = 0.5
 """Of what is left of a call's deadline; the rest is for another worker."""
-SHORTEST_SECONDS = FIRST_TOKEN_SECONDS
+MIN_SECONDS = FIRST_TOKEN_SECONDS
 """Never less, however little is left: a shorter wait would give up engines that are well."""
 PROMPT_BYTE_SECONDS = 0.00005
 """Added to the first wait: 0.2 ms for each token of 4 bytes (256 tokens in a step of 49 ms)."""
@@ -39,7 +39,7 @@
     """Return the bounds for a call with so much left of its deadline; None: no deadline."""
     first, gap = FIRST_EVENT_SECONDS, EVENT_GAP_SECONDS
     if deadline_seconds is not None:
-        share = max(SHORTEST_SECONDS, DEADLINE_SHARE * deadline_seconds)
+        share = max(MIN_SECONDS, DEADLINE_SHARE * deadline_seconds)
         first, gap = min(first, share), min(gap, share)
     return EngineWaits(first + prompt_bytes * PROMPT_BYTE_SECONDS, gap)
 
--- a/src/foxwinch/backends/release_batch.py
+++ b/src/foxwinch/backends/release_batch.py
@@ -12,7 +12,7 @@
 from foxwinch.identifiers import ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, outcome_unknown
 
-MAXIMUM_PROGRAMS = 256
+MAX_PROGRAMS = 256
 """In one request: some 40 kB at most, which every engine takes."""
 CUT_SHORT = outcome_unknown(Reason.BACKEND_FAILED, "the release was cut short")
 SendReleases = Callable[[WorkerId, Sequence[ProgramId]], Awaitable[Done | Refused]]
@@ -28,7 +28,7 @@
     """Releases that wait for their turn's request, one batch a worker."""
 
     def __init__(self, send: SendReleases) -> None:
-        """Send by `send`, which takes 1 to `MAXIMUM_PROGRAMS` programs."""
+        """Send by `send`, which takes 1 to `MAX_PROGRAMS` programs."""
         self._send = send
         self._open: dict[WorkerId, _Batch] = {}
 
@@ -38,7 +38,7 @@
         When the one who sends is cancelled, the others are told that the outcome is unknown.
         """
         batch = self._open.get(worker)
-        if batch is not None and len(batch.programs) < MAXIMUM_PROGRAMS:
+        if batch is not None and len(batch.programs) < MAX_PROGRAMS:
             batch.programs.append(program_id)
             return await asyncio.shield(batch.outcome)
         batch = self._open[worker] = _Batch()
--- a/src/foxwinch/bench/cluster_fuzz/machine.py
+++ b/src/foxwinch/bench/cluster_fuzz/machine.py
@@ -40,7 +40,7 @@
 from foxwinch.outcomes import Refused, RunState
 
 CHOICE = st.integers(0, 11)
-NODES_MAXIMUM = 7
+MAX_NODES = 7
 TRAFFIC = 0.5
 CALM_SECONDS = 60.0
 """After which the last fault no longer explains anything."""
@@ -128,7 +128,7 @@
         for index in range(len(self.callers.programs)):
             if world.random.random() < TRAFFIC:
                 kind = world.random.choice(list(CallKind))
-                self._call(world.random.randrange(NODES_MAXIMUM), index, kind)
+                self._call(world.random.randrange(MAX_NODES), index, kind)
 
     def _call(self, choice: int, which: int, kind: CallKind) -> None:
         program, node = self._program(which), self._node(choice)
--- a/src/foxwinch/bench/failover/calls.py
+++ b/src/foxwinch/bench/failover/calls.py
@@ -18,7 +18,7 @@
 PATIENCE_SECONDS = 60.0
 """A caller asks again for so long; far above any recovery that is wanted."""
 FIRST_PAUSE_SECONDS = 0.1
-LONGEST_PAUSE_SECONDS = 1.0
+MAX_PAUSE_SECONDS = 1.0
 LASTING_REASONS = frozenset({"outcome_unknown", "tool_timeout", "backend_failed", "cancelled"})
 """Outcomes that are recorded: asking again under the key gives the same."""
 LASTING_REASON_ONCE = "backend_unavailable"
@@ -104,8 +104,8 @@
             if self._is_final(attempt, call, ask):
                 break
             wait = attempt.retry_after_seconds
-            await asyncio.sleep(min(wait if wait is not None else pause, LONGEST_PAUSE_SECONDS))
-            pause = min(2 * pause, LONGEST_PAUSE_SECONDS)
+            await asyncio.sleep(min(wait if wait is not None else pause, MAX_PAUSE_SECONDS))
+            pause = min(2 * pause, MAX_PAUSE_SECONDS)
         call.ended_at, call.outcome, call.reason = time.monotonic(), attempt.outcome, attempt.reason
         return attempt
 
--- a/src/foxwinch/bench/fuzz/machine.py
+++ b/src/foxwinch/bench/fuzz/machine.py
@@ -16,11 +16,11 @@
 from foxwinch.settings.cluster import ClusterConfiguration
 
 MINIMUM_NODES = 3
-MAXIMUM_NODES = 6
+MAX_NODES = 6
 PROGRAMS = 4
 RECOVERY_SECONDS = 20.0
 """Between two losses of nodes: time to detect the first, take over and copy."""
-ANY_NODE = st.integers(0, MAXIMUM_NODES - 1)
+ANY_NODE = st.integers(0, MAX_NODES - 1)
 ANY_PROGRAM = st.integers(0, PROGRAMS - 1)
 
 
--- a/src/foxwinch/bench/schedule/simulation.py
+++ b/src/foxwinch/bench/schedule/simulation.py
@@ -23,7 +23,7 @@
 """A refused program asks again after the time it was told, so often; then it gives up."""
 CHILD_NUMBERS = 1_000_000
 """Numbers of sub-agents' histories start here."""
-LONGEST_DRAIN_SECONDS = 7200.0
+MAX_DRAIN_SECONDS = 7200.0
 """Programs that have not ended so long after the last arrival count as unfinished."""
 
 
@@ -56,7 +56,7 @@
             self._runs.append(run)
             self._simulator.at(plan.arrival_seconds, partial(self._start, run))
         self._unfinished = len(self._runs)
-        end = self._workload.duration_seconds + LONGEST_DRAIN_SECONDS
+        end = self._workload.duration_seconds + MAX_DRAIN_SECONDS
         self._simulator.run_while(lambda: self._unfinished > 0, end)
         return self._result(self._simulator.now)
 
--- a/src/foxwinch/commands/call_retries.py
+++ b/src/foxwinch/commands/call_retries.py
@@ -20,7 +20,7 @@
 BACKOFF = Backoff(base_seconds=0.1, cap_seconds=2.0)
 RETRY_AFTER_SECONDS = 1.0
 """When a caller may come back that was refused because the budget of repeats is spent."""
-CIRCUITS_MAXIMUM = 4_096
+MAX_CIRCUITS = 4_096
 """Above the workers of the largest document."""
 BACKEND_REASONS = frozenset({Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED})
 """The back end did not do its work: counted by its circuit and paid for by the budget."""
@@ -34,7 +34,7 @@
     def __init__(self, registry: CollectorRegistry | None = None) -> None:
         """Start with closed circuits and full budgets; metrics go to `registry`."""
         self._budget = RetryBudget()
-        self._circuits: LRUCache[WorkerId, Circuit] = LRUCache(CIRCUITS_MAXIMUM)
+        self._circuits: LRUCache[WorkerId, Circuit] = LRUCache(MAX_CIRCUITS)
         self._retries = Counter(
             "foxwinch_call_retries", "Repeated dispatches of model calls", registry=registry
         )
--- a/src/foxwinch/commands/execute.py
+++ b/src/foxwinch/commands/execute.py
@@ -32,7 +32,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.settings.cluster import ClusterConfiguration, TemplateSettings
 
-MAXIMUM_WAITING_CALLS = 64
+MAX_WAITING_CALLS = 64
 """Calls of one program that may wait for their turn."""
 WAITING_RETRY_SECONDS = 1.0
 NOT_FOUND = not_run(Reason.NOT_FOUND, "the program is not known")
@@ -185,8 +185,8 @@
         if program.program_id in held.ending:
             detail = "the program is being finished or abandoned"
             return one_event(not_run(Reason.PROGRAM_FINISHED, detail))
-        if len(program.waiting) >= MAXIMUM_WAITING_CALLS:
-            detail = f"{MAXIMUM_WAITING_CALLS} calls of the program are waiting already"
+        if len(program.waiting) >= MAX_WAITING_CALLS:
+            detail = f"{MAX_WAITING_CALLS} calls of the program are waiting already"
             return one_event(not_run(Reason.OVERLOADED, detail, WAITING_RETRY_SECONDS))
         found = held.table.submit(
             program, intent.call_id, intent.idempotency_key, intent.request_hash
--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -29,7 +29,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.workers.ports import Grant, GrantRequest, GrantUsage
 
-MAXIMUM_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Dispatches of one model call, the first included: a zone that returns must not meet a storm."""
 RETRIED_REASONS = frozenset({Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED, Reason.FENCED})
 
@@ -154,7 +154,7 @@
             if isinstance(end, GenerateFinished):
                 return end
             earlier = with_earlier(end, earlier)
-            if end.reason not in RETRIED_REASONS or attempt >= MAXIMUM_ATTEMPTS:
+            if end.reason not in RETRIED_REASONS or attempt >= MAX_ATTEMPTS:
                 return earlier
             if not retries.may_repeat(self.life.program.tenant, worker, end, self.sent):
                 return come_back(earlier)
--- a/src/foxwinch/commands/tool_call.py
+++ b/src/foxwinch/commands/tool_call.py
@@ -22,7 +22,7 @@
 from foxwinch.limits.ports import Admitted
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 
-MAXIMUM_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Dispatches of one repeatable tool call, the first included."""
 RETRY_SECONDS = 0.1
 """First pause before a retry; doubles, with jitter."""
@@ -109,7 +109,7 @@
             if isinstance(end, ToolResult):
                 return end
             earlier = with_earlier(end, earlier)
-            if attempt >= MAXIMUM_ATTEMPTS or not self._may_retry(end):
+            if attempt >= MAX_ATTEMPTS or not self._may_retry(end):
                 return earlier
             await self.ports.clock.sleep(RETRY_SECONDS * 2**attempt * self.ports.clock.uniform())
             attempt += 1
--- a/src/foxwinch/configuration/messages.py
+++ b/src/foxwinch/configuration/messages.py
@@ -10,14 +10,14 @@
 GOSSIP_BODY_BYTES = 480
 """Larger differences are announced by revision only and fetched over TCP: a change of one tenant
 takes about 200 bytes, and several entries share a datagram of one MTU."""
-ENTRIES_COMPRESSED_MAXIMUM = 16
+MAX_ENTRIES_COMPRESSED = 16
 """Differences with more entries are not even tried: they never fit."""
 
 
 def gossip_entry(change: Change) -> GossipEntry:
     """Return the entry that spreads a change, or only its revision when it is too large."""
     message = ConfigurationChange(revision=change.revision)
-    if len(change.delta.puts) + len(change.delta.deletes) <= ENTRIES_COMPRESSED_MAXIMUM:
+    if len(change.delta.puts) + len(change.delta.deletes) <= MAX_ENTRIES_COMPRESSED:
         whole = encode(change)
         if len(whole.body) <= GOSSIP_BODY_BYTES:
             message = whole
--- a/src/foxwinch/core/configuration/change.py
+++ b/src/foxwinch/core/configuration/change.py
@@ -11,7 +11,7 @@
 from foxwinch.core.configuration.document import Delta, Unreadable
 from foxwinch.identifiers import Revision
 
-BODY_BYTES_MAXIMUM = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 """Bound on a decompressed body: 30 times the document of 7,800 tenants."""
 DIGEST_BYTES = 16
 
@@ -84,7 +84,7 @@
     """Read a message whose body is inside."""
     try:
         unpacker = zlib.decompressobj()
-        data = unpacker.decompress(message.body, BODY_BYTES_MAXIMUM)
+        data = unpacker.decompress(message.body, MAX_BODY_BYTES)
         body = ConfigurationBody.FromString(data)
     except Exception as error:
         return Unreadable(f"revision {message.revision}: {error}")
--- a/src/foxwinch/core/configuration/replica.py
+++ b/src/foxwinch/core/configuration/replica.py
@@ -18,11 +18,11 @@
 from foxwinch.outcomes import Reason, Refused, not_run
 
 NO_REVISION = Revision(0)
-PENDING_MAXIMUM = 128
+MAX_PENDING = 128
 """Changes kept that arrived before the one they build on."""
-RECENT_MAXIMUM = 128
+MAX_RECENT = 128
 """Changes kept for fellow nodes that are behind."""
-RECENT_BYTES_MAXIMUM = 1024 * 1024
+MAX_RECENT_BYTES = 1024 * 1024
 STALE_RETRY_SECONDS = 0.5
 """A missing difference is fetched within two gossip rounds."""
 
@@ -145,7 +145,7 @@
 
     def _keep_pending(self, change: Change) -> None:
         self._pending[change.revision] = change
-        if len(self._pending) > PENDING_MAXIMUM:
+        if len(self._pending) > MAX_PENDING:
             del self._pending[max(self._pending)]
 
     def _remember(self, change: Change) -> None:
@@ -154,7 +154,7 @@
             change = Change(change.revision, NO_REVISION, change.token, change.digest, Delta({}))
         self._recent[change.revision] = change
         self._recent_bytes += _size(change)
-        while len(self._recent) > RECENT_MAXIMUM or self._recent_bytes > RECENT_BYTES_MAXIMUM:
+        while len(self._recent) > MAX_RECENT or self._recent_bytes > MAX_RECENT_BYTES:
             _, dropped = self._recent.popitem(last=False)
             self._recent_bytes -= _size(dropped)
 
--- a/src/foxwinch/core/coordinator/admission.py
+++ b/src/foxwinch/core/coordinator/admission.py
@@ -4,7 +4,7 @@
 from foxwinch.core.coordinator.policy import PolicySettings
 from foxwinch.outcomes import Reason, Refused, not_run
 
-SHORTEST_RETRY_SECONDS = 1.0
+MIN_RETRY_SECONDS = 1.0
 """Asking again sooner than a call lasts cannot find another answer."""
 
 
@@ -21,7 +21,7 @@
     allowed = share * max(budget, 0.0)
     if predicted_wait_seconds <= allowed:
         return None
-    retry_after = max(SHORTEST_RETRY_SECONDS, predicted_wait_seconds - allowed)
+    retry_after = max(MIN_RETRY_SECONDS, predicted_wait_seconds - allowed)
     detail = (
         f"predicted wait {predicted_wait_seconds:.1f} s of class {call.class_name}"
         f" is more than {allowed:.1f} s; nothing was run"
--- a/src/foxwinch/core/coordinator/assignment.py
+++ b/src/foxwinch/core/coordinator/assignment.py
@@ -22,7 +22,7 @@
 suspicion with its refutation, so that a suspected member that comes back has cost nothing."""
 SETTLING_SECONDS = 1.0
 """After its start a node hears of the present holders before it claims anything unheld."""
-LONGEST_SETTLING_SECONDS = 5.0
+MAX_SETTLING_SECONDS = 5.0
 """It waits so long for members that it has heard nothing of; gossip takes about a second."""
 CLAIM_RETRY_SECONDS = 0.5
 """Pause after a refused claim."""
@@ -274,7 +274,7 @@
         return self._preferred[resource.name]
 
     def _is_settling(self, now: float) -> bool:
-        seconds = LONGEST_SETTLING_SECONDS if self._unheard else SETTLING_SECONDS
+        seconds = MAX_SETTLING_SECONDS if self._unheard else SETTLING_SECONDS
         return now < self._started_at + seconds
 
     def _maybe_release(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
--- a/src/foxwinch/core/coordinator/placement.py
+++ b/src/foxwinch/core/coordinator/placement.py
@@ -14,7 +14,7 @@
 
 SMALLEST_TRANSFER_BLOCKS = 2
 """Fewer blocks are not worth the round trip of an export and an import."""
-SHORTEST_WAIT_SECONDS = 0.1
+MIN_WAIT_SECONDS = 0.1
 """A place predicted to be free by now but not free yet still takes a few steps."""
 PREEMPTION_SECONDS = 0.05
 """Cost of preempting: two steps until the batch changes."""
@@ -112,7 +112,7 @@
             return 0.0
         if not self._may_wait:
             return None
-        return max(SHORTEST_WAIT_SECONDS, worker.next_place_seconds(self._now))
+        return max(MIN_WAIT_SECONDS, worker.next_place_seconds(self._now))
 
     def _disturbs(self, worker: WorkerState) -> bool:
         """Tell whether the call would slow urgent calls that run there."""
--- a/src/foxwinch/core/limits/limiter.py
+++ b/src/foxwinch/core/limits/limiter.py
@@ -7,11 +7,11 @@
 
 from foxwinch.core.limits.token_bucket import TokenBucket
 
-BUCKETS_MAXIMUM = 16_384
+MAX_BUCKETS = 16_384
 """Twice the tenants and classes of the largest document; an evicted bucket was idle for long."""
 RESERVE_PER_RANK = 0.08
 """Part of the burst that a class leaves to each more urgent rank: rank 0 may use all of it."""
-RETRY_SECONDS_MAXIMUM = 30.0
+MAX_RETRY_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
         """`share` returns this node's part of a key's limit at a time."""
         self._share = share
         self._started_at = started_at
-        self._buckets: LRUCache[str, _Buckets] = LRUCache(BUCKETS_MAXIMUM)
+        self._buckets: LRUCache[str, _Buckets] = LRUCache(MAX_BUCKETS)
 
     def restart(self, now: float) -> None:
         """Forget what was saved, as a node that has just started."""
@@ -71,7 +71,7 @@
         for limit, buckets in found:
             wait = _wait_seconds(buckets, rank, now)
             if wait > 0:
-                return Limited(limit.key, min(wait, RETRY_SECONDS_MAXIMUM))
+                return Limited(limit.key, min(wait, MAX_RETRY_SECONDS))
         for _, buckets in found:
             buckets.requests.charge(1.0, now)
             buckets.tokens.charge(tokens, now)
@@ -106,7 +106,7 @@
     requests = buckets.requests
     reserve = RESERVE_PER_RANK * rank
     if requests.rate_per_second <= 0:
-        return RETRY_SECONDS_MAXIMUM
+        return MAX_RETRY_SECONDS
     needed = 1.0 + reserve * (requests.capacity - 1.0)
     tokens = buckets.tokens
     needed_tokens = reserve * tokens.capacity
--- a/src/foxwinch/core/limits/retry_budget.py
+++ b/src/foxwinch/core/limits/retry_budget.py
@@ -13,7 +13,7 @@
 """Repeats for each first attempt, in the long run."""
 RETRY_BURST = 5.0
 """Repeats saved up; a quiet pair may repeat so many calls at once."""
-PAIRS_MAXIMUM = 8_192
+MAX_PAIRS = 8_192
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
         """Allow `ratio` repeats for each first attempt, and up to `burst` at once."""
         self._ratio = ratio
         self._burst = burst
-        self._saved: LRUCache[RetryKey, float] = LRUCache(PAIRS_MAXIMUM)
+        self._saved: LRUCache[RetryKey, float] = LRUCache(MAX_PAIRS)
 
     def first_attempt(self, key: RetryKey) -> None:
         """Count a first attempt."""
--- a/src/foxwinch/core/limits/usage.py
+++ b/src/foxwinch/core/limits/usage.py
@@ -15,7 +15,7 @@
 
 DIGEST_ENTRIES = 64
 """The keys with the highest demand are told: 5 bytes each, so that a digest has 330 bytes."""
-DEMAND_MAXIMUM = 1.0
+MAX_DEMAND = 1.0
 """More than the whole limit cannot be given, so more is not asked for."""
 DEMAND_MINIMUM = 2.0**-12
 STEPS_PER_DOUBLING = 8
@@ -35,7 +35,7 @@
     """Return the step of a demand, from 1 to 97; 0 stands for none."""
     if demand < DEMAND_MINIMUM:
         return 0
-    bounded = min(demand, DEMAND_MAXIMUM)
+    bounded = min(demand, MAX_DEMAND)
     return 1 + math.floor(STEPS_PER_DOUBLING * math.log2(bounded / DEMAND_MINIMUM))
 
 
@@ -43,7 +43,7 @@
     """Return the demand that a step stands for."""
     if step <= 0:
         return 0.0
-    return min(DEMAND_MAXIMUM, DEMAND_MINIMUM * math.exp2((step - 1) / STEPS_PER_DOUBLING))
+    return min(MAX_DEMAND, DEMAND_MINIMUM * math.exp2((step - 1) / STEPS_PER_DOUBLING))
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/foxwinch/core/routing/load.py
+++ b/src/foxwinch/core/routing/load.py
@@ -12,9 +12,9 @@
 """A worker that was full is left alone for about one short piece of work."""
 FAILURE_SECONDS = 0.4
 """After the first failure; doubled with each one in a row."""
-FAILURE_SECONDS_MAXIMUM = 3.2
+MAX_FAILURE_SECONDS = 3.2
 FAILURE_DOUBLINGS = 3
-LOADS_MAXIMUM = 8_192
+MAX_LOADS = 8_192
 """Above the workers of the design size; beyond it, workers without a call are forgotten."""
 WAIT_GAIN = 0.3
 """Of the newest observation in the smoothed wait."""
@@ -57,7 +57,7 @@
         """Return the load of a worker, empty for one that is new."""
         load = self._loads.get(incarnation)
         if load is None:
-            if len(self._loads) >= LOADS_MAXIMUM:
+            if len(self._loads) >= MAX_LOADS:
                 self._loads = {key: held for key, held in self._loads.items() if held.in_flight}
             load = self._loads[incarnation] = WorkerLoad()
         return load
@@ -95,4 +95,4 @@
         load = self.of(incarnation)
         wait = FAILURE_SECONDS * 2.0 ** min(load.failures, FAILURE_DOUBLINGS)
         load.failures += 1
-        load.avoid_until = max(load.avoid_until, now + min(wait, FAILURE_SECONDS_MAXIMUM))
+        load.avoid_until = max(load.avoid_until, now + min(wait, MAX_FAILURE_SECONDS))
--- a/src/foxwinch/core/streams.py
+++ b/src/foxwinch/core/streams.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 EVENT_END = b"\n\n"
-MAXIMUM_EVENT_BYTES = 4 * 1024 * 1024
+MAX_EVENT_BYTES = 4 * 1024 * 1024
 _ID = b"id:"
 _DATA = b"data:"
 
--- a/src/foxwinch/emulator/http_platform.py
+++ b/src/foxwinch/emulator/http_platform.py
@@ -20,7 +20,7 @@
 )
 
 AFTER_ALL_KEYS = "\U0010ffff"
-WAIT_SECONDS_MAXIMUM = 30.0
+MAX_WAIT_SECONDS = 30.0
 
 
 class PlatformHandlers:
@@ -77,7 +77,7 @@
         if refused is not None:
             return refused
         query = request.query
-        wait_seconds = min(float(query["wait"]), WAIT_SECONDS_MAXIMUM)
+        wait_seconds = min(float(query["wait"]), MAX_WAIT_SECONDS)
         after = int(query["after"])
         heard = await self._stand_ins.store.changes(query["table"], after, wait_seconds)
         if isinstance(heard, HistoryLost):
--- a/src/foxwinch/emulator/server.py
+++ b/src/foxwinch/emulator/server.py
@@ -17,12 +17,12 @@
 from foxwinch.storage.machines_http import MachineDocument
 from foxwinch.storage.ports import Machine
 
-MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 def build_application(stand_ins: StandIns) -> web.Application:
     """Return an application that serves all stand-ins."""
-    application = web.Application(client_max_size=MAXIMUM_BODY_BYTES)
+    application = web.Application(client_max_size=MAX_BODY_BYTES)
     EngineHandlers(stand_ins).add_routes(application.router)
     ToolHandlers(stand_ins).add_routes(application.router)
     PlatformHandlers(stand_ins).add_routes(application.router)
--- a/src/foxwinch/emulator/virtual_cluster.py
+++ b/src/foxwinch/emulator/virtual_cluster.py
@@ -28,7 +28,7 @@
 from foxwinch.settings.process import NodeSettings
 from foxwinch.storage.ports import Machine
 
-MAXIMUM_NODES = 256
+MAX_NODES = 256
 SEEDS = 3
 """Nodes whose addresses a starting node is told."""
 DRAIN_SECONDS = 60.0
@@ -70,7 +70,7 @@
         self.machines = MachineModel(tuple(self._listed(w) for w in document.workers))
         self.nodes: dict[NodeId, VirtualNode] = {}
         self._seed = seed
-        self._addresses = iter(addresses(MAXIMUM_NODES))
+        self._addresses = iter(addresses(MAX_NODES))
         self._count = 0
 
     async def add(self, count: int = 1) -> list[VirtualNode]:
@@ -127,7 +127,7 @@
     def _build(self) -> VirtualNode:
         number = self._count
         self._count += 1
-        clock = VirtualClock(self._seed * MAXIMUM_NODES + number + 1)
+        clock = VirtualClock(self._seed * MAX_NODES + number + 1)
         address = next(self._addresses)
         identity = NodeId(f"node-{number}-{clock.identifier()[:8]}")
         seeds = [str(virtual.address) for virtual in self.nodes.values()][:SEEDS]
--- a/src/foxwinch/gateway/headers.py
+++ b/src/foxwinch/gateway/headers.py
@@ -15,7 +15,7 @@
 CALL_HEADER = "X-Foxwinch-Call"
 WORKER_HEADER = "X-Foxwinch-Worker"
 IDEMPOTENCY_HEADER = "Idempotency-Key"
-MAXIMUM_KEY_CHARACTERS = 255
+MAX_KEY_CHARACTERS = 255
 
 
 def program_name(request: web.Request) -> str | Refused:
@@ -42,9 +42,9 @@
 def idempotency_key(request: web.Request) -> str | Refused:
     """Return the idempotency key, or an empty string."""
     key = request.headers.get(IDEMPOTENCY_HEADER, "")
-    if len(key) <= MAXIMUM_KEY_CHARACTERS:
+    if len(key) <= MAX_KEY_CHARACTERS:
         return key
-    return invalid_field(IDEMPOTENCY_HEADER, key, f"at most {MAXIMUM_KEY_CHARACTERS} characters")
+    return invalid_field(IDEMPOTENCY_HEADER, key, f"at most {MAX_KEY_CHARACTERS} characters")
 
 
 def offset(field: str, value: str) -> int | Refused:
--- a/src/foxwinch/http_exchange.py
+++ b/src/foxwinch/http_exchange.py
@@ -17,9 +17,9 @@
 
 CONNECT_SECONDS = 3.0
 """For a connection to be made; back ends and the platform are near."""
-MAXIMUM_RETRY_AFTER_SECONDS = 3_600.0
+MAX_RETRY_AFTER_SECONDS = 3_600.0
 """A service that asks for more is taken to mean this."""
-MAXIMUM_ANSWER_BYTES = 32 * 1024 * 1024
+MAX_ANSWER_BYTES = 32 * 1024 * 1024
 """A whole answer is held in memory, of which a node has 256 MB."""
 HEADER_RUN_STATE = "x-run-state"
 """A service tells by it that a refused request did not run; without it a 5xx is `unknown`."""
@@ -122,7 +122,7 @@
     body = bytearray()
     async for piece in response.content.iter_any():
         body += piece
-        if len(body) > MAXIMUM_ANSWER_BYTES:
+        if len(body) > MAX_ANSWER_BYTES:
             return None
     return bytes(body)
 
@@ -162,4 +162,4 @@
         return None
     if not math.isfinite(seconds) or seconds < 0:
         return None
-    return min(seconds, MAXIMUM_RETRY_AFTER_SECONDS)
+    return min(seconds, MAX_RETRY_AFTER_SECONDS)
--- a/src/foxwinch/log_sink.py
+++ b/src/foxwinch/log_sink.py
@@ -16,7 +16,7 @@
 from foxwinch.core.limits.token_bucket import TokenBucket
 from foxwinch.log import LOGGER_NAME
 
-LINES_WAITING_MAXIMUM = 2_000
+MAX_LINES_WAITING = 2_000
 LINES_PER_SECOND = 300.0
 LINES_BURST = 600.0
 FLUSH_SECONDS = 0.25
@@ -43,7 +43,7 @@
         loop = _running_loop()
         now = loop.time() if loop is not None else 0.0
         urgent = record.levelno >= logging.WARNING
-        if len(self._lines) >= LINES_WAITING_MAXIMUM:
+        if len(self._lines) >= MAX_LINES_WAITING:
             self.dropped += 1
             return
         if loop is not None and not self._bucket.try_take(1.0, now) and not urgent:
--- a/src/foxwinch/node/dev.py
+++ b/src/foxwinch/node/dev.py
@@ -13,7 +13,7 @@
 from foxwinch.settings.cluster import ClusterConfiguration
 from foxwinch.settings.process import NodeSettings
 
-MAXIMUM_ANSWER_TOKENS = 64
+MAX_ANSWER_TOKENS = 64
 KEY_BYTES = 24
 PATHS = {"engine": "workers", "tool": "tools"}
 """Where the stand-ins serve the workers of a pool, by its kind."""
@@ -21,7 +21,7 @@
 
 def run_dev(document: ClusterConfiguration, announce: Callable[[dict[str, str]], None]) -> bool:
     """Run until a signal; `announce` gets the addresses and the keys made for this run."""
-    stand_ins = EmulatorService(settings_of_cluster(document, MAXIMUM_ANSWER_TOKENS))
+    stand_ins = EmulatorService(settings_of_cluster(document, MAX_ANSWER_TOKENS))
     loop = uvloop.new_event_loop()
     with entrypoint(stand_ins, loop=loop, log_config=False, catch_signals=()):
         caller_key = secrets.token_urlsafe(KEY_BYTES)
--- a/src/foxwinch/operator/server.py
+++ b/src/foxwinch/operator/server.py
@@ -21,9 +21,9 @@
 
 DEFAULT_DEADLINE_SECONDS = 10.0
 """For a request without a deadline."""
-MAXIMUM_DEADLINE_SECONDS = 60.0
+MAX_DEADLINE_SECONDS = 60.0
 """A change of the configuration is tried for some 20 s while the table is down."""
-MAXIMUM_REQUEST_BYTES = 1024 * 1024
+MAX_REQUEST_BYTES = 1024 * 1024
 """A cluster configuration of today's size is some 20 KB; requests are small."""
 CONNECTION_WINDOW_BYTES = 1024 * 1024
 STREAM_WINDOW_BYTES = 64 * 1024
@@ -36,8 +36,8 @@
 
     def decode(self, data: bytes, message_type: Any) -> Any:
         """Decode a request, or refuse one that is too large."""
-        if len(data) > MAXIMUM_REQUEST_BYTES:
-            detail = f"a request may have {MAXIMUM_REQUEST_BYTES} bytes; this one has {len(data)}"
+        if len(data) > MAX_REQUEST_BYTES:
+            detail = f"a request may have {MAX_REQUEST_BYTES} bytes; this one has {len(data)}"
             raise GRPCError(Status.RESOURCE_EXHAUSTED, detail)
         return super().decode(data, message_type)
 
@@ -101,7 +101,7 @@
         if refused is not None:
             raise GRPCError(Status.UNAUTHENTICATED, refused.detail)
         handle = event.method_func
-        seconds = MAXIMUM_DEADLINE_SECONDS if event.deadline else DEFAULT_DEADLINE_SECONDS
+        seconds = MAX_DEADLINE_SECONDS if event.deadline else DEFAULT_DEADLINE_SECONDS
 
         async def bounded(stream: Any) -> None:
             try:
--- a/src/foxwinch/platform/connections.py
+++ b/src/foxwinch/platform/connections.py
@@ -22,7 +22,7 @@
 """Before an idle connection is probed; the shortest that the system knows."""
 PROBE_SECONDS = 1
 """Between probes; the shortest that the system knows."""
-PROBES_MAXIMUM = 2
+MAX_PROBES = 2
 
 
 def open_session(kept_seconds: float, **options: Any) -> aiohttp.ClientSession:
@@ -47,7 +47,7 @@
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_SECONDS)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES_MAXIMUM)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_PROBES)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
     return opened
 
--- a/src/foxwinch/platform/translation.py
+++ b/src/foxwinch/platform/translation.py
@@ -33,7 +33,7 @@
 """Where a route does not tell; longer than any caller's deadline."""
 TARGET_DEFAULT_MS = 1_000.0
 """Where a route does not tell."""
-PROBLEMS_MAXIMUM = 3
+MAX_PROBLEMS = 3
 """Problems of one document in a log line."""
 Document = TypeVar("Document", bound=BaseModel)
 log = EventLog("translation")
@@ -76,7 +76,7 @@
     found = error.errors(include_url=False, include_input=False, include_context=False)
     named = [
         f"{'.'.join(str(part) for part in problem['loc']) or 'document'}: {problem['type']}"
-        for problem in found[:PROBLEMS_MAXIMUM]
+        for problem in found[:MAX_PROBLEMS]
     ]
     return "; ".join(named)
 
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -30,7 +30,7 @@
 NODES_AT_ONCE = 32
 """Nodes asked side by side, so that a query over hundreds of nodes causes no burst."""
 DEFAULT_PROGRAMS = 100
-MAXIMUM_PROGRAMS = 1_000
+MAX_PROGRAMS = 1_000
 ASKED_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 
 
@@ -148,7 +148,7 @@
 
 
 def _limit(request: ListProgramsRequest) -> int:
-    return min(request.limit or DEFAULT_PROGRAMS, MAXIMUM_PROGRAMS)
+    return min(request.limit or DEFAULT_PROGRAMS, MAX_PROGRAMS)
 
 
 def _merged(member: Member, answered: NodeStatus | None) -> NodeStatus:
--- a/src/foxwinch/queries/programs.py
+++ b/src/foxwinch/queries/programs.py
@@ -19,7 +19,7 @@
 from foxwinch.outcomes import Reason, Refused, not_run
 
 DEFAULT_LIMIT = 100
-MAXIMUM_LIMIT = 1_000
+MAX_LIMIT = 1_000
 KIND_NAMES = {CallAdmitted.MODEL: "model", CallAdmitted.TOOL: "tool", CallAdmitted.SPAWN: "spawn"}
 TURN_REASON = "behind {count} earlier calls of the program"
 UNGRANTED_REASON = "its budget is reserved; it waits for a worker or for the commit of its intent"
@@ -35,7 +35,7 @@
 
     def programs(self, request: ListProgramsRequest) -> Sequence[ProgramSummary]:
         """Return programs that match, newest first, one more than the limit when there are more."""
-        limit = min(request.limit or DEFAULT_LIMIT, MAXIMUM_LIMIT)
+        limit = min(request.limit or DEFAULT_LIMIT, MAX_LIMIT)
         matching = [
             (held, program)
             for held in self._owner.trees()
--- a/src/foxwinch/records/budgets.py
+++ b/src/foxwinch/records/budgets.py
@@ -37,7 +37,7 @@
 TROUBLED_QUIET_SECONDS = 1.5
 """How much longer a lease is kept while the store is troubled."""
 WRITE_BACKOFF = Backoff(base_seconds=0.05, cap_seconds=0.4)
-SHORTEST_WAIT_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 PROBE_SECONDS = 0.4
 """While the store is troubled a node sends one change that no turn waits for in so long."""
 OPEN_TURN_SECONDS = 0.05
@@ -64,7 +64,7 @@
 @dataclass(slots=True, eq=False)
 class _Waiting:
     reserve: Reserve
-    give_up_at: float
+    deadline_at: float
     since: float
     done: "asyncio.Future[Reserved | Exhausted | Refused]"
 
@@ -106,7 +106,7 @@
         return len(self._programs)
 
     async def reserve(
-        self, program_id: str, reserve: Reserve, give_up_at: float, end_at: float
+        self, program_id: str, reserve: Reserve, deadline_at: float, end_at: float
     ) -> Reserved | Exhausted | Refused:
         """Take tokens for a turn that is over by `end_at`; a refusal: it must not run.
 
@@ -127,11 +127,11 @@
         done: asyncio.Future[Reserved | Exhausted | Refused] = (
             asyncio.get_running_loop().create_future()
         )
-        waiting = _Waiting(reserve, give_up_at, now, done)
+        waiting = _Waiting(reserve, deadline_at, now, done)
         program.waiting.append(waiting)
         program.wake.set()
         try:
-            async with asyncio.timeout(max(0.0, give_up_at - now)):
+            async with asyncio.timeout(max(0.0, deadline_at - now)):
                 return await done
         except TimeoutError:
             return not_run(Reason.STORE_UNAVAILABLE, "no answer of the store in time")
@@ -221,7 +221,7 @@
             if program.waiting or program.low:
                 return True
             wait = self._quiet_at(program) - self._clock.monotonic()
-            if wait < SHORTEST_WAIT_SECONDS or program.hurried:
+            if wait < MIN_WAIT_SECONDS or program.hurried:
                 return False
             program.wake.clear()
             try:
@@ -307,7 +307,7 @@
     def _refuse_late(self, program: _Program, cause: Refused, wait_seconds: float) -> None:
         """Refuse those whose time is over before the next try."""
         then = self._clock.monotonic() + wait_seconds
-        for entry in [entry for entry in program.waiting if entry.give_up_at <= then]:
+        for entry in [entry for entry in program.waiting if entry.deadline_at <= then]:
             refused = not_run(cause.reason, cause.detail, cause.retry_after_seconds)
             self._resolve(program, entry, refused)
 
--- a/src/foxwinch/records/ports.py
+++ b/src/foxwinch/records/ports.py
@@ -12,7 +12,7 @@
 
 ABSENT_VERSION = 0
 """Of a row that is not there."""
-CONDITIONS_MAXIMUM = 100
+MAX_CONDITIONS = 100
 """In one transaction, as the platform's store has it."""
 
 
--- a/src/foxwinch/records/repeat.py
+++ b/src/foxwinch/records/repeat.py
@@ -11,7 +11,7 @@
 CALL_SECONDS = 0.8
 """For one call: a store that is slow still answers within it; one that says nothing is asked again
 on another connection."""
-SHORTEST_CALL_SECONDS = 0.03
+MIN_CALL_SECONDS = 0.03
 """With less time left a call is not begun."""
 
 Outcome = TypeVar("Outcome")
@@ -19,18 +19,18 @@
 
 async def repeat_until(
     clock: Clock,
-    give_up_at: float,
+    deadline_at: float,
     call: Callable[[float], Awaitable[Outcome]],
 ) -> Outcome | Refused:
-    """Return the first answer of `call`, or its last refusal when `give_up_at` is reached.
+    """Return the first answer of `call`, or its last refusal when `deadline_at` is reached.
 
     `call` gets the seconds that it may take, and must be safe to repeat.
     """
     attempt = 0
     last: Refused | None = None
     while True:
-        left = give_up_at - clock.monotonic()
-        if left < SHORTEST_CALL_SECONDS:
+        left = deadline_at - clock.monotonic()
+        if left < MIN_CALL_SECONDS:
             return last or not_run(Reason.DEADLINE, "no time is left to ask the store")
         outcome = await call(min(left, CALL_SECONDS))
         if not isinstance(outcome, Refused):
@@ -38,6 +38,6 @@
         last = outcome
         wait = STORE_BACKOFF.wait_seconds(attempt, 0.5 + 0.5 * clock.uniform())
         attempt += 1
-        if clock.monotonic() + wait > give_up_at:
+        if clock.monotonic() + wait > deadline_at:
             return last
         await clock.sleep(wait)
--- a/src/foxwinch/records/store_probe.py
+++ b/src/foxwinch/records/store_probe.py
@@ -11,7 +11,7 @@
 PROBE_SECONDS = 0.4
 """Between probes, and until one is given up: two fit into the time after which a node counts as
 cut off."""
-PROBES_MAXIMUM = 2
+MAX_PROBES = 2
 """After them the retries of the watches find out when the store is back."""
 NO_KEY = "~"
 NO_KEY_END = "~\x01"
@@ -30,7 +30,7 @@
         """Probe whenever the store is lost, for ever."""
         while True:
             await self._store.wait_until_lost()
-            for _ in range(PROBES_MAXIMUM):
+            for _ in range(MAX_PROBES):
                 await self._clock.sleep(PROBE_SECONDS * (0.5 + 0.5 * self._clock.uniform()))
                 if not self._store.lost_seconds():
                     break
--- a/src/foxwinch/records/tree_journal.py
+++ b/src/foxwinch/records/tree_journal.py
@@ -106,7 +106,7 @@
         if self._lost:
             return not_run(Reason.FENCED, TAKEN_OVER)
         writes = (head_write(self._root, wanted), *rows)
-        give_up_at = self._clock.monotonic() + APPEND_SECONDS
+        deadline_at = self._clock.monotonic() + APPEND_SECONDS
         may_have_run = False
         attempt = 0
         while True:
@@ -119,7 +119,7 @@
             may_have_run = may_have_run or answer.run_state is not RunState.NOT_RUN
             wait = APPEND_BACKOFF.wait_seconds(attempt, 0.5 + 0.5 * self._clock.uniform())
             attempt += 1
-            if self._clock.monotonic() + wait > give_up_at:
+            if self._clock.monotonic() + wait > deadline_at:
                 break
             await self._clock.sleep(wait)
         if may_have_run:
--- a/src/foxwinch/records/tree_rows.py
+++ b/src/foxwinch/records/tree_rows.py
@@ -15,7 +15,7 @@
 
 HEADS_TABLE = "families"
 JOURNALS_TABLE = "journals"
-PIECES_MAXIMUM = 12
+MAX_PIECES = 12
 """Rows of one batch: some 720 kB in base64, below the 1 MB of a transaction."""
 SEPARATOR = "/"
 AFTER_SEPARATOR = "0"
@@ -74,7 +74,7 @@
     """Return the rows of a batch; None when it is larger than one transaction may be."""
     data = JournalBatch(records=records).SerializeToString()
     pieces = [data[at : at + PIECE_BYTES] for at in range(0, len(data), PIECE_BYTES)] or [b""]
-    if len(pieces) > PIECES_MAXIMUM:
+    if len(pieces) > MAX_PIECES:
         return None
     return [
         RowWrite(_piece_row(root, number, index, len(pieces)), piece)
--- a/src/foxwinch/records/tree_store.py
+++ b/src/foxwinch/records/tree_store.py
@@ -53,18 +53,18 @@
 
         Whoever had this node's address before is gone.
         """
-        give_up_at = self._clock.monotonic() + OPEN_SECONDS
-        head = await self._head(root, give_up_at)
+        deadline_at = self._clock.monotonic() + OPEN_SECONDS
+        head = await self._head(root, deadline_at)
         if isinstance(head, Refused):
             return head
         if head.version and head.node != self._node:
             if head.node != over and head.address != self._address:
                 return OwnedElsewhere(head.node, head.address)
-            taken = await self._take(root, head, give_up_at)
+            taken = await self._take(root, head, deadline_at)
             if not isinstance(taken, TreeHead):
                 return taken
             head = taken
-        records = await self._records(root, head, give_up_at)
+        records = await self._records(root, head, deadline_at)
         if isinstance(records, Refused):
             return records
         journal = StoredJournal(self._store, self._clock, root, head, self._token)
@@ -72,11 +72,11 @@
 
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
         """Read a program tree's journal without serving it."""
-        give_up_at = self._clock.monotonic() + OPEN_SECONDS
-        head = await self._head(root, give_up_at)
+        deadline_at = self._clock.monotonic() + OPEN_SECONDS
+        head = await self._head(root, deadline_at)
         if isinstance(head, Refused):
             return head
-        return await self._records(root, head, give_up_at)
+        return await self._records(root, head, deadline_at)
 
     async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
         """Return the program trees of a partition, each with the node that serves it."""
@@ -87,14 +87,14 @@
         heads = ((ProgramId(row.row.key), head_of(row)) for row in read.rows)
         return [(root, head.node) for root, head in heads if head is not None and head.version]
 
-    async def _head(self, root: ProgramId, give_up_at: float) -> TreeHead | Refused:
+    async def _head(self, root: ProgramId, deadline_at: float) -> TreeHead | Refused:
         """Read the head by a transaction, which never sees an older state as a read may."""
         condition = RowCondition(head_row(root), 0)
 
         async def ask(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (), timeout_seconds)
 
-        answer = await repeat_until(self._clock, give_up_at, ask)
+        answer = await repeat_until(self._clock, deadline_at, ask)
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         if isinstance(answer, Written):
@@ -102,7 +102,7 @@
         return head_of(answer.rows[0]) or UNREADABLE
 
     async def _take(
-        self, root: ProgramId, head: TreeHead, give_up_at: float
+        self, root: ProgramId, head: TreeHead, deadline_at: float
     ) -> TreeHead | OwnedElsewhere | Refused:
         """Write this node into the head; a lost answer is settled by reading it back."""
         wanted = head._replace(node=self._node, address=self._address, token=self._token())
@@ -113,7 +113,7 @@
                 (condition,), (head_write(root, wanted),), timeout_seconds
             )
 
-        answer = await repeat_until(self._clock, give_up_at, write)
+        answer = await repeat_until(self._clock, deadline_at, write)
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         if isinstance(answer, Written):
@@ -127,7 +127,7 @@
         return OwnedElsewhere(found.node, found.address) if found.version else RACED
 
     async def _records(
-        self, root: ProgramId, head: TreeHead, give_up_at: float
+        self, root: ProgramId, head: TreeHead, deadline_at: float
     ) -> list[JournalRecord] | Refused:
         if head.first == head.batches:
             return []
@@ -139,7 +139,7 @@
             records = records_of(root, read.rows, head)
             return STALE if records is None else records
 
-        answer = await repeat_until(self._clock, give_up_at, ask)
+        answer = await repeat_until(self._clock, deadline_at, ask)
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         return answer
--- a/src/foxwinch/records/turns.py
+++ b/src/foxwinch/records/turns.py
@@ -55,14 +55,14 @@
         self._cache: LRUCache[str, Turn] = LRUCache(cache_bytes, getsizeof=_size_of)
 
     async def chain(
-        self, request_id: str, give_up_at: float
+        self, request_id: str, deadline_at: float
     ) -> tuple[Turn, ...] | NoSuchTurn | Refused:
         """Return a turn and all before it, oldest first."""
-        last = await self._turn(request_id, give_up_at)
+        last = await self._turn(request_id, deadline_at)
         if not isinstance(last, Turn):
             return last
         earlier = await asyncio.gather(
-            *(self._turn(ancestor, give_up_at) for ancestor in last.ancestors)
+            *(self._turn(ancestor, deadline_at) for ancestor in last.ancestors)
         )
         chain: list[Turn] = []
         for turn in earlier:
@@ -71,7 +71,7 @@
             chain.append(turn)
         return (*chain, last)
 
-    async def write(self, turn: Turn, give_up_at: float) -> Refused | None:
+    async def write(self, turn: Turn, deadline_at: float) -> Refused | None:
         """Store a turn; None when it is there for good. Writing it again is harmless."""
         data = turn.encode()
         pieces = [data[start : start + PIECE_BYTES] for start in range(0, len(data), PIECE_BYTES)]
@@ -86,16 +86,16 @@
         writes = [*later, first]
         for start in range(0, len(writes), PIECES_IN_TRANSACTION):
             batch = tuple(writes[start : start + PIECES_IN_TRANSACTION])
-            refused = await self._write_batch(batch, give_up_at)
+            refused = await self._write_batch(batch, deadline_at)
             if refused is not None:
                 return refused
         self._keep(turn)
         return None
 
-    async def _write_batch(self, batch: tuple[RowWrite, ...], give_up_at: float) -> Refused | None:
+    async def _write_batch(self, batch: tuple[RowWrite, ...], deadline_at: float) -> Refused | None:
         outcome = await repeat_until(
             self._clock,
-            give_up_at,
+            deadline_at,
             lambda timeout_seconds: self._store.transact((), batch, timeout_seconds),
         )
         return outcome if isinstance(outcome, Refused) else None
@@ -104,14 +104,14 @@
         if _size_of(turn) <= self._cache.maxsize:
             self._cache[turn.request_id] = turn
 
-    async def _turn(self, request_id: str, give_up_at: float) -> Turn | NoSuchTurn | Refused:
+    async def _turn(self, request_id: str, deadline_at: float) -> Turn | NoSuchTurn | Refused:
         cached = self._cache.get(request_id)
         if cached is not None:
             return cached
         first = _row(request_id, 0)
         read = await repeat_until(
             self._clock,
-            give_up_at,
+            deadline_at,
             lambda timeout_seconds: self._store.read(
                 first, request_id + AFTER_PIECES, timeout_seconds
             ),
@@ -122,16 +122,16 @@
         if turn is not None:
             self._keep(turn)
             return turn
-        return await self._confirm_missing(request_id, give_up_at)
+        return await self._confirm_missing(request_id, deadline_at)
 
-    async def _confirm_missing(self, request_id: str, give_up_at: float) -> NoSuchTurn | Refused:
+    async def _confirm_missing(self, request_id: str, deadline_at: float) -> NoSuchTurn | Refused:
         """Ask by a transaction, which never sees an older state as a plain read may."""
         condition = RowCondition(_row(request_id, 0), 0)
 
         async def ask(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (), timeout_seconds)
 
-        outcome = await repeat_until(self._clock, give_up_at, ask)
+        outcome = await repeat_until(self._clock, deadline_at, ask)
         if isinstance(outcome, Written):
             return NoSuchTurn(request_id)
         if isinstance(outcome, Conflict):
--- a/src/foxwinch/records/watch.py
+++ b/src/foxwinch/records/watch.py
@@ -15,7 +15,7 @@
 from foxwinch.outcomes import Refused
 from foxwinch.records.ports import (
     ABSENT_VERSION,
-    CONDITIONS_MAXIMUM,
+    MAX_CONDITIONS,
     Conflict,
     HistoryLost,
     RecordStore,
@@ -33,7 +33,7 @@
 takes for other calls."""
 RECOVERY_SECONDS = 1.0
 """After a lost call: two waits, a try that cannot connect within half a second, and an answer."""
-SHORTEST_WAIT_SECONDS = 0.5
+MIN_WAIT_SECONDS = 0.5
 READ_SECONDS = 1.0
 RETRY_BACKOFF = Backoff(base_seconds=0.1, cap_seconds=0.6)
 ASK_SECONDS = 1.0
@@ -46,7 +46,7 @@
 
 def wait_that_recovers_within(seconds: float) -> float:
     """Return how long calls may be held open for a lost one to be made good within `seconds`."""
-    return max(SHORTEST_WAIT_SECONDS, seconds - ANSWER_SECONDS - RECOVERY_SECONDS)
+    return max(MIN_WAIT_SECONDS, seconds - ANSWER_SECONDS - RECOVERY_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -194,7 +194,7 @@
             return
         self._asked_at = now
         keys = {**dict.fromkeys(self._keys, ABSENT_VERSION), **self._row_versions}
-        if not keys or len(keys) > CONDITIONS_MAXIMUM:
+        if not keys or len(keys) > MAX_CONDITIONS:
             keys = {NO_KEY: ABSENT_VERSION}
         conditions = tuple(
             RowCondition(RowKey(self._table, "", key), version) for key, version in keys.items()
--- a/src/foxwinch/serving/attempts.py
+++ b/src/foxwinch/serving/attempts.py
@@ -26,11 +26,11 @@
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.ports import RoutingView, Workers
 
-OFFERS_MAXIMUM = 4
+MAX_OFFERS = 4
 """Workers that one request is offered to while each says that it did not run it."""
 NO_WORKER_RETRY_SECONDS = 0.25
 SHED_RETRY_SECONDS = 0.3
-SHORTEST_CALL_SECONDS = 0.02
+MIN_CALL_SECONDS = 0.02
 """With less time left no worker can do anything."""
 PATIENCE_TARGETS = 4.0
 """A worker that has not begun to answer after so many of the route's target times is taken for
@@ -96,10 +96,10 @@
         shed: CallRefused | None = None
         while True:
             left = attempts.end_at - self._clock.monotonic()
-            if left < SHORTEST_CALL_SECONDS:
+            if left < MIN_CALL_SECONDS:
                 return _out_of_time(attempts)
             worker = self._choose(attempts, last_worker)
-            if worker is None or offers >= OFFERS_MAXIMUM:
+            if worker is None or offers >= MAX_OFFERS:
                 return _not_served(attempts, shed)
             offers += 1
             attempts.offered.add(worker.worker_id)
--- a/src/foxwinch/serving/handler.py
+++ b/src/foxwinch/serving/handler.py
@@ -113,10 +113,10 @@
     async def _prepare(self, attempts: Attempts) -> Prompt | RejectedRequest:
         """Reserve the budget and read the history, both at once."""
         now = self._clock.monotonic()
-        give_up_at = now + min(STORE_SECONDS, STORE_PART * (attempts.end_at - now))
-        reserving = asyncio.ensure_future(self._reserve(attempts, give_up_at))
+        deadline_at = now + min(STORE_SECONDS, STORE_PART * (attempts.end_at - now))
+        reserving = asyncio.ensure_future(self._reserve(attempts, deadline_at))
         try:
-            prompt = await load_prompt(self._turns, attempts, give_up_at)
+            prompt = await load_prompt(self._turns, attempts, deadline_at)
             reserved = await reserving
         except asyncio.CancelledError:
             await self._undo(attempts.request, reserving)
@@ -139,7 +139,7 @@
             self._settle(request, None)
         reserving.cancel()
 
-    async def _reserve(self, attempts: Attempts, give_up_at: float) -> RejectedRequest | None:
+    async def _reserve(self, attempts: Attempts, deadline_at: float) -> RejectedRequest | None:
         request = attempts.request
         if request.program is None or request.budget_tokens is None or request.model is None:
             return None
@@ -147,7 +147,7 @@
             request.request_id, request.model.output_tokens_maximum, request.budget_tokens
         )
         outcome = await self._budgets.reserve(
-            request.program.program_id, operation, give_up_at, attempts.end_at
+            request.program.program_id, operation, deadline_at, attempts.end_at
         )
         match outcome:
             case Reserved():
--- a/src/foxwinch/serving/prompt.py
+++ b/src/foxwinch/serving/prompt.py
@@ -22,13 +22,13 @@
 
 
 async def load_prompt(
-    turns: TurnRecords, attempts: Attempts, give_up_at: float
+    turns: TurnRecords, attempts: Attempts, deadline_at: float
 ) -> Prompt | NoSuchTurn | Refused:
     """Read the history of a turn on a route that retains it."""
     request = attempts.request
     if not attempts.route.retained or request.previous_turn is None:
         return Prompt(request.body)
-    chain = await turns.chain(request.previous_turn, give_up_at)
+    chain = await turns.chain(request.previous_turn, deadline_at)
     if isinstance(chain, NoSuchTurn | Refused):
         return chain
     return Prompt(prompt_of(chain, request.body), chain)
--- a/src/foxwinch/serving/stream.py
+++ b/src/foxwinch/serving/stream.py
@@ -19,7 +19,7 @@
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.prompt import Prompt
 
-LINES_MAXIMUM = 20_000
+MAX_LINES = 20_000
 SUCCESS = range(200, 300)
 log = EventLog("streams")
 
@@ -222,7 +222,7 @@
         program = attempts.request.program
         if program is None:
             return
-        while len(self._last_workers) >= LINES_MAXIMUM:
+        while len(self._last_workers) >= MAX_LINES:
             self._last_workers.pop(next(iter(self._last_workers)))
         self._last_workers.pop(program.conversation_id, None)
         self._last_workers[program.conversation_id] = taken.worker.incarnation
--- a/src/foxwinch/settings/addresses.py
+++ b/src/foxwinch/settings/addresses.py
@@ -7,7 +7,7 @@
 
 Port = Annotated[int, Field(ge=0, le=65_535)]
 """A TCP or UDP port; 0 lets the system choose, for tests."""
-MAXIMUM_PORT = 65_535
+MAX_PORT = 65_535
 
 
 def _is_ip_number(value: str) -> str:
@@ -30,7 +30,7 @@
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
-        if not lowest_port <= int(port) <= MAXIMUM_PORT:
+        if not lowest_port <= int(port) <= MAX_PORT:
             raise ValueError
     except ValueError:
         raise ValueError("must be ip:port, such as 127.0.0.1:7003") from None
--- a/src/foxwinch/workers/coordinator_grants.py
+++ b/src/foxwinch/workers/coordinator_grants.py
@@ -10,7 +10,7 @@
 from foxwinch.clock import Clock
 from foxwinch.configuration.ports import ConfigurationView
 from foxwinch.core.coordinator.actions import Dispatch
-from foxwinch.core.coordinator.admission import SHORTEST_RETRY_SECONDS
+from foxwinch.core.coordinator.admission import MIN_RETRY_SECONDS
 from foxwinch.core.coordinator.calls import PoolCall
 from foxwinch.core.coordinator.events import CallFailed, CallFinished
 from foxwinch.core.coordinator.grant_ledger import LEASE_SECONDS, GrantLedger, GrantRecord
@@ -78,7 +78,7 @@
             async with asyncio.timeout(ask.remaining_seconds):
                 answer = await pool.place(call)
         except TimeoutError:
-            wait = max(SHORTEST_RETRY_SECONDS, pool.predicted_wait_seconds(call.class_rank))
+            wait = max(MIN_RETRY_SECONDS, pool.predicted_wait_seconds(call.class_rank))
             return not_run(Reason.DEADLINE, "no worker was free before the deadline", wait)
         if isinstance(answer, Refused):
             return answer
--- a/src/foxwinch/workers/coordinator_programs.py
+++ b/src/foxwinch/workers/coordinator_programs.py
@@ -8,7 +8,7 @@
 from foxwinch.workers.coordinator_grants import CoordinatorGrants
 from foxwinch.workers.coordinator_pools import CoordinatorPools
 
-PROGRAMS_REMEMBERED = 8_192
+MAX_CACHED_PROGRAMS = 8_192
 """Programs whose last ask is known, and releases whose end is known. An older pause is taken as
 it comes; an older release is simply done again."""
 
@@ -20,9 +20,9 @@
         """Start knowing no program."""
         self._pools = pools
         self._grants = grants
-        self._last_ask: LRUCache[ProgramId, tuple[NodeId, int]] = LRUCache(PROGRAMS_REMEMBERED)
-        self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(PROGRAMS_REMEMBERED)
-        self._released: LRUCache[tuple[ProgramId, WorkerId], None] = LRUCache(PROGRAMS_REMEMBERED)
+        self._last_ask: LRUCache[ProgramId, tuple[NodeId, int]] = LRUCache(MAX_CACHED_PROGRAMS)
+        self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(MAX_CACHED_PROGRAMS)
+        self._released: LRUCache[tuple[ProgramId, WorkerId], None] = LRUCache(MAX_CACHED_PROGRAMS)
 
     def asked(self, owner: NodeId, program_id: ProgramId, sequence: int) -> None:
         """Take in that the program has a new call."""
--- a/src/foxwinch/workers/engine_retries.py
+++ b/src/foxwinch/workers/engine_retries.py
@@ -12,7 +12,7 @@
 from foxwinch.outcomes import Refused
 
 FIRST_PAUSE_SECONDS = 0.2
-LONGEST_PAUSE_SECONDS = 5.0
+MAX_PAUSE_SECONDS = 5.0
 """An engine that is back is told what it missed within this time."""
 
 log = EventLog("engine")
@@ -103,7 +103,7 @@
                 reason=refused.reason,
             )
             await self._clock.sleep(pause * (0.5 + self._clock.uniform() / 2))
-            pause = min(2 * pause, LONGEST_PAUSE_SECONDS)
+            pause = min(2 * pause, MAX_PAUSE_SECONDS)
         self._tasks.pop(key, None)
         for when_done in self._when_done.pop(key, ()):
             when_done()
--- a/src/foxwinch/workers/epochs.py
+++ b/src/foxwinch/workers/epochs.py
@@ -32,11 +32,11 @@
         epoch, and the next raise goes above it.
         """
         row = RowKey(EPOCHS_TABLE, partition_of(resource), resource)
-        give_up_at = self._clock.monotonic() + RAISE_SECONDS
+        deadline_at = self._clock.monotonic() + RAISE_SECONDS
         version = 0
         wanted = EpochRecord(epoch=1, claim=self._clock.identifier())
         while True:
-            answer = await self._write(row, version, wanted, give_up_at)
+            answer = await self._write(row, version, wanted, deadline_at)
             if isinstance(answer, Refused):
                 return answer
             if isinstance(answer, Written):
@@ -54,7 +54,7 @@
         return EpochClaim(resource, Epoch(wanted.epoch))
 
     async def _write(
-        self, row: RowKey, version: int, wanted: EpochRecord, give_up_at: float
+        self, row: RowKey, version: int, wanted: EpochRecord, deadline_at: float
     ) -> Written | Conflict | Refused:
         condition = RowCondition(row, version)
         write = RowWrite(row, wanted.SerializeToString())
@@ -62,4 +62,4 @@
         async def send(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (write,), timeout_seconds)
 
-        return await repeat_until(self._clock, give_up_at, send)
+        return await repeat_until(self._clock, deadline_at, send)
--- a/src/foxwinch/workers/grant_reports.py
+++ b/src/foxwinch/workers/grant_reports.py
@@ -24,7 +24,7 @@
 
 ITEMS_PER_REPORT = 256
 """Bounds one message; the rest goes with the next."""
-PROGRAMS_REMEMBERED = 20_000
+MAX_CACHED_PROGRAMS = 20_000
 """Programs whose workers are known; of an older one every worker is asked to release."""
 CoordinatorOf = Callable[[WorkerId], NodeId | None]
 
@@ -72,8 +72,8 @@
         self._paused: dict[ProgramId, _Pause] = {}
         self._finished: dict[ProgramId, set[WorkerId]] = {}
         self._adopted: set[ProgramId] = set()
-        self._workers: LRUCache[ProgramId, set[WorkerId]] = LRUCache(PROGRAMS_REMEMBERED)
-        self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(PROGRAMS_REMEMBERED)
+        self._workers: LRUCache[ProgramId, set[WorkerId]] = LRUCache(MAX_CACHED_PROGRAMS)
+        self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(MAX_CACHED_PROGRAMS)
 
     def next_sequence(self) -> int:
         """Return a number greater than every one before."""
--- a/src/foxwinch/workers/grants_service.py
+++ b/src/foxwinch/workers/grants_service.py
@@ -93,8 +93,8 @@
 
         Releases that an engine does not answer are asked for again by the programs' next owner.
         """
-        give_up_at = self._clock.monotonic() + DRAIN_SECONDS
-        while self._reports.pending() and self._clock.monotonic() < give_up_at:
+        deadline_at = self._clock.monotonic() + DRAIN_SECONDS
+        while self._reports.pending() and self._clock.monotonic() < deadline_at:
             self._news.set()
             await self._clock.sleep(RETRY_SECONDS)
 
--- a/src/foxwinch/workers/orders_service.py
+++ b/src/foxwinch/workers/orders_service.py
@@ -154,9 +154,9 @@
 
     async def _deliver(self, order: Order, reconciler: OrderReconciler) -> None:
         """Send an order under its token until it is answered or cannot be delivered."""
-        give_up_at = self._clock.monotonic() + GIVE_UP_SECONDS
+        deadline_at = self._clock.monotonic() + GIVE_UP_SECONDS
         succeeded = False
-        while self._clock.monotonic() < give_up_at:
+        while self._clock.monotonic() < deadline_at:
             answer = await self._send(order)
             if answer is None:
                 succeeded = True
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -33,7 +33,7 @@
 INTERPRETER_SECONDS = 0.3
 """Of a process's life, on a busy machine, in which no code of foxwinch has run yet."""
 POLL_SECONDS = 1.0
-MISSES_MAXIMUM = 2
+MAX_MISSES = 2
 """Questions without a good answer until callers open no new connections to a node."""
 
 
@@ -119,7 +119,7 @@
                 misses = 0 if await self._is_ready(session) else misses + 1
                 if misses == 0:
                     self.taken_in = True
-                elif misses >= MISSES_MAXIMUM:
+                elif misses >= MAX_MISSES:
                     self.taken_in = False
                 await asyncio.sleep(POLL_SECONDS)
 
--- a/tests/test_engine_silence.py
+++ b/tests/test_engine_silence.py
@@ -8,7 +8,7 @@
 
 from foxwinch.backends import engine_waits
 from foxwinch.backends.engine_http import HttpEngine
-from foxwinch.backends.engine_waits import SHORTEST_SECONDS
+from foxwinch.backends.engine_waits import MIN_SECONDS
 from foxwinch.backends.ports import GenerateOrder, Message
 from foxwinch.clock import SystemClock
 from foxwinch.core.program.call_events import CallFinished
@@ -86,7 +86,7 @@
 
 def test_waits_leave_half_of_the_deadline_but_no_engine_is_given_up_at_once():
     assert engine_waits.engine_waits(5.0, 0).first_event_seconds == 2.5
-    assert engine_waits.engine_waits(0.0, 0).first_event_seconds == SHORTEST_SECONDS
+    assert engine_waits.engine_waits(0.0, 0).first_event_seconds == MIN_SECONDS
     unbounded = engine_waits.engine_waits(None, 0)
     assert engine_waits.engine_waits(60.0, 0) == unbounded
     assert unbounded.event_gap_seconds < unbounded.first_event_seconds
--- a/tests/test_operator_side.py
+++ b/tests/test_operator_side.py
@@ -13,7 +13,7 @@
 from foxwinch.gateway.authentication import hash_key
 from foxwinch.node.node import build_node
 from foxwinch.node.ports import NodePorts
-from foxwinch.operator.server import MAXIMUM_REQUEST_BYTES, OperatorServer
+from foxwinch.operator.server import MAX_REQUEST_BYTES, OperatorServer
 from foxwinch.settings.load import load_cluster_configuration
 from foxwinch.settings.process import NodeSettings
 
@@ -119,7 +119,7 @@
 
 
 async def test_a_large_request_is_refused(channel):
-    request = pb.CheckConfigurationRequest(document_json="x" * (MAXIMUM_REQUEST_BYTES + 1))
+    request = pb.CheckConfigurationRequest(document_json="x" * (MAX_REQUEST_BYTES + 1))
     with pytest.raises(grpc.aio.AioRpcError) as caught:
         await ask(channel, "CheckConfiguration", request, pb.CheckConfigurationResponse)
     assert caught.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
--- a/tests/test_record_watch.py
+++ b/tests/test_record_watch.py
@@ -8,7 +8,7 @@
 
 from foxwinch.emulator.record_store import Mood, RecordStoreModel
 from foxwinch.platform.connections import CONNECT_SECONDS
-from foxwinch.records.ports import CONDITIONS_MAXIMUM
+from foxwinch.records.ports import MAX_CONDITIONS
 from foxwinch.records.watch import (
     ANSWER_SECONDS,
     RETRY_BACKOFF,
@@ -142,7 +142,7 @@
 
 
 async def test_a_table_of_more_rows_than_a_transaction_takes_is_read_until_it_is_new(model):
-    for number in range(CONDITIONS_MAXIMUM):
+    for number in range(MAX_CONDITIONS):
         model.put("t", f"k{number}", b"1")
     async with watching(model) as seen:
         async with deaf_while_reads_are_old(model):
--- a/tests/test_routing_core.py
+++ b/tests/test_routing_core.py
@@ -22,8 +22,8 @@
     last_resort_from,
 )
 from foxwinch.core.routing.load import (
-    FAILURE_SECONDS_MAXIMUM,
-    LOADS_MAXIMUM,
+    MAX_FAILURE_SECONDS,
+    MAX_LOADS,
     SHED_SECONDS,
     LoadTable,
 )
@@ -173,7 +173,7 @@
         loads.failed("w1", 0.0)
         waits.append(loads.of("w1").avoid_until)
     assert waits == sorted(waits)
-    assert waits[-1] == FAILURE_SECONDS_MAXIMUM
+    assert waits[-1] == MAX_FAILURE_SECONDS
     loads.answered("w1")
     loads.failed("w2", 0.0)
     assert loads.of("w1").failures == 0
@@ -182,7 +182,7 @@
 def test_workers_that_come_and_go_are_forgotten_but_for_calls_under_way():
     loads = LoadTable()
     loads.began("busy")
-    for number in range(LOADS_MAXIMUM):
+    for number in range(MAX_LOADS):
         loads.of(f"gone{number}")
     assert loads.of("busy").in_flight == 1
     loads.ended("busy")
