--- a/src/foxwinch/backends/engine_http.py
+++ b/src/foxwinch/backends/engine_http.py
@@ -22,18 +22,18 @@
 from foxwinch.backends.ports import (
     CacheEvent,
     CacheEventPage,
-    Done,
+    Completed,
     EngineEvent,
     GenerateFinished,
-    GenerateOrder,
+    GenerateRequest,
     LoadReport,
     ModelOrder,
 )
 from foxwinch.backends.release_batch import ReleaseBatches
 from foxwinch.http_exchange import (
     HEADER_RETRY_AFTER,
-    HttpAnswer,
     HttpRequest,
+    HttpResponse,
     Service,
     exchange,
     malformed,
@@ -105,7 +105,7 @@
         self._releases = ReleaseBatches(self._release)
 
     async def generate(
-        self, worker: WorkerId, order: GenerateOrder
+        self, worker: WorkerId, order: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
         """Stream an answer; see the port. An engine that falls silent is given up as `unknown`."""
         url = self._url_of(worker)
@@ -142,15 +142,17 @@
             kind = type(error).__name__
             yield outcome_unknown(Reason.BACKEND_FAILED, f"worker {worker} failed: {kind}")
 
-    async def cancel(self, worker: WorkerId, call_id: CallId) -> Done | Refused:
+    async def cancel(self, worker: WorkerId, call_id: CallId) -> Completed | Refused:
         """See the port."""
         return await self._done(worker, "POST", f"/calls/{_quoted(call_id)}/cancel")
 
-    async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
+    async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed | Refused:
         """See the port."""
         return await self._releases.release(worker, program_id)
 
-    async def _release(self, worker: WorkerId, programs: Sequence[ProgramId]) -> Done | Refused:
+    async def _release(
+        self, worker: WorkerId, programs: Sequence[ProgramId]
+    ) -> Completed | Refused:
         if len(programs) == 1:
             return await self._done(worker, "POST", f"/programs/{_quoted(programs[0])}/release")
         body = ReleaseDocument(programs=list(programs)).model_dump_json().encode()
@@ -188,12 +190,12 @@
 
     async def import_cache(
         self, worker: WorkerId, program_id: ProgramId, data: bytes
-    ) -> Done | Refused:
+    ) -> Completed | Refused:
         """See the port."""
         path = f"/cache/programs/{_quoted(program_id)}"
         return await self._done(worker, "PUT", path, data, TRANSFER_SECONDS)
 
-    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Done | Refused:
+    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Completed | Refused:
         """See the port."""
         document = OrderDocument(
             token=order.token,
@@ -212,9 +214,9 @@
         path: str,
         body: bytes | None = None,
         timeout_seconds: float = REQUEST_SECONDS,
-    ) -> Done | Refused:
+    ) -> Completed | Refused:
         answer = await self._send(worker, method, path, body, timeout_seconds)
-        return answer if isinstance(answer, Refused) else Done()
+        return answer if isinstance(answer, Refused) else Completed()
 
     async def _send(
         self,
@@ -224,7 +226,7 @@
         body: bytes | None = None,
         timeout_seconds: float = REQUEST_SECONDS,
         parameters: dict[str, str] | None = None,
-    ) -> HttpAnswer | Refused:
+    ) -> HttpResponse | Refused:
         """Send a request; an answer other than success is a refusal."""
         url = self._url_of(worker)
         if url is None:
@@ -240,7 +242,7 @@
         return refusal(_service(worker), answer)
 
 
-def _headers(order: GenerateOrder) -> dict[str, str]:
+def _headers(order: GenerateRequest) -> dict[str, str]:
     return {
         "Content-Type": "application/json",
         HEADER_CALL: order.call_id,
@@ -251,7 +253,7 @@
     }
 
 
-def _body(order: GenerateOrder) -> dict[str, Any]:
+def _body(order: GenerateRequest) -> dict[str, Any]:
     messages = [{"role": m.role, "content": m.content, **m.extra} for m in order.messages]
     return {
         **order.parameters,
--- a/src/foxwinch/backends/ports.py
+++ b/src/foxwinch/backends/ports.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GenerateOrder:
+class GenerateRequest:
     """An order to generate one answer on one worker."""
 
     call_id: CallId
@@ -116,14 +116,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class Completed:
     """An order or release was carried out (or had been before: orders are idempotent)."""
 
 
 class GeneratePort(Protocol):
     """Generation of answers by model engines."""
 
-    def generate(self, worker: WorkerId, order: GenerateOrder) -> AsyncIterator[EngineEvent]:
+    def generate(self, worker: WorkerId, order: GenerateRequest) -> AsyncIterator[EngineEvent]:
         """Stream an answer; the last event is `GenerateFinished` or `Refused`.
 
         Closing the iterator early cancels the engine's work on the call.
@@ -134,11 +134,11 @@
 class EnginePort(GeneratePort, Protocol):
     """What foxwinch asks of model engines."""
 
-    async def cancel(self, worker: WorkerId, call_id: CallId) -> Done | Refused:
-        """Cancel a call; cancelling an unknown or finished call is `Done`."""
+    async def cancel(self, worker: WorkerId, call_id: CallId) -> Completed | Refused:
+        """Cancel a call; cancelling an unknown or finished call is `Completed`."""
         ...
 
-    async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
+    async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed | Refused:
         """Free the cache that is held only for this program."""
         ...
 
@@ -156,17 +156,17 @@
 
     async def import_cache(
         self, worker: WorkerId, program_id: ProgramId, data: bytes
-    ) -> Done | Refused:
+    ) -> Completed | Refused:
         """Give a worker cache entries that another one exported."""
         ...
 
-    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Done | Refused:
+    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Completed | Refused:
         """Carry out a fenced order; an older epoch than the worker has seen is `FENCED`."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class ToolOrder:
+class ToolRequest:
     """One call of a tool."""
 
     call_id: CallId
@@ -186,6 +186,6 @@
 class ToolPort(Protocol):
     """What foxwinch asks of tool services."""
 
-    async def call(self, order: ToolOrder) -> ToolResult | Refused:
+    async def call(self, order: ToolRequest) -> ToolResult | Refused:
         """Run a tool once; the refusal's run state tells whether it may have run."""
         ...
--- a/src/foxwinch/backends/release_batch.py
+++ b/src/foxwinch/backends/release_batch.py
@@ -8,20 +8,22 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 
-from foxwinch.backends.ports import Done
+from foxwinch.backends.ports import Completed
 from foxwinch.identifiers import ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, outcome_unknown
 
 MAX_PROGRAMS = 256
 """In one request: some 40 kB at most, which every engine takes."""
 CUT_SHORT = outcome_unknown(Reason.BACKEND_FAILED, "the release was cut short")
-SendReleases = Callable[[WorkerId, Sequence[ProgramId]], Awaitable[Done | Refused]]
+SendReleases = Callable[[WorkerId, Sequence[ProgramId]], Awaitable[Completed | Refused]]
 
 
 class _Batch:
     def __init__(self) -> None:
         self.programs: list[ProgramId] = []
-        self.outcome: asyncio.Future[Done | Refused] = asyncio.get_running_loop().create_future()
+        self.outcome: asyncio.Future[Completed | Refused] = (
+            asyncio.get_running_loop().create_future()
+        )
 
 
 class ReleaseBatches:
@@ -32,7 +34,7 @@
         self._send = send
         self._open: dict[WorkerId, _Batch] = {}
 
-    async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
+    async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed | Refused:
         """Release a program; the outcome is that of the request that bore it.
 
         When the one who sends is cancelled, the others are told that the outcome is unknown.
@@ -43,7 +45,7 @@
             return await asyncio.shield(batch.outcome)
         batch = self._open[worker] = _Batch()
         batch.programs.append(program_id)
-        outcome: Done | Refused = CUT_SHORT
+        outcome: Completed | Refused = CUT_SHORT
         try:
             await asyncio.sleep(0)
             self._close(worker, batch)
--- a/src/foxwinch/backends/tools_http.py
+++ b/src/foxwinch/backends/tools_http.py
@@ -12,7 +12,7 @@
 import aiohttp
 from pydantic import BaseModel, ValidationError
 
-from foxwinch.backends.ports import ToolOrder, ToolResult
+from foxwinch.backends.ports import ToolRequest, ToolResult
 from foxwinch.http_exchange import HttpRequest, Service, exchange, malformed, refusal
 from foxwinch.identifiers import ToolName
 from foxwinch.outcomes import Reason, Refused, not_run
@@ -41,7 +41,7 @@
         self._urls_of = urls_of
         self._calls = 0
 
-    async def call(self, order: ToolOrder) -> ToolResult | Refused:
+    async def call(self, order: ToolRequest) -> ToolResult | Refused:
         """Send the call to one worker, the workers taking turns."""
         urls = self._urls_of(order.tool)
         if not urls:
@@ -61,7 +61,7 @@
             return malformed(service)
 
 
-def _request(url: str, order: ToolOrder) -> HttpRequest:
+def _request(url: str, order: ToolRequest) -> HttpRequest:
     headers = {
         HEADER_CALL: order.call_id,
         HEADER_PROGRAM: order.program_id,
--- a/src/foxwinch/bench/cluster_fuzz/planted.py
+++ b/src/foxwinch/bench/cluster_fuzz/planted.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from foxwinch._generated.journal_pb2 import JournalRecord
-from foxwinch.backends.ports import Done, EngineEvent, GenerateOrder, TokenChunk, ToolOrder
+from foxwinch.backends.ports import Completed, EngineEvent, GenerateRequest, TokenChunk, ToolRequest
 from foxwinch.bench.cluster_fuzz import oracle
 from foxwinch.bench.cluster_fuzz.document import ONCE_TOOL, REPEATABLE_TOOL
 from foxwinch.bench.cluster_fuzz.world import FuzzNode, ToolOutcome
@@ -34,20 +34,20 @@
 class _LateRepeats(_Wrapped):
     """Sends a repeatable tool call a second time, some seconds later."""
 
-    async def call(self, order: ToolOrder) -> ToolOutcome:
+    async def call(self, order: ToolRequest) -> ToolOutcome:
         if order.tool == REPEATABLE_TOOL:
             asyncio.get_running_loop().call_later(3.0, self._again, order)
         outcome: ToolOutcome = await self._inner.call(order)
         return outcome
 
-    def _again(self, order: ToolOrder) -> None:
+    def _again(self, order: ToolRequest) -> None:
         self._inner.model.run(order, "late", asyncio.get_running_loop().time())
 
 
 class _DoubledCalls(_Wrapped):
     """Repeats a tool call whose answer was lost, whatever the tool."""
 
-    async def call(self, order: ToolOrder) -> ToolOutcome:
+    async def call(self, order: ToolRequest) -> ToolOutcome:
         outcome: ToolOutcome = await self._inner.call(order)
         if isinstance(outcome, Refused) and order.tool == ONCE_TOOL:
             outcome = await self._inner.call(order)
@@ -58,7 +58,7 @@
     """Loses the second chunk of every answer."""
 
     async def generate(
-        self, worker: WorkerId, order: GenerateOrder
+        self, worker: WorkerId, order: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
         chunks = 0
         async for event in self._inner.generate(worker, order):
@@ -70,8 +70,8 @@
 class _ForgottenReleases(_Wrapped):
     """Answers a release without passing it on."""
 
-    async def release(self, worker: WorkerId, program_id: ProgramId) -> Done:
-        return Done()
+    async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed:
+        return Completed()
 
 
 class _HiddenLeaving(_Wrapped):
--- a/src/foxwinch/bench/cluster_fuzz/world.py
+++ b/src/foxwinch/bench/cluster_fuzz/world.py
@@ -8,7 +8,7 @@
 
 import looptime
 
-from foxwinch.backends.ports import EngineEvent, GenerateOrder, ToolOrder, ToolResult
+from foxwinch.backends.ports import EngineEvent, GenerateRequest, ToolRequest, ToolResult
 from foxwinch.bench.cluster_fuzz.document import ENGINES, MODEL, REGION, ZONES, document
 from foxwinch.bench.cluster_fuzz.simulated_process import (
     CURRENT,
@@ -64,7 +64,7 @@
         self.dispatches: list[Dispatch] = []
 
     async def generate(
-        self, worker: WorkerId, order: GenerateOrder
+        self, worker: WorkerId, order: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
         """Record and run."""
         now = asyncio.get_running_loop().time()
@@ -272,4 +272,4 @@
 
 
 ToolOutcome = ToolResult | Refused
-ToolCall = Callable[[ToolOrder], Awaitable[ToolOutcome]]
+ToolCall = Callable[[ToolRequest], Awaitable[ToolOutcome]]
--- a/src/foxwinch/bench/schedule/pool.py
+++ b/src/foxwinch/bench/schedule/pool.py
@@ -10,8 +10,8 @@
 from foxwinch.bench.schedule.workload import Workload
 from foxwinch.bench.simulator import Simulator
 from foxwinch.core.coordinator.actions import (
+    CopyPrefix,
     Dispatch,
-    MovePrefix,
     PoolAction,
     RefuseCall,
     ReleaseCache,
@@ -25,9 +25,9 @@
     CallWithdrawn,
     PoolEvent,
     ProgramEnded,
-    ReleaseAnswered,
+    ReleaseCompleted,
     TimePassed,
-    TransferAnswered,
+    TransferCompleted,
     WorkerJoined,
 )
 from foxwinch.emulator import engine_events as engine_side
@@ -74,7 +74,7 @@
         self.chains: dict[CallId, Chain] = {}
         """Chains whose call is queued or running."""
         self.timeline: list[TimelinePoint] = []
-        self._moves: dict[str, MovePrefix] = {}
+        self._moves: dict[str, CopyPrefix] = {}
 
     def start(self) -> None:
         """Tell the policy of every engine and begin to read cache events."""
@@ -131,7 +131,7 @@
             case RefuseCall():
                 chain = self.chains.pop(action.call_id)
                 self._callers.call_refused(chain, action.refused.retry_after_seconds, now)
-            case MovePrefix():
+            case CopyPrefix():
                 self._moves[action.call_id] = action
                 source = self.engines.numbers[action.source]
                 export = engine_side.ExportBlocks(action.call_id, action.block_hashes)
@@ -162,7 +162,7 @@
     def _release(self, action: ReleaseCache, now: float) -> None:
         number = self.engines.numbers[action.worker]
         self.engines.feed(number, engine_side.ReleaseProgram(action.program_id), now)
-        self.decide(ReleaseAnswered(action.worker, action.program_id, True), now)
+        self.decide(ReleaseCompleted(action.worker, action.program_id, True), now)
 
     def _resync(self, worker: WorkerId, now: float) -> None:
         page = self.engines.whole_cache(self.engines.numbers[worker], now)
@@ -178,7 +178,7 @@
                 self._exported(output, now)
             case engine_side.BlocksImported():
                 done = output.blocks > 0
-                self.decide(TransferAnswered(CallId(output.transfer), done), now)
+                self.decide(TransferCompleted(CallId(output.transfer), done), now)
             case engine_side.CallRejected():
                 raise AssertionError(f"engine {number}: {output.detail}")
             case _:
@@ -200,7 +200,7 @@
         move = self._moves.pop(output.transfer)
         chain = self.chains.get(move.call_id)
         if not output.block_hashes or chain is None:
-            self.decide(TransferAnswered(move.call_id, False), now)
+            self.decide(TransferCompleted(move.call_id, False), now)
             return
         target = self.engines.numbers[move.target]
         importing = engine_side.ImportBlocks(output.transfer, chain.program_id, output.block_hashes)
--- a/src/foxwinch/commands/execute.py
+++ b/src/foxwinch/commands/execute.py
@@ -26,7 +26,7 @@
 from foxwinch.commands.views import ended_call, one_event, program_details
 from foxwinch.core.program.call_events import ProgramEvent
 from foxwinch.core.program.identity import child_program_id, is_single_call
-from foxwinch.core.program.requests import Attached, CallIntent, Repeated
+from foxwinch.core.program.requests import AlreadyEnded, AlreadyRunning, CallIntent
 from foxwinch.core.program.state import Program
 from foxwinch.identifiers import CallId, ProgramId
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
@@ -194,9 +194,9 @@
         match found:
             case Refused():
                 return one_event(found)
-            case Attached():
+            case AlreadyRunning():
                 return self._follow(held, found.call_id, offset)
-            case Repeated():
+            case AlreadyEnded():
                 child = held.table.find(ProgramId(found.call.admitted.target))
                 return ended_call(program, found.call, child, offset)
         if held.closing:
--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from foxwinch._generated.journal_pb2 import CallAdmitted, CallOutcome, HistoryMessage
-from foxwinch.backends.ports import GenerateFinished, GenerateOrder, Message, TokenChunk
+from foxwinch.backends.ports import GenerateFinished, GenerateRequest, Message, TokenChunk
 from foxwinch.commands.attempts import before_first, with_earlier
 from foxwinch.commands.call_lifecycle import CallLifecycle
 from foxwinch.commands.call_retries import come_back
@@ -211,10 +211,10 @@
             self.service_seconds += self.ports.clock.monotonic() - started_at
         return Refused(Reason.BACKEND_FAILED, RunState.UNKNOWN, "the stream ended early")
 
-    def _order(self, grant: Grant) -> GenerateOrder:
+    def _order(self, grant: Grant) -> GenerateRequest:
         admitted = self._held_admitted()
         parameters = json.loads(admitted.parameters_json) if admitted.parameters_json else {}
-        return GenerateOrder(
+        return GenerateRequest(
             call_id=self.life.running.call_id,
             program_id=self.life.program.program_id,
             model=ModelName(admitted.target),
--- a/src/foxwinch/commands/served_tree.py
+++ b/src/foxwinch/commands/served_tree.py
@@ -6,7 +6,7 @@
 from foxwinch._generated.journal_pb2 import JournalRecord
 from foxwinch.clock import Clock
 from foxwinch.commands.running_call import RunningCall
-from foxwinch.core.program.requests import Dropped
+from foxwinch.core.program.requests import Ignored
 from foxwinch.core.program.table import ProgramTable
 from foxwinch.identifiers import CallId, ProgramId
 from foxwinch.log import EventLog
@@ -113,7 +113,7 @@
             if self.uncommitted.pop(created, None) is not None:
                 continue  # applied when its first call arrived
             applied = self.table.apply(record)
-            if isinstance(applied, Dropped):
+            if isinstance(applied, Ignored):
                 self._log.warning("record_dropped", family=self.root, cause=applied.cause)
 
     def _look_for_loss(self, refused: Refused | None) -> None:
--- a/src/foxwinch/commands/tool_call.py
+++ b/src/foxwinch/commands/tool_call.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from foxwinch._generated.journal_pb2 import CallAdmitted, CallOutcome, HistoryMessage
-from foxwinch.backends.ports import ToolOrder, ToolResult
+from foxwinch.backends.ports import ToolRequest, ToolResult
 from foxwinch.commands.attempts import before_first, with_earlier
 from foxwinch.commands.call_lifecycle import CallLifecycle
 from foxwinch.commands.ports import ProgramPorts
@@ -84,7 +84,7 @@
 
     async def _attempts(self) -> ToolResult | Refused:
         assert self.admitted is not None
-        order = ToolOrder(
+        order = ToolRequest(
             call_id=self.life.running.call_id,
             program_id=self.life.program.program_id,
             tool=ToolName(self.admitted.target),
@@ -114,7 +114,7 @@
             await self.ports.clock.sleep(RETRY_SECONDS * 2**attempt * self.ports.clock.uniform())
             attempt += 1
 
-    async def _call(self, order: ToolOrder) -> ToolResult | Refused:
+    async def _call(self, order: ToolRequest) -> ToolResult | Refused:
         """Call the tool; whatever the adapter does, the call ends at twice its time-out."""
         try:
             async with asyncio.timeout(2 * order.timeout_seconds):
--- a/src/foxwinch/core/coordinator/actions.py
+++ b/src/foxwinch/core/coordinator/actions.py
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MovePrefix:
-    """Copy leading blocks between workers, then answer `TransferAnswered` for the call.
+class CopyPrefix:
+    """Copy leading blocks between workers, then answer `TransferCompleted` for the call.
 
     `program_id` is a program that has run with this prefix on the source.
     """
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseCache:
-    """Free what the worker holds for this program only; answer `ReleaseAnswered`."""
+    """Free what the worker holds for this program only; answer `ReleaseCompleted`."""
 
     worker: WorkerId
     program_id: ProgramId
@@ -57,4 +57,4 @@
     worker: WorkerId
 
 
-PoolAction = Dispatch | RefuseCall | MovePrefix | ReleaseCache | ResyncCache
+PoolAction = Dispatch | RefuseCall | CopyPrefix | ReleaseCache | ResyncCache
--- a/src/foxwinch/core/coordinator/events.py
+++ b/src/foxwinch/core/coordinator/events.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReleaseAnswered:
+class ReleaseCompleted:
     """A worker has carried out a release, or has failed to."""
 
     worker: WorkerId
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TransferAnswered:
+class TransferCompleted:
     """A transfer of cache blocks is over; on failure the call computes its prefix again."""
 
     call_id: CallId
@@ -130,8 +130,8 @@
     | CallFailed
     | ProgramPaused
     | ProgramEnded
-    | ReleaseAnswered
-    | TransferAnswered
+    | ReleaseCompleted
+    | TransferCompleted
     | CacheChanged
     | WorkerJoined
     | WorkerLeaving
--- a/src/foxwinch/core/coordinator/scheduler.py
+++ b/src/foxwinch/core/coordinator/scheduler.py
@@ -10,14 +10,14 @@
 `now` must never go back. Nothing needs a timer: call `handle(TimePassed(), now)` about once a
 second so that calls that waited for a better place take another. Every arrived call is answered
 by exactly one `Dispatch` or `RefuseCall`, unless it is withdrawn first. `ReleaseCache` is asked
-again after each `ReleaseAnswered(done=False)` until it succeeds or the worker leaves.
+again after each `ReleaseCompleted(done=False)` until it succeeds or the worker leaves.
 """
 
 from collections.abc import Callable
 
 from foxwinch.core.coordinator.actions import (
+    CopyPrefix,
     Dispatch,
-    MovePrefix,
     PoolAction,
     RefuseCall,
     ReleaseCache,
@@ -38,9 +38,9 @@
     PoolEvent,
     ProgramEnded,
     ProgramPaused,
-    ReleaseAnswered,
+    ReleaseCompleted,
     TimePassed,
-    TransferAnswered,
+    TransferCompleted,
     WorkerJoined,
     WorkerLeaving,
     WorkerLeft,
@@ -56,7 +56,7 @@
 PREFILL_SHARE_SECONDS = 0.00007
 """Each prefilled token's share of the fixed part of a step: 18 ms over 256 tokens."""
 
-NO_PLACE_FREED = (CacheChanged, ProgramPaused, ProgramEnded, ReleaseAnswered, LoadReported)
+NO_PLACE_FREED = (CacheChanged, ProgramPaused, ProgramEnded, ReleaseCompleted, LoadReported)
 """Events after which no waiting call can get a place that it could not get before."""
 
 
@@ -80,8 +80,8 @@
             CallFailed: self._call_failed,
             ProgramPaused: self._program_paused,
             ProgramEnded: self._program_ended,
-            ReleaseAnswered: self._release_answered,
-            TransferAnswered: self._transfer_answered,
+            ReleaseCompleted: self._release_answered,
+            TransferCompleted: self._transfer_answered,
             CacheChanged: self._cache_changed,
             WorkerJoined: self._worker_joined,
             WorkerLeaving: self._worker_leaving,
@@ -218,7 +218,7 @@
         self._workers[worker].index.forget_program(program.hashes, program.program_id)
         return ReleaseCache(worker, program.program_id)
 
-    def _release_answered(self, event: ReleaseAnswered, now: float) -> list[PoolAction]:
+    def _release_answered(self, event: ReleaseCompleted, now: float) -> list[PoolAction]:
         back = self._programs.get(event.program_id) is not None
         if event.done or back or event.worker not in self._workers:
             return []
@@ -322,7 +322,7 @@
         assert placement.source is not None
         hashes = placed.call.prefix_hashes[: placement.cached_blocks]
         holder = placement.source.index.program_of(hashes[-1])
-        return MovePrefix(
+        return CopyPrefix(
             placed.call.call_id,
             holder or placed.call.program_id,
             placement.source.description.worker,
@@ -330,7 +330,7 @@
             hashes,
         )
 
-    def _transfer_answered(self, event: TransferAnswered, now: float) -> list[PoolAction]:
+    def _transfer_answered(self, event: TransferCompleted, now: float) -> list[PoolAction]:
         placed = self._placed.get(event.call_id)
         if placed is None or placed.dispatched_at_seconds is not None:
             return []
--- a/src/foxwinch/core/program/requests.py
+++ b/src/foxwinch/core/program/requests.py
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attached:
+class AlreadyRunning:
     """The same request is waiting or running already, under this call."""
 
     call_id: CallId
 
 
 @dataclass(frozen=True, slots=True)
-class Repeated:
+class AlreadyEnded:
     """The same request has ended already; its outcome is the answer."""
 
     call: Call
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class Ignored:
     """The record was late, doubled or of an unknown call, and changed nothing."""
 
     cause: str
--- a/src/foxwinch/core/program/table.py
+++ b/src/foxwinch/core/program/table.py
@@ -18,7 +18,7 @@
 )
 from foxwinch.core.program.budget import Amount, Ledger, force_reserve, settle
 from foxwinch.core.program.history import token_bound
-from foxwinch.core.program.requests import Applied, Attached, Dropped, Queued, Repeated
+from foxwinch.core.program.requests import AlreadyEnded, AlreadyRunning, Applied, Ignored, Queued
 from foxwinch.core.program.state import (
     ALLOWED_STEPS,
     RESULT_STATES,
@@ -52,7 +52,7 @@
         """Return a program."""
         return self._programs.get(program_id)
 
-    def apply(self, record: JournalRecord) -> Applied | Dropped:
+    def apply(self, record: JournalRecord) -> Applied | Ignored:
         """Apply a committed record."""
         kind = record.WhichOneof("record")
         if kind == "program_created":
@@ -65,11 +65,11 @@
             return self._finish(record.program_finished)
         if kind == "program_snapshot":
             return self._restore(record.program_snapshot)
-        return Dropped("record of an unknown kind")
+        return Ignored("record of an unknown kind")
 
     def submit(
         self, program: Program, call_id: CallId, key: str, request_hash: bytes
-    ) -> Queued | Attached | Repeated | Refused:
+    ) -> Queued | AlreadyRunning | AlreadyEnded | Refused:
         """Put a call at the end of its program's queue, or find it under its idempotency key."""
         if key and key in program.keys:
             known = self._find_by_key(program, key, request_hash)
@@ -123,7 +123,7 @@
 
     def _find_by_key(
         self, program: Program, key: str, request_hash: bytes
-    ) -> Attached | Repeated | Refused | None:
+    ) -> AlreadyRunning | AlreadyEnded | Refused | None:
         call_id = program.keys[key]
         waiting = program.waiting.get(call_id)
         call = program.calls.get(call_id)
@@ -138,18 +138,18 @@
                 Reason.CONFLICT, "the idempotency key was used before with a different request"
             )
         if call is None or call.outcome is None:
-            return Attached(call_id)
+            return AlreadyRunning(call_id)
         if call.may_run_again and program.finished is None:
             return None
-        return Repeated(call)
+        return AlreadyEnded(call)
 
-    def _create(self, created: ProgramCreated) -> Applied | Dropped:
+    def _create(self, created: ProgramCreated) -> Applied | Ignored:
         program_id = ProgramId(created.program_id)
         if program_id in self._programs:
-            return Dropped("the program exists")
+            return Ignored("the program exists")
         parent = self._programs.get(ProgramId(created.parent_program_id))
         if created.parent_program_id and parent is None:
-            return Dropped("the parent is not known")
+            return Ignored("the parent is not known")
         program = Program(created, Ledger(created.budget), parent)
         program.last_active_seconds = created.created_at_seconds
         self._programs[program_id] = program
@@ -157,14 +157,14 @@
             parent.children.append(program_id)
         return Applied()
 
-    def _admit(self, admitted: CallAdmitted) -> Applied | Dropped:
+    def _admit(self, admitted: CallAdmitted) -> Applied | Ignored:
         program = self._programs.get(ProgramId(admitted.program_id))
         if program is None:
-            return Dropped("the program is not known")
+            return Ignored("the program is not known")
         call_id = CallId(admitted.call_id)
         call = program.calls.get(call_id)
         if call is not None and (call.committed or call.outcome is not None):
-            return Dropped("the call is known already")
+            return Ignored("the call is known already")
         if call is None:
             call = admit(program, admitted)
         call.committed = True
@@ -174,13 +174,13 @@
         program.last_active_seconds = max(program.last_active_seconds, admitted.admitted_at_seconds)
         return Applied()
 
-    def _end_call(self, outcome: CallOutcome) -> Applied | Dropped:
+    def _end_call(self, outcome: CallOutcome) -> Applied | Ignored:
         program = self._programs.get(ProgramId(outcome.program_id))
         call = program.calls.get(CallId(outcome.call_id)) if program is not None else None
         if program is None or call is None:
-            return Dropped("the call is not known")
+            return Ignored("the call is not known")
         if call.outcome is not None:
-            return Dropped("the call has ended already")
+            return Ignored("the call has ended already")
         spent = Amount.from_record(outcome.spent)
         settle(program.ledgers(), call.reserved, spent)
         call.outcome = outcome
@@ -193,18 +193,18 @@
         program.last_active_seconds = max(program.last_active_seconds, outcome.finished_at_seconds)
         return Applied()
 
-    def _finish(self, finished: ProgramFinished) -> Applied | Dropped:
+    def _finish(self, finished: ProgramFinished) -> Applied | Ignored:
         program = self._programs.get(ProgramId(finished.program_id))
         if program is None or program.finished is not None:
-            return Dropped("the program is not known or has finished already")
+            return Ignored("the program is not known or has finished already")
         program.finished = finished
         return Applied()
 
-    def _restore(self, snapshot: ProgramSnapshot) -> Applied | Dropped:
+    def _restore(self, snapshot: ProgramSnapshot) -> Applied | Ignored:
         program_id = ProgramId(snapshot.created.program_id)
         self._programs.pop(program_id, None)
         created = self._create(snapshot.created)
-        if isinstance(created, Dropped):
+        if isinstance(created, Ignored):
             return created
         program = self._programs[program_id]
         program.history.extend(snapshot.history)
--- a/src/foxwinch/core/routing/selection.py
+++ b/src/foxwinch/core/routing/selection.py
@@ -38,7 +38,7 @@
 
     zone: str
     last_worker: str | None = None
-    """Incarnation of the worker that served the line's last turn and may still hold its cache."""
+    """Incarnation of the worker that served the conversation's last turn; it may hold the cache."""
     program: str | None = None
     """The program, where the call leaves a cache behind: all nodes prefer one worker for it."""
     excluded: Collection[str] = ()
--- a/src/foxwinch/emulator/stand_ins.py
+++ b/src/foxwinch/emulator/emulated_services.py
@@ -11,7 +11,7 @@
 from foxwinch.storage.ports import Machine
 
 
-class StandIns:
+class EmulatedServices:
     """The state behind the emulator's HTTP side."""
 
     def __init__(self, settings: EmulatorSettings, clock: Clock) -> None:
--- a/src/foxwinch/emulator/engine_answers.py
+++ b/src/foxwinch/emulator/engine_answers.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from foxwinch.backends.ports import GenerateOrder, Message
+from foxwinch.backends.ports import GenerateRequest, Message
 from foxwinch.core.prompt import (
     PromptMessage,
     block_hashes,
@@ -37,7 +37,7 @@
     return _marker(program_id, len(messages), render_prompt(map(_prompt_message, messages)))
 
 
-def plan_answer(order: GenerateOrder, maximum_tokens: int) -> PlannedAnswer:
+def plan_answer(order: GenerateRequest, maximum_tokens: int) -> PlannedAnswer:
     """Return the answer to an order, at most `maximum_tokens` long."""
     prompt = render_prompt(map(_prompt_message, order.messages))
     count = max(1, min(order.maximum_tokens, maximum_tokens))
--- a/src/foxwinch/emulator/engine_worker.py
+++ b/src/foxwinch/emulator/engine_worker.py
@@ -10,10 +10,10 @@
 
 from foxwinch.backends.ports import (
     CacheEventPage,
-    Done,
+    Completed,
     EngineEvent,
     GenerateFinished,
-    GenerateOrder,
+    GenerateRequest,
     LoadReport,
     ModelOrder,
     TokenChunk,
@@ -100,7 +100,7 @@
 
     # --- generation --------------------------------------------------------------------------
 
-    async def generate(self, order: GenerateOrder) -> AsyncGenerator[EngineEvent, None]:
+    async def generate(self, order: GenerateRequest) -> AsyncGenerator[EngineEvent, None]:
         """Stream an answer; the last event is `GenerateFinished` or `Refused`."""
         refused = self._check(order)
         if refused is not None:
@@ -118,7 +118,7 @@
                     sent += 1
                 yield event
 
-    def _check(self, order: GenerateOrder) -> Refused | None:
+    def _check(self, order: GenerateRequest) -> Refused | None:
         refused = self._fence(order.epoch)
         if refused is None and self.faults.leaving:
             detail = f"worker {self.settings.name} is leaving"
@@ -142,18 +142,18 @@
         return length
 
     def _run(
-        self, order: GenerateOrder, answer: PlannedAnswer
+        self, order: GenerateRequest, answer: PlannedAnswer
     ) -> AsyncGenerator[EngineEvent, None]:
         if self.settings.pace == "instant":
             return self._instant(order, answer)
         return self._modelled(order, answer)
 
-    def _count(self, order: GenerateOrder) -> None:
+    def _count(self, order: GenerateRequest) -> None:
         counter = self.resumes if order.resume_offset else self.executions
         counter[order.call_id] += 1
 
     async def _instant(
-        self, order: GenerateOrder, answer: PlannedAnswer
+        self, order: GenerateRequest, answer: PlannedAnswer
     ) -> AsyncGenerator[EngineEvent, None]:
         self._count(order)
         for token in answer.tokens[order.resume_offset :]:
@@ -161,7 +161,7 @@
         yield GenerateFinished("stop", answer.prompt_tokens, 0, len(answer.tokens))
 
     async def _modelled(
-        self, order: GenerateOrder, answer: PlannedAnswer
+        self, order: GenerateRequest, answer: PlannedAnswer
     ) -> AsyncGenerator[EngineEvent, None]:
         given = min(order.resume_offset, len(answer.tokens))
         if given == len(answer.tokens):
@@ -187,7 +187,7 @@
                     given += output.tokens
 
     def _events(
-        self, order: GenerateOrder, answer: PlannedAnswer, output: CallOutput, given: int
+        self, order: GenerateRequest, answer: PlannedAnswer, output: CallOutput, given: int
     ) -> Iterator[EngineEvent]:
         """Return the events of one output of the model, `given` tokens having been sent before."""
         match output:
@@ -206,21 +206,21 @@
 
     # --- the rest of the port ----------------------------------------------------------------
 
-    def cancel(self, call_id: CallId) -> Done:
+    def cancel(self, call_id: CallId) -> Completed:
         """Cancel a call; unknown and finished ones too."""
         self._driver.tell(CancelCall(call_id))
-        return Done()
+        return Completed()
 
     def holds(self, program_id: ProgramId) -> bool:
         """Tell whether the program ran here and was not released since."""
         return program_id in self._prefixes
 
-    def release(self, program_id: ProgramId) -> Done:
+    def release(self, program_id: ProgramId) -> Completed:
         """Free the cache that only this program has used."""
         self.released[program_id] += 1
         self._prefixes.pop(program_id, None)
         self._driver.tell(ReleaseProgram(program_id))
-        return Done()
+        return Completed()
 
     def load(self) -> LoadReport:
         """Return the lagging load."""
@@ -246,7 +246,7 @@
         assert isinstance(output, BlocksExported)
         return json.dumps({"blocks": output.block_hashes}).encode()
 
-    async def import_cache(self, program_id: ProgramId, data: bytes) -> Done | Refused:
+    async def import_cache(self, program_id: ProgramId, data: bytes) -> Completed | Refused:
         """Take blocks that another engine exported."""
         try:
             hashes = tuple(int(block) for block in json.loads(data)["blocks"])
@@ -255,13 +255,13 @@
         transfer = self._clock.identifier()
         await self._driver.complete(transfer, ImportBlocks(transfer, program_id, hashes))
         self._prefixes[program_id] = hashes
-        return Done()
+        return Completed()
 
-    async def apply_order(self, order: ModelOrder) -> Done | Refused:
+    async def apply_order(self, order: ModelOrder) -> Completed | Refused:
         """Carry out a fenced order once; the same token again waits for the first."""
         known = self._orders.get(order.token)
         if known == order:
-            return Done()
+            return Completed()
         if known is not None:
             return not_run(Reason.INVALID_REQUEST, "token was used for another order")
         refused = self._fence(order.epoch)
@@ -274,7 +274,7 @@
             task = asyncio.get_running_loop().create_task(self._carry_out(order))
             self._order_tasks[order.token] = task
         await asyncio.shield(task)
-        return Done()
+        return Completed()
 
     async def _carry_out(self, order: ModelOrder) -> None:
         """Carry out an order to its end, also when its sender has given up waiting."""
--- a/src/foxwinch/emulator/http_engine.py
+++ b/src/foxwinch/emulator/http_engine.py
@@ -18,17 +18,17 @@
 )
 from foxwinch.backends.engine_load import write_load
 from foxwinch.backends.ports import (
-    Done,
+    Completed,
     GenerateFinished,
-    GenerateOrder,
+    GenerateRequest,
     Message,
     ModelOrder,
     TokenChunk,
 )
+from foxwinch.emulator.emulated_services import EmulatedServices
 from foxwinch.emulator.engine_worker import EngineWorker
 from foxwinch.emulator.faults import AnswerFate
 from foxwinch.emulator.http_faults import answer, break_connection, refusal_response, refused_at
-from foxwinch.emulator.stand_ins import StandIns
 from foxwinch.identifiers import CallId, Epoch, ModelName, ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 
@@ -41,9 +41,9 @@
 class EngineHandlers:
     """Handlers of the engines."""
 
-    def __init__(self, stand_ins: StandIns) -> None:
-        """Serve the engines of `stand_ins`."""
-        self._engines = stand_ins.engines
+    def __init__(self, emulated_services: EmulatedServices) -> None:
+        """Serve the engines of `emulated_services`."""
+        self._engines = emulated_services.engines
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         """Register the handlers."""
@@ -102,7 +102,7 @@
             return refusal_response(not_run(Reason.INVALID_REQUEST, "not a list of programs"))
         for program in document.programs:
             engine.release(ProgramId(program))
-        return await _done(request, engine, Done())
+        return await _done(request, engine, Completed())
 
     async def metrics(self, request: web.Request) -> web.StreamResponse:
         """Tell the lagging load."""
@@ -169,7 +169,7 @@
 
 
 async def _done(
-    request: web.Request, engine: EngineWorker, outcome: Done | Refused
+    request: web.Request, engine: EngineWorker, outcome: Completed | Refused
 ) -> web.StreamResponse:
     if isinstance(outcome, Refused):
         return refusal_response(outcome)
@@ -177,7 +177,7 @@
 
 
 async def _stream(
-    request: web.Request, engine: EngineWorker, order: GenerateOrder
+    request: web.Request, engine: EngineWorker, order: GenerateRequest
 ) -> web.StreamResponse:
     response = web.StreamResponse(headers=STREAM_HEADERS)
     model = json.dumps(order.model)
@@ -230,13 +230,13 @@
     return b"data: " + json.dumps({"error": error}).encode() + b"\n\n"
 
 
-def _generate_order(request: web.Request, body: bytes) -> GenerateOrder:
+def _generate_order(request: web.Request, body: bytes) -> GenerateRequest:
     document = json.loads(body)
     headers = request.headers
     messages = tuple(
         Message(str(m["role"]), str(m.get("content") or "")) for m in document["messages"]
     )
-    return GenerateOrder(
+    return GenerateRequest(
         call_id=CallId(headers[HEADER_CALL]),
         program_id=ProgramId(headers[HEADER_PROGRAM]),
         model=ModelName(document["model"]),
--- a/src/foxwinch/emulator/http_platform.py
+++ b/src/foxwinch/emulator/http_platform.py
@@ -5,8 +5,8 @@
 from aiohttp import web
 from pydantic import ValidationError
 
+from foxwinch.emulator.emulated_services import EmulatedServices
 from foxwinch.emulator.http_faults import answer, refusal_response, refused_at
-from foxwinch.emulator.stand_ins import StandIns
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.records.ports import Conflict, HistoryLost, RowCondition, RowKey, RowsRead, RowWrite
 from foxwinch.storage.records_http import (
@@ -26,9 +26,9 @@
 class PlatformHandlers:
     """Handlers of the platform's services."""
 
-    def __init__(self, stand_ins: StandIns) -> None:
-        """Serve the models of `stand_ins`."""
-        self._stand_ins = stand_ins
+    def __init__(self, emulated_services: EmulatedServices) -> None:
+        """Serve the models of `emulated_services`."""
+        self._emulated_services = emulated_services
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         """Register the handlers."""
@@ -40,7 +40,7 @@
     async def transact(self, request: web.Request) -> web.StreamResponse:
         """Apply a transaction."""
         body = await request.read()
-        gate = self._stand_ins.store_gate
+        gate = self._emulated_services.store_gate
         refused = await refused_at(gate)
         if refused is not None:
             return refused
@@ -49,7 +49,7 @@
         except ValidationError:
             return refusal_response(not_run(Reason.INVALID_REQUEST, "not a transaction"))
         conditions, writes = _conditions(transaction), _writes(transaction)
-        outcome = gate.apply(lambda: self._stand_ins.store.apply(conditions, writes))
+        outcome = gate.apply(lambda: self._emulated_services.store.apply(conditions, writes))
         if isinstance(outcome, Conflict):
             rows = [row_document(row) for row in outcome.rows]
             conflict = ConflictDocument.model_construct(
@@ -61,25 +61,25 @@
 
     async def rows(self, request: web.Request) -> web.StreamResponse:
         """Read a range of a partition."""
-        gate = self._stand_ins.store_gate
+        gate = self._emulated_services.store_gate
         refused = await refused_at(gate)
         if refused is not None:
             return refused
         query = request.query
         first = RowKey(query["table"], query.get("partition", ""), query.get("first", ""))
-        read = self._stand_ins.store.rows_between(first, query.get("end", AFTER_ALL_KEYS))
+        read = self._emulated_services.store.rows_between(first, query.get("end", AFTER_ALL_KEYS))
         return await answer(request, gate, _rows(read))
 
     async def changes(self, request: web.Request) -> web.StreamResponse:
         """Wait for changes of a table."""
-        gate = self._stand_ins.store_gate
+        gate = self._emulated_services.store_gate
         refused = await refused_at(gate)
         if refused is not None:
             return refused
         query = request.query
         wait_seconds = min(float(query["wait"]), MAX_WAIT_SECONDS)
         after = int(query["after"])
-        heard = await self._stand_ins.store.changes(query["table"], after, wait_seconds)
+        heard = await self._emulated_services.store.changes(query["table"], after, wait_seconds)
         if isinstance(heard, HistoryLost):
             return await answer(request, gate, _json("{}", 410))
         if isinstance(heard, Refused):
@@ -88,12 +88,12 @@
 
     async def machines(self, request: web.Request) -> web.StreamResponse:
         """Read the lagging list."""
-        gate = self._stand_ins.machines_gate
+        gate = self._emulated_services.machines_gate
         refused = await refused_at(gate)
         if refused is not None:
             return refused
-        now = self._stand_ins.clock.monotonic()
-        listed = self._stand_ins.machines.listed(now, gate.faults.lag_seconds)
+        now = self._emulated_services.clock.monotonic()
+        listed = self._emulated_services.machines.listed(now, gate.faults.lag_seconds)
         document = {"machines": [asdict(machine) for machine in listed]}
         return await answer(request, gate, web.json_response(document))
 
--- a/src/foxwinch/emulator/http_tools.py
+++ b/src/foxwinch/emulator/http_tools.py
@@ -4,11 +4,11 @@
 
 from aiohttp import web
 
-from foxwinch.backends.ports import ToolOrder
+from foxwinch.backends.ports import ToolRequest
 from foxwinch.backends.tools_http import HEADER_CALL, HEADER_PROGRAM
+from foxwinch.emulator.emulated_services import EmulatedServices
 from foxwinch.emulator.faults import FOREVER_SECONDS
 from foxwinch.emulator.http_faults import answer, refusal_response, refused_at
-from foxwinch.emulator.stand_ins import StandIns
 from foxwinch.identifiers import CallId, ProgramId, ToolName
 from foxwinch.outcomes import Reason, Refused, not_run
 
@@ -16,9 +16,9 @@
 class ToolHandlers:
     """Handlers of the tool services."""
 
-    def __init__(self, stand_ins: StandIns) -> None:
-        """Serve the tools of `stand_ins`."""
-        self._stand_ins = stand_ins
+    def __init__(self, emulated_services: EmulatedServices) -> None:
+        """Serve the tools of `emulated_services`."""
+        self._emulated_services = emulated_services
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         """Register the handlers."""
@@ -28,9 +28,9 @@
         """Run a tool as often as it is asked to."""
         body = await request.read()
         worker = request.match_info["worker"]
-        if worker not in self._stand_ins.tool_workers:
+        if worker not in self._emulated_services.tool_workers:
             return refusal_response(not_run(Reason.NOT_FOUND, "no such worker"))
-        gate = self._stand_ins.tools_gate
+        gate = self._emulated_services.tools_gate
         refused = await refused_at(gate)
         if refused is not None:
             return refused
@@ -38,17 +38,17 @@
             order = _order(request, json.loads(body))
         except (ValueError, KeyError):
             return refusal_response(not_run(Reason.INVALID_REQUEST, "not a call of a tool"))
-        now = self._stand_ins.clock.monotonic()
-        outcome = gate.apply(lambda: self._stand_ins.tools.run(order, worker, now))
+        now = self._emulated_services.clock.monotonic()
+        outcome = gate.apply(lambda: self._emulated_services.tools.run(order, worker, now))
         if isinstance(outcome, Refused):
             return refusal_response(outcome)
-        if order.tool in self._stand_ins.tool_faults.hung_tools:
-            await self._stand_ins.clock.sleep(FOREVER_SECONDS)
+        if order.tool in self._emulated_services.tool_faults.hung_tools:
+            await self._emulated_services.clock.sleep(FOREVER_SECONDS)
         return await answer(request, gate, web.json_response({"content": outcome.content}))
 
 
-def _order(request: web.Request, arguments: object) -> ToolOrder:
-    return ToolOrder(
+def _order(request: web.Request, arguments: object) -> ToolRequest:
+    return ToolRequest(
         CallId(request.headers[HEADER_CALL]),
         ProgramId(request.headers[HEADER_PROGRAM]),
         ToolName(request.match_info["tool"]),
--- a/src/foxwinch/emulator/in_process.py
+++ b/src/foxwinch/emulator/in_process.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from foxwinch.backends.ports import ToolOrder, ToolResult
+from foxwinch.backends.ports import ToolRequest, ToolResult
 from foxwinch.clock import Clock
 from foxwinch.emulator.faults import (
     FOREVER_SECONDS,
@@ -171,7 +171,7 @@
             "the tool service", Reason.BACKEND_UNAVAILABLE, self.gate, clock
         )
 
-    async def call(self, order: ToolOrder) -> ToolResult | Refused:
+    async def call(self, order: ToolRequest) -> ToolResult | Refused:
         """See the port."""
         faults = self.gate.faults
         hangs = isinstance(faults, ToolFaults) and order.tool in faults.hung_tools
--- a/src/foxwinch/emulator/in_process_engine.py
+++ b/src/foxwinch/emulator/in_process_engine.py
@@ -7,9 +7,9 @@
 
 from foxwinch.backends.ports import (
     CacheEventPage,
-    Done,
+    Completed,
     EngineEvent,
-    GenerateOrder,
+    GenerateRequest,
     LoadReport,
     ModelOrder,
 )
@@ -34,7 +34,7 @@
         self.workers = workers
 
     async def generate(
-        self, worker: WorkerId, order: GenerateOrder
+        self, worker: WorkerId, order: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
         """See the port."""
         engine = self.workers.get(worker)
@@ -53,11 +53,11 @@
         if fate is not AnswerFate.GIVEN:
             yield outcome_unknown(Reason.BACKEND_FAILED, f"the answer of {worker} was lost")
 
-    async def cancel(self, worker: WorkerId, call_id: CallId) -> Done | Refused:
+    async def cancel(self, worker: WorkerId, call_id: CallId) -> Completed | Refused:
         """See the port."""
         return await self._request(worker, lambda engine: _now(engine.cancel(call_id)))
 
-    async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
+    async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed | Refused:
         """See the port."""
         return await self._request(worker, lambda engine: _now(engine.release(program_id)))
 
@@ -75,11 +75,11 @@
 
     async def import_cache(
         self, worker: WorkerId, program_id: ProgramId, data: bytes
-    ) -> Done | Refused:
+    ) -> Completed | Refused:
         """See the port."""
         return await self._request(worker, lambda engine: engine.import_cache(program_id, data))
 
-    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Done | Refused:
+    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Completed | Refused:
         """See the port."""
         return await self._request(
             worker, lambda engine: engine.apply_order(order), ORDER_TIMEOUT_SECONDS
--- a/src/foxwinch/emulator/process.py
+++ b/src/foxwinch/emulator/process.py
@@ -8,9 +8,9 @@
 from aiomisc import Service, entrypoint
 
 from foxwinch.clock import SystemClock
+from foxwinch.emulator.emulated_services import EmulatedServices
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import EmulatorSettings
-from foxwinch.emulator.stand_ins import StandIns
 from foxwinch.node.http_service import HttpService
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
@@ -22,9 +22,9 @@
     def __init__(self, settings: EmulatorSettings) -> None:
         """Serve what `settings` name."""
         super().__init__()
-        self.stand_ins = StandIns(settings, SystemClock())
+        self.emulated_services = EmulatedServices(settings, SystemClock())
         self._http = HttpService(
-            build_application(self.stand_ins),
+            build_application(self.emulated_services),
             host=settings.host,
             port=settings.port,
             handler_cancellation=False,
@@ -43,11 +43,11 @@
     async def start(self) -> None:
         """Listen; the workers are on the machine list from then on."""
         await self._http.start()
-        self.stand_ins.list_workers(self._address)
+        self.emulated_services.list_workers(self._address)
 
     async def stop(self, exception: Exception | None = None) -> None:
         """Stop listening."""
-        self.stand_ins.stop()
+        self.emulated_services.stop()
         await self._http.stop()
 
     def addresses(self) -> dict[str, str]:
--- a/src/foxwinch/emulator/server.py
+++ b/src/foxwinch/emulator/server.py
@@ -8,11 +8,11 @@
 from aiohttp import web
 from pydantic import ValidationError
 
+from foxwinch.emulator.emulated_services import EmulatedServices
 from foxwinch.emulator.http_engine import EngineHandlers
 from foxwinch.emulator.http_platform import PlatformHandlers
 from foxwinch.emulator.http_tools import ToolHandlers
 from foxwinch.emulator.settings import FaultSettings
-from foxwinch.emulator.stand_ins import StandIns
 from foxwinch.identifiers import RegionName, ZoneName
 from foxwinch.storage.machines_http import MachineDocument
 from foxwinch.storage.ports import Machine
@@ -20,22 +20,22 @@
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
-def build_application(stand_ins: StandIns) -> web.Application:
+def build_application(emulated_services: EmulatedServices) -> web.Application:
     """Return an application that serves all stand-ins."""
     application = web.Application(client_max_size=MAX_BODY_BYTES)
-    EngineHandlers(stand_ins).add_routes(application.router)
-    ToolHandlers(stand_ins).add_routes(application.router)
-    PlatformHandlers(stand_ins).add_routes(application.router)
-    ControlHandlers(stand_ins).add_routes(application.router)
+    EngineHandlers(emulated_services).add_routes(application.router)
+    ToolHandlers(emulated_services).add_routes(application.router)
+    PlatformHandlers(emulated_services).add_routes(application.router)
+    ControlHandlers(emulated_services).add_routes(application.router)
     return application
 
 
 class ControlHandlers:
     """Handlers of the control side."""
 
-    def __init__(self, stand_ins: StandIns) -> None:
-        """Control `stand_ins`."""
-        self._stand_ins = stand_ins
+    def __init__(self, emulated_services: EmulatedServices) -> None:
+        """Control `emulated_services`."""
+        self._emulated_services = emulated_services
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         """Register the handlers."""
@@ -47,12 +47,12 @@
 
     async def read_faults(self, request: web.Request) -> web.Response:
         """Tell the faults in force."""
-        stand_ins = self._stand_ins
+        emulated_services = self._emulated_services
         faults = FaultSettings(
-            store=stand_ins.store_gate.faults,
-            machines=stand_ins.machines_gate.faults,
-            tools=stand_ins.tool_faults,
-            engines={name: engine.faults for name, engine in stand_ins.engines.items()},
+            store=emulated_services.store_gate.faults,
+            machines=emulated_services.machines_gate.faults,
+            tools=emulated_services.tool_faults,
+            engines={name: engine.faults for name, engine in emulated_services.engines.items()},
         )
         return web.Response(text=faults.model_dump_json(), content_type="application/json")
 
@@ -62,13 +62,13 @@
             faults = FaultSettings.model_validate_json(await request.read())
         except ValidationError as error:
             return web.Response(status=422, text=str(error))
-        self._stand_ins.apply_faults(faults)
+        self._emulated_services.apply_faults(faults)
         return await self.read_faults(request)
 
     async def state(self, request: web.Request) -> web.Response:
         """Tell what the services saw."""
-        stand_ins = self._stand_ins
-        tools = stand_ins.tools
+        emulated_services = self._emulated_services
+        tools = emulated_services.tools
         engines = {
             name: {
                 "epoch": engine.newest_epoch,
@@ -77,7 +77,7 @@
                 "released": dict(engine.released),
                 "requests": engine.gate.requests,
             }
-            for name, engine in stand_ins.engines.items()
+            for name, engine in emulated_services.engines.items()
         }
         runs = [
             {"call": run.call_id, "program": run.program_id, "tool": run.tool, "worker": run.worker}
@@ -93,7 +93,7 @@
             "tool_executions": runs,
             "seats": seats,
             "sessions": tools.sessions,
-            "store_commits": stand_ins.store.calls.commits,
+            "store_commits": emulated_services.store.calls.commits,
         }
         return web.json_response(document)
 
@@ -111,13 +111,13 @@
             RegionName(document.region),
             document.leaving,
         )
-        machines = self._stand_ins.machines
+        machines = self._emulated_services.machines
         others = tuple(m for m in machines.current if m.name != machine.name)
-        machines.change((*others, machine), self._stand_ins.clock.monotonic())
+        machines.change((*others, machine), self._emulated_services.clock.monotonic())
         return web.Response(status=204)
 
     async def remove_machine(self, request: web.Request) -> web.Response:
         """Take a machine off the list."""
         name = request.match_info["name"]
-        self._stand_ins.machines.remove(name, self._stand_ins.clock.monotonic())
+        self._emulated_services.machines.remove(name, self._emulated_services.clock.monotonic())
         return web.Response(status=204)
--- a/src/foxwinch/emulator/tools.py
+++ b/src/foxwinch/emulator/tools.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from foxwinch.backends.ports import JsonValue, ToolOrder, ToolResult
+from foxwinch.backends.ports import JsonValue, ToolRequest, ToolResult
 from foxwinch.identifiers import CallId, ProgramId, ToolName
 from foxwinch.outcomes import Reason, Refused, not_run
 
@@ -87,7 +87,7 @@
         """Return how often each call ran."""
         return Counter(execution.call_id for execution in self.executions)
 
-    def run(self, order: ToolOrder, worker: str, now: float) -> ToolResult | Refused:
+    def run(self, order: ToolRequest, worker: str, now: float) -> ToolResult | Refused:
         """Run a tool once; a call sent twice runs twice, as at a real service."""
         if self._tools is not None and order.tool not in self._tools:
             return not_run(Reason.NOT_FOUND, f"no tool {order.tool} here")
@@ -97,7 +97,7 @@
         arguments = order.arguments if isinstance(order.arguments, dict) else {}
         return ToolResult(self._run(order, arguments))
 
-    def _run(self, order: ToolOrder, arguments: dict[str, Any]) -> str:
+    def _run(self, order: ToolRequest, arguments: dict[str, Any]) -> str:
         if order.tool == "hold-seats":
             return self.seats.hold(order.program_id, arguments)
         if order.tool == "confirm-seats":
--- a/src/foxwinch/http_exchange.py
+++ b/src/foxwinch/http_exchange.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A whole answer of any status."""
 
     status: int
@@ -79,7 +79,7 @@
 
 async def exchange(
     session: aiohttp.ClientSession, service: Service, request: HttpRequest
-) -> HttpAnswer | Refused:
+) -> HttpResponse | Refused:
     """Send a request once and read its whole answer."""
     if not _sendable(request):
         return not_run(Reason.INVALID_REQUEST, "a header value holds control characters")
@@ -100,7 +100,7 @@
                 return outcome_unknown(service.unavailable, f"{service.name} answered too much")
             retry_after = read_retry_after(response.headers.get(HEADER_RETRY_AFTER))
             run_state = response.headers.get(HEADER_RUN_STATE)
-            return HttpAnswer(response.status, body, retry_after, run_state)
+            return HttpResponse(response.status, body, retry_after, run_state)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
         return not_run(service.unavailable, f"{service.name} cannot be reached")
     except (aiohttp.InvalidURL, aiohttp.NonHttpUrlClientError):
@@ -127,7 +127,7 @@
     return bytes(body)
 
 
-def refusal(service: Service, answer: HttpAnswer) -> Refused:
+def refusal(service: Service, answer: HttpResponse) -> Refused:
     """Return what a status that the adapter does not know means.
 
     429 and other client errors are refusals before any work. A redirect, another success or a
--- a/src/foxwinch/node/dev.py
+++ b/src/foxwinch/node/dev.py
@@ -21,9 +21,9 @@
 
 def run_dev(document: ClusterConfiguration, announce: Callable[[dict[str, str]], None]) -> bool:
     """Run until a signal; `announce` gets the addresses and the keys made for this run."""
-    stand_ins = EmulatorService(settings_of_cluster(document, MAX_ANSWER_TOKENS))
+    emulated_services = EmulatorService(settings_of_cluster(document, MAX_ANSWER_TOKENS))
     loop = uvloop.new_event_loop()
-    with entrypoint(stand_ins, loop=loop, log_config=False, catch_signals=()):
+    with entrypoint(emulated_services, loop=loop, log_config=False, catch_signals=()):
         caller_key = secrets.token_urlsafe(KEY_BYTES)
         operator_key = secrets.token_urlsafe(KEY_BYTES)
         settings = NodeSettings(
@@ -33,7 +33,9 @@
             operator_key_hashes=(hash_key(operator_key),),
             drain_seconds=10.0,
         )
-        process = NodeProcess(settings, _for_dev(document, stand_ins.url, caller_key), alone=True)
+        process = NodeProcess(
+            settings, _for_dev(document, emulated_services.url, caller_key), alone=True
+        )
         loop.run_until_complete(process.start())
         try:
             loop.run_until_complete(process.wait_ready())
--- a/src/foxwinch/platform/front_door.py
+++ b/src/foxwinch/platform/front_door.py
@@ -23,11 +23,11 @@
     TOKENS,
 )
 from foxwinch.serving.messages import (
-    AnswerHead,
     ModelParameters,
     ProgramParameters,
     RejectedRequest,
     Rejection,
+    ResponseHead,
     ServiceRequest,
 )
 from foxwinch.serving.node import ServingNode
@@ -181,14 +181,14 @@
             response.headers[REQUEST_ID] = request_id
         await self._send(response)
 
-    async def answer(self, head: AnswerHead, body: bytes) -> None:
+    async def answer(self, head: ResponseHead, body: bytes) -> None:
         """Give a worker's whole answer."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall("Content-Type", None)
         response.headers.extend(head.headers)
         await self._send(response)
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def begin(self, head: ResponseHead) -> None:
         """Begin a stream."""
         response = web.StreamResponse(status=head.status)
         response.headers.extend(head.headers)
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -28,11 +28,11 @@
     URGENCY,
 )
 from foxwinch.serving.messages import (
-    AnswerHead,
     CallFailure,
-    CallLost,
+    CallInterrupted,
     CallRefused,
     OutgoingCall,
+    ResponseHead,
 )
 
 KEPT_SECONDS = 3.0
@@ -81,8 +81,8 @@
     return given == expected
 
 
-class HttpAnswer:
-    """An answer whose head has arrived; implements `foxwinch.serving.messages.WorkerAnswer`."""
+class HttpResponse:
+    """An answer whose head has arrived; implements `foxwinch.serving.messages.WorkerResponse`."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         """Read on from `response`."""
@@ -94,26 +94,26 @@
             if name.lower() not in CONNECTION_HEADERS
         )
         signed = SIGNATURE in response.headers and "Content-Encoding" not in response.headers
-        self.head = AnswerHead(response.status, headers, signed)
+        self.head = ResponseHead(response.status, headers, signed)
         self._framed = (
             "Content-Length" in response.headers or "Transfer-Encoding" in response.headers
         )
 
-    async def read_whole(self) -> bytes | CallLost:
+    async def read_whole(self) -> bytes | CallInterrupted:
         """Read the body."""
         try:
             body = await self._response.content.read()
         except BROKEN as error:
-            return CallLost(CallFailure.BROKEN_OFF, type(error).__name__)
+            return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
         return self._reset() or body
 
-    async def pieces(self) -> AsyncIterator[bytes | CallLost]:
+    async def pieces(self) -> AsyncIterator[bytes | CallInterrupted]:
         """Yield the body as it comes."""
         try:
             async for piece in self._response.content.iter_any():
                 yield piece
         except BROKEN as error:
-            yield CallLost(CallFailure.BROKEN_OFF, type(error).__name__)
+            yield CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
             return
         reset = self._reset()
         if reset is not None:
@@ -123,14 +123,14 @@
         """Drop what was not read; a connection that is not at its end is closed."""
         self._response.close()
 
-    def _reset(self) -> CallLost | None:
+    def _reset(self) -> CallInterrupted | None:
         """An answer without a length ends with its connection: a reset one is not whole."""
         if self._framed or self._protocol is None:
             return None
         error = self._protocol.exception()
         if error is None or isinstance(error, aiohttp.ServerDisconnectedError):
             return None
-        return CallLost(CallFailure.BROKEN_OFF, type(error).__name__)
+        return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
 
 
 class HttpWorkers:
@@ -151,7 +151,9 @@
         """Close all connections."""
         await self._session.close()
 
-    async def call(self, worker: Worker, call: OutgoingCall) -> HttpAnswer | CallRefused | CallLost:
+    async def call(
+        self, worker: Worker, call: OutgoingCall
+    ) -> HttpResponse | CallRefused | CallInterrupted:
         """Send a call and wait for the head of its answer."""
         request = call.request
         url = URL(f"http://{worker.address}{request.target}", encoded=True)
@@ -166,12 +168,12 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return CallRefused(CallFailure.UNREACHABLE, type(error).__name__)
         except BROKEN as error:
-            return CallLost(CallFailure.BROKEN_OFF, type(error).__name__)
+            return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
         refused = _not_run(response)
         if refused is not None:
             response.release()
             return refused
-        return HttpAnswer(response)
+        return HttpResponse(response)
 
 
 def _headers(worker: Worker, call: OutgoingCall) -> CIMultiDict[str]:
--- a/src/foxwinch/serving/attempts.py
+++ b/src/foxwinch/serving/attempts.py
@@ -15,13 +15,13 @@
 from foxwinch.log import EventLog, age_ms
 from foxwinch.serving.messages import (
     CallFailure,
-    CallLost,
+    CallInterrupted,
     CallRefused,
     OutgoingCall,
     RejectedRequest,
     Rejection,
     ServiceRequest,
-    WorkerAnswer,
+    WorkerResponse,
 )
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.ports import RoutingView, Workers
@@ -63,7 +63,7 @@
     """A worker has begun to answer."""
 
     worker: Worker
-    answer: WorkerAnswer
+    answer: WorkerResponse
 
 
 class Dispatcher:
@@ -106,7 +106,7 @@
             outcome = await self._call(worker, attempts, left)
             if isinstance(outcome, CallRefused):
                 shed = outcome
-            elif isinstance(outcome, CallLost):
+            elif isinstance(outcome, CallInterrupted):
                 attempts.ran_on.add(worker.worker_id)
                 if not self.may_run_again(attempts):
                     return RejectedRequest(Rejection.FAILED, outcome.failure.value)
@@ -165,7 +165,7 @@
 
     async def _call(
         self, worker: Worker, attempts: Attempts, left: float
-    ) -> WorkerAnswer | CallRefused | CallLost:
+    ) -> WorkerResponse | CallRefused | CallInterrupted:
         call = OutgoingCall(
             attempts.request,
             attempts.body,
@@ -179,7 +179,7 @@
         now = self._clock.monotonic()
         if isinstance(outcome, CallRefused):
             self._note_refused(worker, outcome, attempts.request.request_id)
-        elif isinstance(outcome, CallLost):
+        elif isinstance(outcome, CallInterrupted):
             self.failed(worker, outcome.failure, attempts.request.request_id)
         else:
             self.loads.began_to_answer(worker.incarnation, now - began, now)
@@ -187,12 +187,12 @@
 
     async def _answer_of(
         self, worker: Worker, call: OutgoingCall, patience_seconds: float
-    ) -> WorkerAnswer | CallRefused | CallLost:
+    ) -> WorkerResponse | CallRefused | CallInterrupted:
         try:
             async with asyncio.timeout(patience_seconds):
                 return await self._workers.call(worker, call)
         except TimeoutError:
-            return CallLost(CallFailure.SILENT, f"no answer in {patience_seconds:.2f} s")
+            return CallInterrupted(CallFailure.SILENT, f"no answer in {patience_seconds:.2f} s")
 
     def _patience(self, attempts: Attempts, left: float) -> float:
         """Return for how long to wait for a worker to begin its answer."""
--- a/src/foxwinch/serving/messages.py
+++ b/src/foxwinch/serving/messages.py
@@ -62,7 +62,7 @@
     """Another worker has the address."""
     SILENT = "silent"
     """No answer for so long that another worker is asked; it may have run the request."""
-    BROKEN_OFF = "broken_off"
+    CONNECTION_LOST = "broken_off"
     MALFORMED = "malformed"
 
 
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallLost:
+class CallInterrupted:
     """The request may have run at the worker."""
 
     failure: CallFailure
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers of a worker's answer, as they go on to the caller."""
 
     status: int
@@ -93,17 +93,17 @@
     """Whether the answer carries the worker's signature."""
 
 
-class WorkerAnswer(Protocol):
+class WorkerResponse(Protocol):
     """A worker's answer whose head has arrived."""
 
-    head: AnswerHead
+    head: ResponseHead
 
-    async def read_whole(self) -> bytes | CallLost:
+    async def read_whole(self) -> bytes | CallInterrupted:
         """Read the body."""
         ...
 
-    def pieces(self) -> AsyncIterator[bytes | CallLost]:
-        """Yield the body as it comes; a `CallLost` is the last when it does not come whole."""
+    def pieces(self) -> AsyncIterator[bytes | CallInterrupted]:
+        """Yield the body as it comes; a `CallInterrupted` is the last if it does not come whole."""
         ...
 
     def close(self) -> None:
@@ -156,11 +156,11 @@
         """Give a final answer of foxwinch's own."""
         ...
 
-    async def answer(self, head: AnswerHead, body: bytes) -> None:
+    async def answer(self, head: ResponseHead, body: bytes) -> None:
         """Give a worker's whole answer."""
         ...
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def begin(self, head: ResponseHead) -> None:
         """Begin a stream with a worker's head."""
         ...
 
--- a/src/foxwinch/serving/plain.py
+++ b/src/foxwinch/serving/plain.py
@@ -4,7 +4,13 @@
 
 from foxwinch.clock import Clock
 from foxwinch.serving.attempts import Attempts, Dispatcher
-from foxwinch.serving.messages import Caller, CallFailure, CallLost, RejectedRequest, Rejection
+from foxwinch.serving.messages import (
+    Caller,
+    CallFailure,
+    CallInterrupted,
+    RejectedRequest,
+    Rejection,
+)
 
 SUCCESS = range(200, 300)
 
@@ -41,7 +47,7 @@
             dispatcher.answered(taken.worker)
             await caller.answer(head, body)
             return None
-        failure = body.failure if isinstance(body, CallLost) else CallFailure.MALFORMED
+        failure = body.failure if isinstance(body, CallInterrupted) else CallFailure.MALFORMED
         dispatcher.failed(taken.worker, failure, attempts.request.request_id)
         if not dispatcher.may_run_again(attempts):
             return RejectedRequest(Rejection.FAILED, failure.value)
--- a/src/foxwinch/serving/ports.py
+++ b/src/foxwinch/serving/ports.py
@@ -4,7 +4,7 @@
 
 from foxwinch.core.routing.configuration import RoutingConfiguration
 from foxwinch.core.routing.directory import Worker, WorkerDirectory
-from foxwinch.serving.messages import CallLost, CallRefused, OutgoingCall, WorkerAnswer
+from foxwinch.serving.messages import CallInterrupted, CallRefused, OutgoingCall, WorkerResponse
 
 
 class Workers(Protocol):
@@ -12,7 +12,7 @@
 
     async def call(
         self, worker: Worker, call: OutgoingCall
-    ) -> WorkerAnswer | CallRefused | CallLost:
+    ) -> WorkerResponse | CallRefused | CallInterrupted:
         """Send a call and wait for the head of its answer."""
         ...
 
--- a/src/foxwinch/serving/stream.py
+++ b/src/foxwinch/serving/stream.py
@@ -15,7 +15,13 @@
 from foxwinch.log import EventLog
 from foxwinch.records.turns import TurnRecords
 from foxwinch.serving.attempts import Attempts, Dispatcher, Taken
-from foxwinch.serving.messages import Caller, CallFailure, CallLost, RejectedRequest, Rejection
+from foxwinch.serving.messages import (
+    Caller,
+    CallFailure,
+    CallInterrupted,
+    RejectedRequest,
+    Rejection,
+)
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.prompt import Prompt
 
@@ -115,10 +121,10 @@
             if ended is _Ended.COMPLETE:
                 return await self._complete(taken, attempts, prompt, caller, summary)
             self._dispatcher.failed(
-                taken.worker, CallFailure.BROKEN_OFF, attempts.request.request_id
+                taken.worker, CallFailure.CONNECTION_LOST, attempts.request.request_id
             )
             if not self._dispatcher.may_run_again(attempts):
-                return RejectedRequest(Rejection.FAILED, CallFailure.BROKEN_OFF.value)
+                return RejectedRequest(Rejection.FAILED, CallFailure.CONNECTION_LOST.value)
             if summary.last_event_id is not None:
                 attempts.last_event_id = summary.last_event_id
 
@@ -132,7 +138,7 @@
             return _Ended.BROKEN
         framer = EventFramer()
         async for piece in taken.answer.pieces():
-            if isinstance(piece, CallLost):
+            if isinstance(piece, CallInterrupted):
                 return _Ended.BROKEN
             events = framer.feed(piece)
             if not events:
@@ -151,7 +157,7 @@
 
     async def _pass_failure(self, taken: Taken, caller: Caller, summary: StreamSummary) -> _Ended:
         body = await taken.answer.read_whole()
-        if summary.begun or isinstance(body, CallLost):
+        if summary.begun or isinstance(body, CallInterrupted):
             return _Ended.BROKEN
         await caller.answer(taken.answer.head, body)
         return _Ended.PASSED_ON
--- a/src/foxwinch/storage/records_http.py
+++ b/src/foxwinch/storage/records_http.py
@@ -10,7 +10,7 @@
 import aiohttp
 from pydantic import Base64Bytes, BaseModel, ValidationError
 
-from foxwinch.http_exchange import HttpAnswer, HttpRequest, Service, exchange, malformed, refusal
+from foxwinch.http_exchange import HttpRequest, HttpResponse, Service, exchange, malformed, refusal
 from foxwinch.outcomes import Reason, Refused
 from foxwinch.records.ports import (
     Conflict,
@@ -157,14 +157,14 @@
         parameters = {"table": table, "after": str(after_version), "wait": f"{wait_seconds:.3f}"}
         ask = _Ask("GET", "/changes", wait_seconds + FEED_SLACK_SECONDS, parameters)
         answer = await self._send(ask)
-        if isinstance(answer, HttpAnswer) and answer.status == STATUS_GONE:
+        if isinstance(answer, HttpResponse) and answer.status == STATUS_GONE:
             return HistoryLost()
         return _rows_read(answer)
 
     async def _read(self, ask: _Ask) -> RowsRead | Refused:
         return _rows_read(await self._send(ask))
 
-    async def _send(self, ask: _Ask) -> HttpAnswer | Refused:
+    async def _send(self, ask: _Ask) -> HttpResponse | Refused:
         refused = await self._limiter.enter()
         if refused is not None:
             return refused
@@ -173,7 +173,7 @@
             ask.method, self._url + ask.path, ask.timeout_seconds, ask.body, headers, ask.parameters
         )
         answer = await exchange(self._session, SERVICE, request)
-        if isinstance(answer, HttpAnswer) and answer.status == STATUS_LIMITED:
+        if isinstance(answer, HttpResponse) and answer.status == STATUS_LIMITED:
             limited = refusal(SERVICE, answer)
             self._limiter.heed(limited)
             return limited
@@ -216,14 +216,14 @@
     )
 
 
-def _parse(model: type[Document], answer: HttpAnswer) -> Document | Refused:
+def _parse(model: type[Document], answer: HttpResponse) -> Document | Refused:
     try:
         return model.model_validate_json(answer.body)
     except ValidationError:
         return malformed(SERVICE)
 
 
-def _rows_read(answer: HttpAnswer | Refused) -> RowsRead | Refused:
+def _rows_read(answer: HttpResponse | Refused) -> RowsRead | Refused:
     if isinstance(answer, Refused):
         return answer
     if answer.status != STATUS_DONE:
--- a/src/foxwinch/workers/engine_retries.py
+++ b/src/foxwinch/workers/engine_retries.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from foxwinch.backends.ports import Done
+from foxwinch.backends.ports import Completed
 from foxwinch.clock import Clock
 from foxwinch.identifiers import WorkerId
 from foxwinch.log import EventLog
@@ -35,11 +35,11 @@
     """A program for `RELEASE`, a call for `CANCEL`."""
 
 
-Operation = Callable[[], Awaitable[Done | Refused]]
+Operation = Callable[[], Awaitable[Completed | Refused]]
 
 
 class EngineRetries:
-    """Runs operations until the engine answers `Done`; waits with full jitter in between."""
+    """Runs operations until the engine answers `Completed`; waits with full jitter in between."""
 
     def __init__(self, clock: Clock) -> None:
         """Start with nothing to do."""
--- a/src/foxwinch/workers/pool_driver.py
+++ b/src/foxwinch/workers/pool_driver.py
@@ -3,11 +3,11 @@
 import asyncio
 from collections.abc import Callable, Collection
 
-from foxwinch.backends.ports import Done, EnginePort
+from foxwinch.backends.ports import Completed, EnginePort
 from foxwinch.clock import Clock
 from foxwinch.core.coordinator.actions import (
+    CopyPrefix,
     Dispatch,
-    MovePrefix,
     PoolAction,
     RefuseCall,
     ReleaseCache,
@@ -18,8 +18,8 @@
     CallArrived,
     CallWithdrawn,
     PoolEvent,
-    ReleaseAnswered,
-    TransferAnswered,
+    ReleaseCompleted,
+    TransferCompleted,
     WorkerJoined,
     WorkerLeaving,
     WorkerLeft,
@@ -135,7 +135,7 @@
                 self._dispatch(action)
             case RefuseCall():
                 self._answer(action.call_id, action.refused)
-            case MovePrefix():
+            case CopyPrefix():
                 self._move(action)
             case ReleaseCache():
                 self.release(action.worker, action.program_id)
@@ -172,7 +172,7 @@
         """Have a worker free what it holds for a program, until it has."""
 
         def done() -> None:
-            self.handle(ReleaseAnswered(worker, program_id, done=True))
+            self.handle(ReleaseCompleted(worker, program_id, done=True))
             if when_done is not None:
                 when_done()
 
@@ -182,12 +182,12 @@
             done,
         )
 
-    def _move(self, action: MovePrefix) -> None:
+    def _move(self, action: CopyPrefix) -> None:
         task = asyncio.get_running_loop().create_task(self._transfer(action))
         self._transfers.add(task)
         task.add_done_callback(self._transfers.discard)
 
-    async def _transfer(self, action: MovePrefix) -> None:
+    async def _transfer(self, action: CopyPrefix) -> None:
         done = False
         try:
             async with asyncio.timeout(TRANSFER_SECONDS):
@@ -196,7 +196,7 @@
                 )
         except TimeoutError:
             done = False
-        self.handle(TransferAnswered(action.call_id, done))
+        self.handle(TransferCompleted(action.call_id, done))
 
 
 async def copy_cache(
@@ -206,4 +206,4 @@
     data = await engine.export_cache(source, program_id)
     if isinstance(data, Refused):
         return False
-    return isinstance(await engine.import_cache(target, program_id, data), Done)
+    return isinstance(await engine.import_cache(target, program_id, data), Completed)
--- a/tests/coordinator_cluster.py
+++ b/tests/coordinator_cluster.py
@@ -5,7 +5,7 @@
 
 from prometheus_client import CollectorRegistry
 
-from foxwinch.backends.ports import GenerateFinished, GenerateOrder, Message
+from foxwinch.backends.ports import GenerateFinished, GenerateRequest, Message
 from foxwinch.configuration.local import LocalConfiguration
 from foxwinch.core.membership.member import Member, MemberState
 from foxwinch.core.orders.reconciler import OrderPolicy
@@ -227,7 +227,7 @@
 async def run_call(cluster, node, call, program="p1"):
     """Acquire, stream, settle; returns the grant and the last event."""
     grant = await node.grants.acquire(request(call, program))
-    order = GenerateOrder(
+    order = GenerateRequest(
         call, program, MODEL, (Message("user", program * 200),), 16, grant.priority, grant.epoch
     )
     last = None
--- a/tests/stand_in_worker.py
+++ b/tests/fake_worker.py
@@ -61,7 +61,7 @@
     ).encode() + body
 
 
-class StandInWorker:
+class FakeWorker:
     """Listens on loopback and answers as it is told."""
 
     def __init__(self, *answers: Answer) -> None:
@@ -75,7 +75,7 @@
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task] = set()
 
-    async def __aenter__(self) -> "StandInWorker":
+    async def __aenter__(self) -> "FakeWorker":
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
--- a/tests/idle_engine.py
+++ b/tests/idle_engine.py
@@ -1,6 +1,6 @@
 """What a fake engine needs for a coordinator to hold it: an idle load, and every order done."""
 
-from foxwinch.backends.ports import CacheEventPage, Done, LoadReport
+from foxwinch.backends.ports import CacheEventPage, Completed, LoadReport
 
 
 class IdleEngine:
@@ -15,10 +15,10 @@
         return CacheEventPage((), after, gap=False)
 
     async def release(self, worker, program_id):
-        return Done()
+        return Completed()
 
     async def cancel(self, worker, call_id):
-        return Done()
+        return Completed()
 
     async def apply_order(self, worker, order):
-        return Done()
+        return Completed()
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -8,6 +8,7 @@
 from aiohttp import web
 from yarl import URL
 
+from fake_worker import FakeWorker
 from foxwinch.bench.fault_proxy import FaultProxy
 from foxwinch.clock import SystemClock
 from foxwinch.emulator.http_record_store import RecordStoreHandlers
@@ -15,7 +16,6 @@
 from foxwinch.identifiers import PeerAddress
 from foxwinch.platform.process import ServeProcess
 from foxwinch.platform.settings import ServeSettings
-from stand_in_worker import StandInWorker
 
 HOST = "seats.example"
 STREAM = "/plan/"
@@ -77,7 +77,7 @@
 class PlatformSite:
     """The store, the workers, and nodes before them."""
 
-    workers: list[StandInWorker]
+    workers: list[FakeWorker]
     model: RecordStoreModel = field(default_factory=lambda: RecordStoreModel(SystemClock()))
     nodes: list[ServeProcess] = field(default_factory=list)
     _store: web.AppRunner | None = None
--- a/tests/test_backends_http.py
+++ b/tests/test_backends_http.py
@@ -11,24 +11,24 @@
 from foxwinch.backends.engine_http import HttpEngine
 from foxwinch.backends.ports import (
     CacheEventPage,
-    Done,
+    Completed,
     GenerateFinished,
-    GenerateOrder,
+    GenerateRequest,
     LoadReport,
     Message,
     ModelOrder,
     TokenChunk,
-    ToolOrder,
+    ToolRequest,
     ToolResult,
 )
 from foxwinch.backends.release_batch import ReleaseBatches
 from foxwinch.backends.tools_http import HttpTools
 from foxwinch.clock import SystemClock
+from foxwinch.emulator.emulated_services import EmulatedServices
 from foxwinch.emulator.engine_answers import history_marker
 from foxwinch.emulator.faults import EngineFaults, ServiceFaults, ToolFaults
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import EmulatedEngine, EmulatedToolWorker, EmulatorSettings
-from foxwinch.emulator.stand_ins import StandIns
 from foxwinch.http_exchange import new_session
 from foxwinch.outcomes import Reason, Refused, RunState
 from foxwinch.records.ports import HistoryLost, RowCondition, RowKey, RowWrite, StoredRow
@@ -37,10 +37,10 @@
 from foxwinch.storage.records_http import HttpRecords
 
 TEXT = "From Carmarthen to Wrecsam with two children. " * 40
-ORDER = GenerateOrder("c1", "p/1", "m", (Message("user", TEXT),), 4, 0, 1)
+ORDER = GenerateRequest("c1", "p/1", "m", (Message("user", TEXT),), 4, 0, 1)
 ROW = RowKey("t", "p", "a/b")
 VALUE = b"\x00\xff"
-HOLD = ToolOrder("c1", "family", "hold-seats", {"train": "T1", "seats": ["1"]}, 5.0)
+HOLD = ToolRequest("c1", "family", "hold-seats", {"train": "T1", "seats": ["1"]}, 5.0)
 
 
 @pytest.fixture
@@ -51,15 +51,15 @@
         pace="instant",
     )
     clock = SystemClock()
-    stand_ins = StandIns(settings, clock)
-    server = TestServer(build_application(stand_ins))
+    emulated_services = EmulatedServices(settings, clock)
+    server = TestServer(build_application(emulated_services))
     await server.start_server()
-    stand_ins.list_workers(f"127.0.0.1:{server.port}")
+    emulated_services.list_workers(f"127.0.0.1:{server.port}")
     base = str(server.make_url("")).rstrip("/")
     limiter = RateLimiter(clock, 1_000.0, 100.0)
     async with new_session() as session, new_session(keep_connections=False) as once:
         yield SimpleNamespace(
-            stand_ins=stand_ins,
+            emulated_services=emulated_services,
             clock=clock,
             session=session,
             base=base,
@@ -68,7 +68,7 @@
             records=HttpRecords(session, f"{base}/store", limiter),
             machines=HttpMachines(session, f"{base}/platform"),
         )
-    stand_ins.stop()
+    emulated_services.stop()
     await server.close()
 
 
@@ -82,33 +82,35 @@
     assert text.startswith(history_marker("p/1", ORDER.messages))
     assert whole[-1].completion_tokens == 4
     assert await generate(world, replace(ORDER, resume_offset=2)) == whole[2:]
-    assert world.stand_ins.engines["w"].executions == {"c1": 1}
+    assert world.emulated_services.engines["w"].executions == {"c1": 1}
 
 
 async def test_rest_of_the_engine_port(world):
-    assert await world.engine.cancel("w", "c/1") == Done()
-    assert await world.engine.release("w", "p/1") == Done()
-    assert world.stand_ins.engines["w"].released == {"p/1": 1}
+    assert await world.engine.cancel("w", "c/1") == Completed()
+    assert await world.engine.release("w", "p/1") == Completed()
+    assert world.emulated_services.engines["w"].released == {"p/1": 1}
     assert (await world.engine.load("w")) == LoadReport(0, 0, 0, 1024, ("m",), False)
     assert (await world.engine.export_cache("w", "p/1")).reason is Reason.NOT_FOUND
-    assert await world.engine.import_cache("w", "p/1", b'{"blocks": [1, 2]}') == Done()
+    assert await world.engine.import_cache("w", "p/1", b'{"blocks": [1, 2]}') == Completed()
     assert await world.engine.export_cache("w", "p/1") == b'{"blocks": [1, 2]}'
-    assert await world.engine.apply_order("w", ModelOrder("t", 3, "set_role", "m", "x")) == Done()
+    assert (
+        await world.engine.apply_order("w", ModelOrder("t", 3, "set_role", "m", "x")) == Completed()
+    )
     fenced = await world.engine.apply_order("w", ModelOrder("t2", 2, "set_role", "m", "y"))
     assert (fenced.reason, fenced.run_state) == (Reason.FENCED, RunState.NOT_RUN)
     [fenced] = await generate(world)
     assert (fenced.reason, fenced.run_state) == (Reason.FENCED, RunState.NOT_RUN)
-    assert world.stand_ins.engines["w"].role == "x"
+    assert world.emulated_services.engines["w"].role == "x"
 
 
 async def test_releases_of_one_turn_go_in_one_request_and_share_its_outcome(world):
-    engine = world.stand_ins.engines["w"]
+    engine = world.emulated_services.engines["w"]
     names = [f"p/{number}" for number in range(600)]
     engine.gate.faults = EngineFaults(lose_answers=1)
     first = await asyncio.gather(*(world.engine.release("w", name) for name in names[:3]))
     assert [outcome.run_state for outcome in first] == [RunState.UNKNOWN] * 3
     again = await asyncio.gather(*(world.engine.release("w", name) for name in names))
-    assert again == [Done()] * 600
+    assert again == [Completed()] * 600
     assert engine.released == {name: 2 if name in names[:3] else 1 for name in names}
 
 
@@ -121,7 +123,7 @@
         sending.set()
         if len(sent) == 1:
             await asyncio.Event().wait()
-        return Done()
+        return Completed()
 
     batches = ReleaseBatches(send)
     tasks = [asyncio.create_task(batches.release("w", name)) for name in ("a", "b", "c")]
@@ -129,7 +131,7 @@
     tasks[1].cancel()
     tasks[0].cancel()
     assert (await tasks[2]).run_state is RunState.UNKNOWN
-    assert await batches.release("w", "c") == Done()
+    assert await batches.release("w", "c") == Completed()
     assert sent == [["a", "b", "c"], ["c"]]
 
 
@@ -144,7 +146,7 @@
     ],
 )
 async def test_engine_faults_are_values(world, faults, reason, run_state):
-    world.stand_ins.engines["w"].gate.faults = faults
+    world.emulated_services.engines["w"].gate.faults = faults
     last = (await generate(world))[-1]
     assert (last.reason, last.run_state) == (reason, run_state)
 
@@ -156,7 +158,7 @@
 
 
 async def test_gapped_cache_events_ask_for_a_resync(world):
-    engine = world.stand_ins.engines["w"]
+    engine = world.emulated_services.engines["w"]
     await world.engine.import_cache("w", "p", b'{"blocks": [1]}')
     await world.engine.import_cache("w", "p", b'{"blocks": [1, 2]}')
     snapshot = await world.engine.cache_events("w", 0)
@@ -177,11 +179,11 @@
     assert (await put(world)).rows == (stored,)
     assert (await records.read(RowKey("t", "p", ""), "b", 5.0)).rows == (stored,)
     assert (await records.read_table("t", 5.0)).rows == ()
-    world.stand_ins.store.put("list", "w", b"1")
+    world.emulated_services.store.put("list", "w", b"1")
     assert [row.row.key for row in (await records.read_table("list", 5.0)).rows] == ["w"]
     heard = await records.changes("list", 1, 5.0)
     assert [(row.row.key, row.version) for row in heard.rows] == [("w", 2)]
-    world.stand_ins.store.forget_history()
+    world.emulated_services.store.forget_history()
     assert await records.changes("list", 1, 5.0) == HistoryLost()
     removed = await records.transact((RowCondition(ROW, 1),), (RowWrite(ROW, None),), 5.0)
     assert removed.version == 3
@@ -192,17 +194,17 @@
     "faults", [ServiceFaults(lose_answers=1), ServiceFaults(malformed_probability=1)]
 )
 async def test_lost_answer_of_the_store_is_told_and_found_by_reading_back(world, faults):
-    gate = world.stand_ins.store_gate
+    gate = world.emulated_services.store_gate
     gate.faults = faults
     lost = await put(world)
     assert (lost.reason, lost.run_state) == (Reason.STORE_UNAVAILABLE, RunState.UNKNOWN)
     gate.faults = ServiceFaults()
     assert (await put(world)).rows == (StoredRow(ROW, VALUE, 1),)
-    assert world.stand_ins.store.calls.commits == 1
+    assert world.emulated_services.store.calls.commits == 1
 
 
 async def test_rate_limit_of_the_store_is_heeded(world):
-    gate = world.stand_ins.store_gate
+    gate = world.emulated_services.store_gate
     gate.faults = ServiceFaults(requests_per_second=0.1, burst=1)
     assert (await world.records.read(ROW, "b", 5.0)).rows == ()
     limited = await world.records.read(ROW, "b", 5.0)
@@ -217,7 +219,7 @@
 
 async def test_machines(world):
     assert [machine.name for machine in await world.machines.machines()] == ["w", "b"]
-    world.stand_ins.machines_gate.faults = ServiceFaults(malformed_probability=1)
+    world.emulated_services.machines_gate.faults = ServiceFaults(malformed_probability=1)
     assert (await world.machines.machines()).run_state is RunState.UNKNOWN
 
 
@@ -232,13 +234,13 @@
     ],
 )
 async def test_tools_tell_whether_they_ran(world, faults, timeout, reason, run_state, runs):
-    world.stand_ins.tools_gate.faults = faults
+    world.emulated_services.tools_gate.faults = faults
     if run_state is None:
-        await world.stand_ins.tools_gate.enter()
+        await world.emulated_services.tools_gate.enter()
         run_state = RunState.NOT_RUN
     refused = await world.tools.call(replace(HOLD, timeout_seconds=timeout))
     assert (refused.reason, refused.run_state) == (reason, run_state)
-    assert len(world.stand_ins.tools.executions) == runs
+    assert len(world.emulated_services.tools.executions) == runs
 
 
 async def test_tool_answers_and_unknown_tools(world):
@@ -291,7 +293,7 @@
 
 async def test_closing_a_stream_stops_the_engine_and_a_read_one_keeps_its_connection(world):
     opened = []
-    world.stand_ins.engines["w"].gate.faults = EngineFaults()
+    world.emulated_services.engines["w"].gate.faults = EngineFaults()
     connector = world.session.connector
     create = connector._create_connection
 
--- a/tests/test_engine_retries.py
+++ b/tests/test_engine_retries.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from foxwinch.backends.ports import Done
+from foxwinch.backends.ports import Completed
 from foxwinch.workers.engine_retries import EngineRetries, RetriedKey, RetriedKind
 from virtual_clock import VirtualClock
 
@@ -16,7 +16,7 @@
 
     async def release():
         runs.append(1)
-        return Done()
+        return Completed()
 
     retries.submit(key, release)
     retries.submit(key, release, lambda: told.append("second"))
--- a/tests/test_engine_silence.py
+++ b/tests/test_engine_silence.py
@@ -9,21 +9,21 @@
 from foxwinch.backends import engine_waits
 from foxwinch.backends.engine_http import HttpEngine
 from foxwinch.backends.engine_waits import MIN_SECONDS
-from foxwinch.backends.ports import GenerateOrder, Message
+from foxwinch.backends.ports import GenerateRequest, Message
 from foxwinch.clock import SystemClock
 from foxwinch.core.program.call_events import CallFinished
 from foxwinch.core.program.identity import scoped_program_id
+from foxwinch.emulator.emulated_services import EmulatedServices
 from foxwinch.emulator.engine_answers import plan_answer
 from foxwinch.emulator.faults import EngineFaults
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import EmulatedEngine, EmulatorSettings
-from foxwinch.emulator.stand_ins import StandIns
 from foxwinch.http_exchange import new_session
 from program_fakes import TENANT, Rig, collect
 
 TOKENS = 4
 HANG_SECONDS = 30
-ORDER = GenerateOrder(
+ORDER = GenerateRequest(
     "any", scoped_program_id(TENANT, "p"), "rail-chat", (Message("user", "hello"),), TOKENS, 0, 1
 )
 PLAN = plan_answer(ORDER, TOKENS).tokens
@@ -31,9 +31,9 @@
 
 
 @pytest.fixture
-async def stand_ins():
+async def emulated_services():
     engines = tuple(EmulatedEngine(name=name, models=("rail-chat",)) for name in ("w1", "w2"))
-    made = StandIns(EmulatorSettings(engines=engines, pace="instant"), SystemClock())
+    made = EmulatedServices(EmulatorSettings(engines=engines, pace="instant"), SystemClock())
     server = TestServer(build_application(made))
     await server.start_server()
     made.base = str(server.make_url("/workers"))
@@ -67,21 +67,23 @@
 
 
 @pytest.mark.parametrize("fault", [EngineFaults(lose_answers=1), EngineFaults(silent=True)])
-async def test_lost_answer_is_had_from_another_worker(stand_ins, monkeypatch, fault):
+async def test_lost_answer_is_had_from_another_worker(emulated_services, monkeypatch, fault):
     monkeypatch.setattr(engine_waits, "FIRST_EVENT_SECONDS", 1.0)
-    stand_ins.engines["w1"].gate.faults = fault
-    urls = {name: f"{stand_ins.base}/{name}" for name in ("w1", "w2")}
+    emulated_services.engines["w1"].gate.faults = fault
+    urls = {name: f"{emulated_services.base}/{name}" for name in ("w1", "w2")}
     async with new_session() as session:
         await answered_by_two(urls, session)
 
 
-async def test_stream_that_falls_silent_is_resumed_behind_what_was_sent(stand_ins, monkeypatch):
+async def test_stream_that_falls_silent_is_resumed_behind_what_was_sent(
+    emulated_services, monkeypatch
+):
     monkeypatch.setattr(engine_waits, "EVENT_GAP_SECONDS", 1.0)
     server = await asyncio.start_server(first_tokens_and_silence, "127.0.0.1", 0)
     silent = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
     async with server, new_session() as session:
-        await answered_by_two({"w1": silent, "w2": f"{stand_ins.base}/w2"}, session)
-    assert list(stand_ins.engines["w2"].resumes.values()) == [1]
+        await answered_by_two({"w1": silent, "w2": f"{emulated_services.base}/w2"}, session)
+    assert list(emulated_services.engines["w2"].resumes.values()) == [1]
 
 
 def test_waits_leave_half_of_the_deadline_but_no_engine_is_given_up_at_once():
--- a/tests/test_in_process_engine.py
+++ b/tests/test_in_process_engine.py
@@ -6,9 +6,9 @@
 import pytest
 
 from foxwinch.backends.ports import (
-    Done,
+    Completed,
     GenerateFinished,
-    GenerateOrder,
+    GenerateRequest,
     Message,
     ModelOrder,
     TokenChunk,
@@ -27,7 +27,7 @@
 
 
 def order(call="c1", program="p1", text="Hello", epoch=1, **changes):
-    whole = GenerateOrder(call, program, "m", (Message("user", text),), 8, 0, epoch)
+    whole = GenerateRequest(call, program, "m", (Message("user", text),), 8, 0, epoch)
     return replace(whole, **changes)
 
 
@@ -90,8 +90,8 @@
 
 async def test_order_loads_a_model_once_even_when_sent_again(engine):
     load = ModelOrder("t", 1, "load", "other")
-    assert await engine.apply_order("w", load) == Done()
-    assert await engine.apply_order("w", load) == Done()
+    assert await engine.apply_order("w", load) == Completed()
+    assert await engine.apply_order("w", load) == Completed()
     given = await events(engine, order(model="other"))
     assert isinstance(given[-1], GenerateFinished)
     [refused] = await events(engine, order("c2", model="third"))
@@ -116,7 +116,7 @@
     engine.workers["v"] = other
     await events(engine, order(text=LONG_TEXT))
     data = await engine.export_cache("w", "p1")
-    assert await engine.import_cache("v", "p1", data) == Done()
+    assert await engine.import_cache("v", "p1", data) == Completed()
     moved = [e async for e in engine.generate("v", order("c2", text=LONG_TEXT))]
     assert moved[-1].cached_tokens >= BLOCK_TOKENS * 7
     bad = await engine.import_cache("v", "p1", b"not an export")
--- a/tests/test_in_process_platform.py
+++ b/tests/test_in_process_platform.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from foxwinch.backends.ports import ToolOrder, ToolResult
+from foxwinch.backends.ports import ToolRequest, ToolResult
 from foxwinch.emulator.faults import ServiceFaults, ToolFaults
 from foxwinch.emulator.in_process import (
     InProcessMachines,
@@ -113,7 +113,7 @@
 
 
 def hold(call_id, tool="hold-seats"):
-    return ToolOrder(call_id, "family", tool, {"train": "T1", "seats": ["1"]}, 2.0)
+    return ToolRequest(call_id, "family", tool, {"train": "T1", "seats": ["1"]}, 2.0)
 
 
 async def test_hung_tool_ran_but_the_caller_is_told_unknown():
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -5,15 +5,15 @@
 
 import pytest
 
+from fake_worker import Answer, FakeWorker, events
 from foxwinch.platform.connections import ConnectionPool, open_session
-from stand_in_worker import Answer, StandInWorker, events
 
 KEPT_SECONDS = 5.0
 
 
 @pytest.fixture
 async def worker():
-    async with StandInWorker(Answer()) as made:
+    async with FakeWorker(Answer()) as made:
         yield made
 
 
--- a/tests/test_platform_node.py
+++ b/tests/test_platform_node.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from fake_worker import Answer, FakeWorker, events, raw_answer
 from foxwinch.core.records.budget import BudgetRecord
 from foxwinch.emulator.record_store import Mood
 from foxwinch.records.budgets import BUDGETS_TABLE
@@ -19,14 +20,13 @@
     routes,
     until,
 )
-from stand_in_worker import Answer, StandInWorker, events, raw_answer
 
 STREAM_ANSWER = Answer(body=None, pieces=events(1, 3))
 
 
 @pytest.fixture
 async def site():
-    async with PlatformSite([StandInWorker(Answer())]) as made:
+    async with PlatformSite([FakeWorker(Answer())]) as made:
         made.model.put("op", "config", configuration())
         yield made
 
@@ -38,7 +38,7 @@
 
 
 async def test_a_node_is_ready_once_it_knows_configuration_and_workers():
-    async with PlatformSite([StandInWorker(Answer())]) as site:
+    async with PlatformSite([FakeWorker(Answer())]) as site:
         node = await site.start_node(wait=False)
         assert await site.ready(node) == 503
         refused = await site.ask(node, SAFE, "r1")
@@ -62,7 +62,7 @@
 
 
 async def test_a_safe_request_does_not_wait_for_a_silent_worker():
-    async with site_of(StandInWorker(Answer(silent=True)), StandInWorker(Answer())) as site:
+    async with site_of(FakeWorker(Answer(silent=True)), FakeWorker(Answer())) as site:
         node = await site.start_node()
         for number in range(4):
             reply = await site.ask(node, SAFE, f"r{number}", Deadline_Ms=2500)
@@ -72,7 +72,7 @@
 
 
 async def test_a_request_that_may_run_once_waits_for_its_worker():
-    async with site_of(StandInWorker(Answer(silent=True))) as site:
+    async with site_of(FakeWorker(Answer(silent=True))) as site:
         node = await site.start_node()
         reply = await site.ask(node, UNSAFE, "r1", Deadline_Ms=900)
         assert reply.status == 504
@@ -110,8 +110,8 @@
 
 
 async def test_a_worker_that_sheds_is_passed_over():
-    shedding = StandInWorker(Answer(status=503, headers={"Not-Run": "1"}, signed=False))
-    async with site_of(shedding, shedding_twin := StandInWorker(Answer())) as site:
+    shedding = FakeWorker(Answer(status=503, headers={"Not-Run": "1"}, signed=False))
+    async with site_of(shedding, shedding_twin := FakeWorker(Answer())) as site:
         node = await site.start_node()
         for number in range(6):
             assert (await site.ask(node, UNSAFE, f"r{number}")).status == 200
@@ -120,7 +120,7 @@
 
 async def test_a_full_service_is_told_with_the_time_to_come_back():
     async with site_of(
-        StandInWorker(Answer(status=503, headers={"Not-Run": "1"}, signed=False))
+        FakeWorker(Answer(status=503, headers={"Not-Run": "1"}, signed=False))
     ) as site:
         node = await site.start_node()
         refused = await site.ask(node, UNSAFE, "r1")
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("answer", [Answer(drop=True), Answer(unframed=True, reset=True)])
 async def test_an_unsafe_request_whose_answer_is_lost_is_not_run_again(answer):
-    async with site_of(StandInWorker(answer), StandInWorker(answer)) as site:
+    async with site_of(FakeWorker(answer), FakeWorker(answer)) as site:
         node = await site.start_node()
         assert (await site.ask(node, UNSAFE, "r1")).status == 502
         assert sum(len(worker.received) for worker in site.workers) == 1
@@ -138,7 +138,7 @@
 
 async def test_a_safe_request_whose_answer_is_lost_goes_to_another_worker():
     async with site_of(
-        StandInWorker(Answer(drop=True), Answer()), StandInWorker(Answer(drop=True), Answer())
+        FakeWorker(Answer(drop=True), Answer()), FakeWorker(Answer(drop=True), Answer())
     ) as site:
         node = await site.start_node()
         assert (await site.ask(node, SAFE, "r1")).status in (200, 502)
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize("behind", [1, 2])
 async def test_surplus_answers_never_reach_a_caller(behind):
     surplus = b"".join(raw_answer(f"other{number}") for number in range(behind))
-    worker = StandInWorker(Answer(surplus=surplus), Answer(surplus_first=surplus), Answer())
+    worker = FakeWorker(Answer(surplus=surplus), Answer(surplus_first=surplus), Answer())
     async with site_of(worker) as site:
         node = await site.start_node()
         for number in range(3):
@@ -159,7 +159,7 @@
 
 async def test_a_surplus_answer_behind_the_own_one_is_not_taken_for_it():
     answer = Answer(surplus_first=raw_answer("earlier"), surplus=raw_answer("later"))
-    async with site_of(StandInWorker(answer)) as site:
+    async with site_of(FakeWorker(answer)) as site:
         node = await site.start_node()
         for number in range(4):
             reply = await site.ask(node, SAFE, f"r{number}")
@@ -167,13 +167,13 @@
 
 
 async def test_an_answer_without_signature_is_not_passed_on_as_a_success():
-    async with site_of(StandInWorker(Answer(signed=False))) as site:
+    async with site_of(FakeWorker(Answer(signed=False))) as site:
         node = await site.start_node()
         assert (await site.ask(node, UNSAFE, "r1")).status == 502
 
 
 async def test_a_stream_is_passed_on_whole_and_its_tokens_settled():
-    async with site_of(StandInWorker(STREAM_ANSWER)) as site:
+    async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
         reply = await site.turn(node, "r1")
         assert (reply.status, reply.whole) == (200, True)
@@ -190,7 +190,7 @@
     whole = events(1, 5)
     cut = Answer(body=None, pieces=[whole[0], whole[1], whole[2][:7]], cut=True)
     rest = Answer(body=None, pieces=whole[2:])
-    workers = [StandInWorker(), StandInWorker()]
+    workers = [FakeWorker(), FakeWorker()]
     workers[0].answers = workers[1].answers = [cut, rest]
     async with site_of(*workers) as site:
         node = await site.start_node()
@@ -206,7 +206,7 @@
 
 async def test_a_stream_that_may_not_be_resumed_breaks_off_visibly():
     cut = Answer(body=None, pieces=events(1, 2), cut=True)
-    async with site_of(StandInWorker(cut), StandInWorker(cut)) as site:
+    async with site_of(FakeWorker(cut), FakeWorker(cut)) as site:
         node = await site.start_node()
         reply = await site.turn(node, "r1", path=RETAINED)
         assert not reply.whole
@@ -215,7 +215,7 @@
 
 
 async def test_a_turn_goes_on_from_the_turns_before_at_any_node():
-    async with site_of(StandInWorker(STREAM_ANSWER)) as site:
+    async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         first, second = await site.start_node(), await site.start_node()
         await site.turn(first, "t1", path=RETAINED, body=b"one")
         await site.turn(second, "t2", path=RETAINED, body=b"two", Previous_Turn="t1")
@@ -231,7 +231,7 @@
 
 
 async def test_a_resumed_turn_is_stored_whole():
-    async with site_of(StandInWorker(STREAM_ANSWER)) as site:
+    async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
         resumed = await site.turn(node, "t1", path=RETAINED, body=b"one", Last_Event_Id=2)
         assert resumed.body == events(3, 3)[0]
@@ -242,7 +242,7 @@
 
 
 async def test_a_resumed_turn_that_is_not_kept_goes_on_at_the_worker():
-    async with site_of(StandInWorker(Answer(body=None, pieces=events(3, 4)))) as site:
+    async with site_of(FakeWorker(Answer(body=None, pieces=events(3, 4)))) as site:
         node = await site.start_node()
         resumed = await site.turn(node, "t1", Last_Event_Id=2)
         assert resumed.body == b"".join(events(3, 4))
@@ -250,7 +250,7 @@
 
 
 async def test_a_large_turn_is_kept_whole():
-    async with site_of(StandInWorker(STREAM_ANSWER)) as site:
+    async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         first, second = await site.start_node(), await site.start_node()
         body = bytes(range(256)) * 700
         assert (await site.turn(first, "t1", path=RETAINED, body=body)).whole
@@ -260,7 +260,7 @@
 
 
 async def test_a_turn_that_never_was_is_not_found_and_never_runs():
-    async with site_of(StandInWorker(STREAM_ANSWER)) as site:
+    async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
         reply = await site.turn(node, "t2", path=RETAINED, Previous_Turn="nothing")
         assert reply.status == 404
@@ -268,7 +268,7 @@
 
 
 async def test_a_stale_read_is_no_proof_that_a_turn_never_was():
-    async with site_of(StandInWorker(STREAM_ANSWER)) as site:
+    async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         first, second = await site.start_node(), await site.start_node()
         site.model.hold_reads()
         await site.turn(first, "t1", path=RETAINED)
@@ -278,7 +278,7 @@
 
 @pytest.mark.parametrize("mood", [Mood.BUSY, Mood.LIMITED, Mood.SILENT])
 async def test_without_the_store_a_history_is_refused_and_not_denied(mood):
-    async with site_of(StandInWorker(STREAM_ANSWER)) as site:
+    async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         first, second = await site.start_node(), await site.start_node()
         await site.turn(first, "t1", path=RETAINED)
         site.model.moods.mood = mood
@@ -288,7 +288,7 @@
 
 
 async def test_the_end_of_a_turn_waits_for_its_record():
-    async with site_of(StandInWorker(STREAM_ANSWER)) as site:
+    async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
         await site.turn(node, "t1", path=RETAINED)
         site.model.moods.mood = Mood.BUSY
@@ -299,7 +299,7 @@
 
 
 async def test_a_spent_budget_is_told_and_the_turn_does_not_run():
-    async with site_of(StandInWorker(STREAM_ANSWER)) as site:
+    async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
         assert (await site.turn(node, "r1", budget=120, most=75)).status == 200
         assert (await site.turn(node, "r2", budget=120, most=75)).status == 402
@@ -308,7 +308,7 @@
 
 async def test_a_caller_that_leaves_stops_the_worker():
     slow = Answer(body=None, pieces=events(1, 50), pause_seconds=0.1)
-    async with site_of(StandInWorker(slow)) as site:
+    async with site_of(FakeWorker(slow)) as site:
         node = await site.start_node()
         asking = asyncio.ensure_future(site.turn(node, "r1"))
         worker = site.workers[0]
@@ -326,7 +326,7 @@
 
 
 async def test_a_worker_that_drains_gets_no_new_work():
-    async with site_of(StandInWorker(Answer()), StandInWorker(Answer())) as site:
+    async with site_of(FakeWorker(Answer()), FakeWorker(Answer())) as site:
         node = await site.start_node()
         site.list_worker(0, state="draining")
         site.model.put("op", "config", configuration(version=2))
@@ -343,7 +343,7 @@
 
 
 async def test_a_configuration_never_goes_back():
-    async with site_of(StandInWorker(Answer())) as site:
+    async with site_of(FakeWorker(Answer())) as site:
         node = await site.start_node()
         without = [route for route in routes() if route["name"] != "safe"]
         site.model.put("op", "config", configuration(version=9, routes=without))
@@ -358,7 +358,7 @@
 
 
 async def test_a_lost_history_is_made_good_by_a_whole_read():
-    async with site_of(StandInWorker(Answer())) as site:
+    async with site_of(FakeWorker(Answer())) as site:
         node = await site.start_node()
         site.model.put("op", "config", configuration(version=5))
         site.model.forget_history()
@@ -370,7 +370,7 @@
 
 
 async def test_services_share_a_route_by_their_weights():
-    async with site_of(StandInWorker(Answer()), StandInWorker(Answer())) as site:
+    async with site_of(FakeWorker(Answer()), FakeWorker(Answer())) as site:
         site.list_worker(1, service="other")
         weights = [{"service": "s", "weight": 90}, {"service": "other", "weight": 10}]
         (safe,) = (route for route in routes() if route["name"] == "safe")
@@ -392,7 +392,7 @@
 
 async def test_a_stopping_node_is_not_ready_and_finishes_what_runs():
     slow = Answer(body=None, pieces=events(1, 10), pause_seconds=0.1)
-    async with site_of(StandInWorker(slow)) as site:
+    async with site_of(FakeWorker(slow)) as site:
         node = await site.start_node()
         asking = asyncio.ensure_future(site.turn(node, "r1"))
 
@@ -468,7 +468,7 @@
 async def test_a_kept_connection_gets_an_answer_to_each_request_whatever_the_worker_does(
     worse, path
 ):
-    async with site_of(StandInWorker(worse, worse, worse, Answer())) as site:
+    async with site_of(FakeWorker(worse, worse, worse, Answer())) as site:
         node = await site.start_node()
         host, _, port = node.address_of("callers").rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -485,7 +485,7 @@
 
 # Guards against work kept away from, or led to, a worker by what it was before it started again.
 async def test_a_worker_that_starts_again_under_its_id_serves_at_once():
-    async with site_of(StandInWorker(Answer(drop=True), Answer())) as site:
+    async with site_of(FakeWorker(Answer(drop=True), Answer())) as site:
         node = await site.start_node()
         site.list_worker(0, born=1, state="draining")
         await until(lambda: site.ready(node), 503)
--- a/tests/test_pool_scheduler.py
+++ b/tests/test_pool_scheduler.py
@@ -5,8 +5,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from foxwinch.core.coordinator.actions import (
+    CopyPrefix,
     Dispatch,
-    MovePrefix,
     RefuseCall,
     ReleaseCache,
     ResyncCache,
@@ -20,9 +20,9 @@
     CallFinished,
     CallWithdrawn,
     ProgramEnded,
-    ReleaseAnswered,
+    ReleaseCompleted,
     TimePassed,
-    TransferAnswered,
+    TransferCompleted,
     WorkerJoined,
     WorkerLeaving,
     WorkerLeft,
@@ -102,7 +102,7 @@
                 assert action.refused.retry_after_seconds > 0
                 self.answered.add(action.call_id)
                 del self.asked[action.call_id]
-            elif isinstance(action, MovePrefix):
+            elif isinstance(action, CopyPrefix):
                 assert action.source != action.target
                 assert action.target not in self.leaving
                 self.copying.add(action.call_id)
@@ -159,7 +159,7 @@
     def copied(self, data, done):
         if self.copying:
             self.feed(
-                TransferAnswered(CallId(data.draw(st.sampled_from(sorted(self.copying)))), done)
+                TransferCompleted(CallId(data.draw(st.sampled_from(sorted(self.copying)))), done)
             )
 
     @rule(program=st.integers(0, 5))
@@ -230,9 +230,9 @@
     first = call("x", prefix_hashes=hashes, prompt_tokens=3300)
     pool.handle(CallArrived(first), 1.0)
     second = call("y", prefix_hashes=hashes, prompt_tokens=3300)
-    (move,) = of_kind(pool.handle(CallArrived(second), 1.0), MovePrefix)
+    (move,) = of_kind(pool.handle(CallArrived(second), 1.0), CopyPrefix)
     assert (move.source, move.target) == ("a", "b")
-    answered = pool.handle(TransferAnswered(CallId("y"), True), 1.5)
+    answered = pool.handle(TransferCompleted(CallId("y"), True), 1.5)
     assert of_kind(answered, Dispatch)[0].expected_cached_tokens == 3200
 
 
@@ -242,9 +242,9 @@
     pool.handle(CallFinished(CallId("x"), 640, 0, 10), 1.0)
     release = [ReleaseCache(WorkerId("a"), ProgramId("p"))]
     assert pool.handle(ProgramEnded(ProgramId("p")), 2.0) == release
-    failed = ReleaseAnswered(WorkerId("a"), ProgramId("p"), False)
+    failed = ReleaseCompleted(WorkerId("a"), ProgramId("p"), False)
     assert pool.handle(failed, 3.0) == release
-    assert pool.handle(ReleaseAnswered(WorkerId("a"), ProgramId("p"), True), 4.0) == []
+    assert pool.handle(ReleaseCompleted(WorkerId("a"), ProgramId("p"), True), 4.0) == []
 
 
 def test_answer_that_ends_after_its_program_is_released_too() -> None:
--- a/tests/test_program_machine.py
+++ b/tests/test_program_machine.py
@@ -19,7 +19,14 @@
 from foxwinch.core.program.admission import start_call
 from foxwinch.core.program.history import MESSAGE_OVERHEAD_TOKENS
 from foxwinch.core.program.recovery import Recovery, decide, unknown_outcome
-from foxwinch.core.program.requests import Attached, CallIntent, Dropped, Queued, Repeated, Started
+from foxwinch.core.program.requests import (
+    AlreadyEnded,
+    AlreadyRunning,
+    CallIntent,
+    Ignored,
+    Queued,
+    Started,
+)
 from foxwinch.core.program.snapshot import snapshot_records
 from foxwinch.core.program.table import ProgramTable
 from foxwinch.identifiers import CallId, ProgramId
@@ -122,13 +129,13 @@
         if held is not None and held.intent.request_hash != intent.request_hash:
             return Refused, Reason.CONFLICT
         if held is not None and held.result is None:
-            return Attached, None
+            return AlreadyRunning, None
         if held is not None:
             free = held.result == CallOutcome.FAILED_NOT_RUN or (
                 held.intent.repeatable and held.result != CallOutcome.SUCCEEDED
             )
             if not free or program.finished:
-                return Repeated, None
+                return AlreadyEnded, None
         return (Refused, Reason.PROGRAM_FINISHED) if program.finished else (Queued, None)
 
     def due(self):
@@ -221,7 +228,7 @@
 
     def finish_call(self, name, call_id, outcome, spent):
         call, expected = self.calls[call_id], self.programs[name]
-        assert not isinstance(self.commit(JournalRecord(call_outcome=outcome)), Dropped)
+        assert not isinstance(self.commit(JournalRecord(call_outcome=outcome)), Ignored)
         call.result, call.spent, call.reserved = outcome.result, spent, 0
         expected.active = None
         if outcome.result == CallOutcome.SUCCEEDED:
@@ -246,7 +253,7 @@
         call_id = data.draw(st.sampled_from(ended))
         name = self.calls[call_id].intent.program_id
         late = JournalRecord(call_outcome=self.outcome(name, call_id, result, (7, 1)))
-        assert isinstance(self.commit(late), Dropped)
+        assert isinstance(self.commit(late), Ignored)
 
     @precondition(lambda self: any(p.queue for p in self.programs.values()))
     @rule(data=st.data())
@@ -259,7 +266,7 @@
         expected = self.programs[name]
         if seldom == 0 and expected.active is None and not expected.queue:
             finished = JournalRecord(program_finished=ProgramFinished(program_id=name))
-            assert isinstance(self.commit(finished), Dropped) == expected.finished
+            assert isinstance(self.commit(finished), Ignored) == expected.finished
             expected.finished = True
 
     @rule(compact=st.booleans())
--- a/tests/test_program_table.py
+++ b/tests/test_program_table.py
@@ -17,7 +17,14 @@
 from foxwinch.core.program.admission import start_call
 from foxwinch.core.program.lifetime import abandonment_reason
 from foxwinch.core.program.recovery import Recovery, decide
-from foxwinch.core.program.requests import Applied, Attached, CallIntent, Dropped, Queued, Repeated
+from foxwinch.core.program.requests import (
+    AlreadyEnded,
+    AlreadyRunning,
+    Applied,
+    CallIntent,
+    Ignored,
+    Queued,
+)
 from foxwinch.core.program.requests import Started as StartedCall
 from foxwinch.core.program.snapshot import snapshot_records
 from foxwinch.core.program.state import CallState
@@ -120,8 +127,8 @@
 def test_late_doubled_and_unknown_outcomes_change_nothing(table):
     run(table, intent(1, user("a")))
     before = state_of(table)
-    assert isinstance(table.apply(outcome(intent(1), text="other")), Dropped)
-    assert isinstance(table.apply(outcome(intent(9))), Dropped)
+    assert isinstance(table.apply(outcome(intent(1), text="other")), Ignored)
+    assert isinstance(table.apply(outcome(intent(9))), Ignored)
     assert state_of(table) == before
 
 
@@ -129,14 +136,14 @@
     first = intent(1, user("a"), key="k")
     submit(table, first)
     again = intent(2, user("a"), key="k")
-    assert submit(table, again) == Attached(first.call_id)
+    assert submit(table, again) == AlreadyRunning(first.call_id)
     other = submit(table, intent(3, user("b"), key="k"))
     assert isinstance(other, Refused)
     assert (other.reason, other.run_state) == (Reason.CONFLICT, RunState.NOT_RUN)
     table.withdraw(table.find(PROGRAM), first.call_id)
     run(table, first)
     found = submit(table, again)
-    assert isinstance(found, Repeated)
+    assert isinstance(found, AlreadyEnded)
     assert found.call.call_id == first.call_id
 
 
@@ -146,7 +153,7 @@
     table.withdraw(table.find(PROGRAM), CallId("c2"))
     tool = intent(3, key="t", kind=CallAdmitted.TOOL, repeatable=False)
     run(table, tool, result=CallOutcome.FAILED_UNKNOWN)
-    assert isinstance(submit(table, dataclasses.replace(tool, call_id=CallId("c4"))), Repeated)
+    assert isinstance(submit(table, dataclasses.replace(tool, call_id=CallId("c4"))), AlreadyEnded)
 
 
 def test_a_withdrawn_repeat_leaves_the_key_as_a_recovery_would_find_it(table):
--- a/tests/test_serve_command.py
+++ b/tests/test_serve_command.py
@@ -10,11 +10,11 @@
 
 import pytest
 
+from fake_worker import Answer, FakeWorker
 from foxwinch.cli.settings import SettingsSchemaCommand
 from foxwinch.platform.settings import load_serve_settings
 from foxwinch.settings.base import SettingsError
 from platform_site import SAFE, PlatformSite, configuration, until
-from stand_in_worker import Answer, StandInWorker
 
 ROOT = Path(__file__).parents[1]
 START = ROOT / "deploy" / "start.py"
@@ -116,7 +116,7 @@
 
 
 async def test_a_node_starts_reloads_and_stops_by_signals(tmp_path):
-    async with PlatformSite([StandInWorker(Answer())]) as site:
+    async with PlatformSite([FakeWorker(Answer())]) as site:
         site.model.put("op", "config", configuration())
         path = tmp_path / "node.toml"
         store = site.store_proxy.address
@@ -163,7 +163,7 @@
     "entry", [["-m", "foxwinch", "serve"], [str(ROOT / "deploy" / "start.py")]]
 )
 async def test_a_hangup_does_not_end_a_node_that_starts(tmp_path, entry):
-    async with PlatformSite([StandInWorker(Answer())]) as site:
+    async with PlatformSite([FakeWorker(Answer())]) as site:
         store = site.store_proxy.address
         path = tmp_path / "node.toml"
         text = (ROOT / "examples" / "serve.toml").read_text()
--- a/tests/test_steward_service.py
+++ b/tests/test_steward_service.py
@@ -5,7 +5,7 @@
 import pytest
 
 from coordinator_cluster import MODEL, CoordinatorCluster, request, run_call, until
-from foxwinch.backends.ports import GenerateFinished, GenerateOrder, Message
+from foxwinch.backends.ports import GenerateFinished, GenerateRequest, Message
 from foxwinch.emulator.faults import EngineFaults
 from foxwinch.outcomes import Reason, Refused
 from foxwinch.workers.ports import Grant, GrantUsage
@@ -16,7 +16,7 @@
 
 def order_under(grant):
     messages = (Message("user", "x"),)
-    return GenerateOrder(grant.call_id, "stale", MODEL, messages, 4, 0, grant.epoch)
+    return GenerateRequest(grant.call_id, "stale", MODEL, messages, 4, 0, grant.epoch)
 
 
 def granted(cluster):
@@ -146,7 +146,7 @@
         new = cluster.nodes[next(iter(cluster.serving().values()))]
         await run_call(cluster, new, "c1")
         last = None
-        order = GenerateOrder(
+        order = GenerateRequest(
             "stale", "stale", "rail-chat", (Message("user", "x"),), 4, 0, stale.epoch
         )
         async for event in cluster.engine.generate(stale.worker, order):
--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from fake_worker import Answer, FakeWorker, events
 from foxwinch.emulator.record_store import Mood, RecordStoreModel
 from foxwinch.records.watch import TableWatch
 from foxwinch.service_tasks import TaskFailedError
 from platform_site import SAFE, PlatformSite, configuration, until
-from stand_in_worker import Answer, StandInWorker, events
 from virtual_clock import VirtualClock
 
 KEPT_CONNECTIONS = 8
@@ -35,7 +35,7 @@
 # Guards against a configuration that was late because a watch that had timed out on a silent
 # connection took another silent one from the pool.
 async def test_a_watch_does_not_wait_again_on_a_kept_connection_that_went_silent():
-    async with sited(StandInWorker(STREAM_ANSWER)) as site:
+    async with sited(FakeWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
 
         async def programs():
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("found", ["on the first read", "as a change"])
 @pytest.mark.parametrize("document", UNREADABLE_DOCUMENTS.values(), ids=UNREADABLE_DOCUMENTS)
 async def test_a_row_that_cannot_be_decoded_hides_no_drain(document, found):
-    async with sited(StandInWorker(Answer()), StandInWorker(Answer())) as site:
+    async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
         site.handlers.foreign["x"] = document
         if found == "on the first read":
             site.model.put("servers", "x", b"{}")
@@ -123,7 +123,7 @@
 # Guards against entries of other writers that ended the watch, or were taken for workers in use.
 @pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
 async def test_an_entry_that_names_no_worker_is_passed_over_and_the_others_hold(entry):
-    async with sited(StandInWorker(Answer()), StandInWorker(Answer())) as site:
+    async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
         node = await site.start_node()
         site.model.put("servers", "x", entry_of(site, 0, entry))
         site.list_worker(1, slots=5)
@@ -134,7 +134,7 @@
 # Guards against requests at a worker whose newest entry cannot be read or states that it left.
 @pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
 async def test_a_worker_whose_entry_becomes_unreadable_gets_no_work(entry):
-    async with sited(StandInWorker(Answer()), StandInWorker(Answer())) as site:
+    async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
         node = await site.start_node()
         site.model.put("servers", "w0", entry_of(site, 0, entry))
         site.list_worker(1, slots=5)
@@ -145,7 +145,7 @@
 
 # Guards against an entry of another writer that displaced the worker at the address it names.
 async def test_an_entry_of_an_unknown_service_displaces_no_worker_at_its_address():
-    async with sited(StandInWorker(Answer())) as site:
+    async with sited(FakeWorker(Answer())) as site:
         node = await site.start_node()
         site.model.put("servers", "x", entry_of(site, 0, {"service": "nobody"}))
         await until_listed(node, {"w0": 4, "x": 4})
@@ -183,7 +183,7 @@
 
 # Guards against a node that went on for ever by what it knew, after the task of a watch had ended.
 async def test_a_watch_that_fails_ends_the_process():
-    async with sited(StandInWorker(Answer())) as site:
+    async with sited(FakeWorker(Answer())) as site:
         node = await site.start_node()
         running = asyncio.ensure_future(node.run())
         routing = node.node.routing
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -7,13 +7,13 @@
 import pytest
 from aiohttp.test_utils import TestServer
 
-from foxwinch.backends.ports import GenerateOrder, Message
+from foxwinch.backends.ports import GenerateRequest, Message
 from foxwinch.clock import SystemClock
 from foxwinch.core.program.identity import scoped_program_id
+from foxwinch.emulator.emulated_services import EmulatedServices
 from foxwinch.emulator.engine_answers import plan_answer
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import settings_of_cluster
-from foxwinch.emulator.stand_ins import StandIns
 from foxwinch.gateway.authentication import hash_key
 from foxwinch.node.node import build_single_node
 from foxwinch.settings.base import check, read_toml
@@ -43,7 +43,7 @@
     document = check(ClusterConfiguration, read_toml(CLEDWYN), str(CLEDWYN))
     assert isinstance(document, ClusterConfiguration)
     settings = settings_of_cluster(document).model_copy(update={"pace": "instant"})
-    engines = TestServer(build_application(StandIns(settings, SystemClock())))
+    engines = TestServer(build_application(EmulatedServices(settings, SystemClock())))
     await engines.start_server()
     base = str(engines.make_url("/workers"))
     workers = tuple(w.model_copy(update={"url": f"{base}/{w.name}"}) for w in document.workers)
@@ -70,7 +70,7 @@
     assert response.status == 200
     program = scoped_program_id("seat-reservations", response.headers["X-Foxwinch-Program"])
     messages = (Message("user", "To Wrecsam, please."),)
-    order = GenerateOrder("any", program, "rail-chat", messages, 3, 0, 1)
+    order = GenerateRequest("any", program, "rail-chat", messages, 3, 0, 1)
     expected = "".join(plan_answer(order, 3).tokens)
     assert document["choices"][0]["message"]["content"] == expected
     assert document["usage"]["completion_tokens"] == 3
