--- a/src/foxwinch/bench/schedule/engines.py
+++ b/src/foxwinch/bench/schedule/engines.py
@@ -131,4 +131,4 @@
 
     def _wake(self, number: int, version: int, now: float) -> None:
         if version == self._versions[number]:
-            self.feed(number, engine_side.TimePassed(), now)
+            self.feed(number, engine_side.Tick(), now)
--- a/src/foxwinch/bench/schedule/pool.py
+++ b/src/foxwinch/bench/schedule/pool.py
@@ -26,7 +26,7 @@
     PoolEvent,
     ProgramEnded,
     ReleaseCompleted,
-    TimePassed,
+    Tick,
     TransferCompleted,
     WorkerJoined,
 )
@@ -115,7 +115,7 @@
                 name = self.engines.names[number]
                 self.decide(CacheChanged(name, page.changes, page.gap), now)
             else:
-                self.decide(TimePassed(), now)
+                self.decide(Tick(), now)
             if self._keep_timeline and number == 0:
                 self.timeline.append(self.engines.timeline_point(len(self.chains), now))
             self._simulator.after(POLL_SECONDS, poll)
--- a/src/foxwinch/commands/abandon_program.py
+++ b/src/foxwinch/commands/abandon_program.py
@@ -13,7 +13,7 @@
 
 
 class AbandonCommand:
-    """Implements `foxwinch.commands.operator.ProgramAbandons`."""
+    """Implements `foxwinch.commands.operator.ProgramAbandonPort`."""
 
     def __init__(self, owner: ProgramOwner) -> None:
         """Abandon programs of the owner's program trees."""
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -31,7 +31,7 @@
     """The command is in force."""
 
 
-class ConfigurationChanges(Protocol):
+class ConfigurationChangePort(Protocol):
     """Changes of the cluster configuration."""
 
     async def apply(self, command: ApplyConfiguration) -> ChangeAccepted | Refused:
@@ -51,7 +51,7 @@
         ...
 
 
-class ProgramAbandons(Protocol):
+class ProgramAbandonPort(Protocol):
     """Programs of this node that operators abandon."""
 
     async def abandon(self, program_id: ProgramId) -> Accepted | Refused:
@@ -59,7 +59,7 @@
         ...
 
 
-class FixedConfiguration:
+class StaticConfiguration:
     """A configuration that cannot be changed while the process runs."""
 
     def __init__(self, node: NodeId, zone: ZoneName) -> None:
@@ -77,7 +77,7 @@
         return (self._row,)
 
 
-class FixedWorkers:
+class StaticWorkers:
     """Workers that cannot be drained."""
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
@@ -99,9 +99,9 @@
 
     drain_node: Callable[[], None]
     """Begins the planned stop of this node; harmless when it has begun."""
-    configuration: ConfigurationChanges
+    configuration: ConfigurationChangePort
     workers: WorkerDrains
-    programs: ProgramAbandons
+    programs: ProgramAbandonPort
 
 
 class OperatorCommands:
--- a/src/foxwinch/commands/served_tree.py
+++ b/src/foxwinch/commands/served_tree.py
@@ -53,7 +53,7 @@
         self._clock = clock
         self._log = log
         self._on_lost = on_lost
-        journal.on_applied(self.apply)
+        journal.on_late_append(self.apply)
 
     @property
     def idle(self) -> bool:
--- a/src/foxwinch/commands/tree_takeover.py
+++ b/src/foxwinch/commands/tree_takeover.py
@@ -19,7 +19,7 @@
 
 LOOK_SECONDS = 60.0
 """Every partition is read once in so long: at the design size some 3 KB/s a node."""
-PRESENT = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 log = EventLog("programs")
 
 
@@ -50,7 +50,7 @@
     def _orphans(
         self, served: Sequence[tuple[ProgramId, NodeId]]
     ) -> list[tuple[ProgramId, NodeId]]:
-        present = {m.node for m in self._membership.members() if m.state in PRESENT}
+        present = {m.node for m in self._membership.members() if m.state in PRESENT_STATES}
         return [(root, node) for root, node in served if node not in present]
 
     def _is_mine(self, number: int) -> bool:
--- a/src/foxwinch/configuration/service.py
+++ b/src/foxwinch/configuration/service.py
@@ -98,8 +98,8 @@
         self._ports.gossip.subscribe(GossipKind.CONFIGURATION, self._on_gossip)
         for entry in self._ports.gossip.entries(GossipKind.CONFIGURATION).values():
             self._on_gossip(entry)
-        self._tasks.keep(self._poll_loop())
-        self._tasks.keep(self._fetch_loop())
+        self._tasks.start(self._poll_loop())
+        self._tasks.start(self._fetch_loop())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(START_WAIT_SECONDS):
                 await self._ready.wait()
@@ -320,7 +320,7 @@
         for listener in self._listeners:
             listener(self._snapshot)
         if held.revision % SNAPSHOT_REVISIONS == 0 and self._is_poller():
-            self._tasks.keep(self._prune(held.revision))
+            self._tasks.start(self._prune(held.revision))
 
     def _publish(self, before: Revision) -> None:
         """Spread what is new here; entries that the gossip has already are ignored there."""
--- a/src/foxwinch/core/coordinator/events.py
+++ b/src/foxwinch/core/coordinator/events.py
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimePassed:
+class Tick:
     """Nothing but that time has come to `now`."""
 
 
@@ -138,5 +138,5 @@
     | WorkerLeft
     | LoadReported
     | PolicyChanged
-    | TimePassed
+    | Tick
 )
--- a/src/foxwinch/core/coordinator/scheduler.py
+++ b/src/foxwinch/core/coordinator/scheduler.py
@@ -7,7 +7,7 @@
     actions = scheduler.handle(CallArrived(call), now)   # perhaps [Dispatch(...)], perhaps []
     actions = scheduler.handle(CallFinished(...), now)   # perhaps [Dispatch(...)] of a waiting call
 
-`now` must never go back. Nothing needs a timer: call `handle(TimePassed(), now)` about once a
+`now` must never go back. Nothing needs a timer: call `handle(Tick(), now)` about once a
 second so that calls that waited for a better place take another. Every arrived call is answered
 by exactly one `Dispatch` or `RefuseCall`, unless it is withdrawn first. `ReleaseCache` is asked
 again after each `ReleaseCompleted(done=False)` until it succeeds or the worker leaves.
@@ -39,7 +39,7 @@
     ProgramEnded,
     ProgramPaused,
     ReleaseCompleted,
-    TimePassed,
+    Tick,
     TransferCompleted,
     WorkerJoined,
     WorkerLeaving,
@@ -88,7 +88,7 @@
             WorkerLeft: self._worker_left,
             LoadReported: self._load_reported,
             PolicyChanged: self._policy_changed,
-            TimePassed: self._time_passed,
+            Tick: self._time_passed,
         }
 
     def handle(self, event: PoolEvent, now: float) -> list[PoolAction]:
@@ -263,7 +263,7 @@
         self.policy = event.policy
         return []
 
-    def _time_passed(self, event: TimePassed, now: float) -> list[PoolAction]:
+    def _time_passed(self, event: Tick, now: float) -> list[PoolAction]:
         return []
 
     # --- placing -----------------------------------------------------------------------------
--- a/src/foxwinch/core/limits/token_bucket.py
+++ b/src/foxwinch/core/limits/token_bucket.py
@@ -63,7 +63,7 @@
         self._grow(now)
         self.balance = min(self.capacity, self.balance - amount)
 
-    def hold_for(self, seconds: float, now: float) -> None:
+    def pause_for(self, seconds: float, now: float) -> None:
         """Let nothing pass for `seconds`, as a server's Retry-After asks for."""
         self._grow(now)
         self.balance = min(self.balance, -seconds * self.rate_per_second)
--- a/src/foxwinch/core/membership/detector.py
+++ b/src/foxwinch/core/membership/detector.py
@@ -30,13 +30,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CondemnMember:
+class DeclareDead:
     """A suspected member has not answered for the whole suspicion."""
 
     target: Member
 
 
-DetectorAction = ProbeMember | SuspectMember | CondemnMember
+DetectorAction = ProbeMember | SuspectMember | DeclareDead
 
 
 @dataclass(slots=True)
@@ -130,7 +130,7 @@
                 del self._suspicions[node]
             elif now >= suspicion.condemn_at_seconds:
                 del self._suspicions[node]
-                actions.append(CondemnMember(target))
+                actions.append(DeclareDead(target))
             elif now >= suspicion.probe_at_seconds:
                 suspicion.probe_at_seconds = now + self._parameters.reprobe_seconds
                 helpers = self._helpers(target, self._parameters.reprobe_helpers)
--- a/src/foxwinch/core/membership/engine.py
+++ b/src/foxwinch/core/membership/engine.py
@@ -12,7 +12,7 @@
 )
 from foxwinch.core.membership.actions import Action, MembershipCounters, RegionState
 from foxwinch.core.membership.detector import (
-    CondemnMember,
+    DeclareDead,
     DetectorAction,
     FailureDetector,
     ProbeMember,
@@ -154,7 +154,7 @@
             case SuspectMember(target):
                 self.counters.suspicions += 1
                 self._state.merge_member(replace(target, state=MemberState.SUSPECT), now)
-            case CondemnMember(target):
+            case DeclareDead(target):
                 self.counters.condemnations += 1
                 self._state.merge_member(replace(target, state=MemberState.DEAD), now)
 
--- a/src/foxwinch/core/routing/configuration.py
+++ b/src/foxwinch/core/routing/configuration.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerBounds:
+class RequestLimits:
     """What a caller may send, and how long it may take."""
 
     header_bytes: int = 16_384
@@ -89,7 +89,7 @@
     version: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
-    bounds: CallerBounds = CallerBounds()
+    bounds: RequestLimits = RequestLimits()
     _by_host: dict[str, tuple[Route, ...]] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
--- a/src/foxwinch/core/routing/directory.py
+++ b/src/foxwinch/core/routing/directory.py
@@ -29,7 +29,7 @@
     zone: str
     slots: int
     draining: bool = False
-    cold_seconds: float = 0.0
+    warmup_seconds: float = 0.0
     """How much longer the worker stays slow after its start, when it was listed."""
     started_ms: int | None = None
     """Unix time of its start, where it tells; a worker may start again under its id."""
--- a/src/foxwinch/core/routing/selection.py
+++ b/src/foxwinch/core/routing/selection.py
@@ -74,7 +74,7 @@
         cost += OTHER_ZONE_COST
     if worker.incarnation == wish.last_worker:
         cost -= LAST_WORKER_GAIN
-    if worker.cold_seconds > 0:
+    if worker.warmup_seconds > 0:
         cost += COLD_COST
     cost += WAIT_COST_PER_SECOND * max(0.0, load.expected_wait_seconds(now) - IDLE_WAIT_SECONDS)
     if load.avoided(now):
--- a/src/foxwinch/emulator/engine_driver.py
+++ b/src/foxwinch/emulator/engine_driver.py
@@ -18,7 +18,7 @@
     LoadModel,
     OrderCompleted,
     Submit,
-    TimePassed,
+    Tick,
     TokensProduced,
     UnloadModel,
 )
@@ -123,4 +123,4 @@
 
     def _wake(self) -> None:
         self._timer = None
-        self._handle(TimePassed())
+        self._handle(Tick())
--- a/src/foxwinch/emulator/engine_events.py
+++ b/src/foxwinch/emulator/engine_events.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimePassed:
+class Tick:
     """Nothing but that time has come to `now`."""
 
 
@@ -99,7 +99,7 @@
     | ImportBlocks
     | LoadModel
     | UnloadModel
-    | TimePassed
+    | Tick
 )
 
 # --- out of the engine -----------------------------------------------------------------------
--- a/src/foxwinch/emulator/engine_model.py
+++ b/src/foxwinch/emulator/engine_model.py
@@ -46,7 +46,7 @@
     ProgramEnded,
     ReleaseProgram,
     Submit,
-    TimePassed,
+    Tick,
     TokensProduced,
     UnloadModel,
 )
@@ -148,7 +148,7 @@
                 self._set_timer(self._weights.read(size, now), event)
             case UnloadModel():
                 self._unload(event, now, outputs)
-            case TimePassed():
+            case Tick():
                 pass
 
     def _weight_bytes(self, event: LoadModel) -> float:
--- a/src/foxwinch/limits/service.py
+++ b/src/foxwinch/limits/service.py
@@ -90,7 +90,7 @@
         for entry in self._ports.gossip.entries(GossipKind.USAGE).values():
             self._on_gossip(entry)
         self._update()
-        self._tasks.keep(self._run())
+        self._tasks.start(self._run())
 
     async def stop(self) -> None:
         """Stop telling; the others keep this node's share for the time of its lease."""
--- a/src/foxwinch/membership/service.py
+++ b/src/foxwinch/membership/service.py
@@ -61,9 +61,9 @@
         """Start probing and looking for other nodes."""
         engine = self.engine
         self._started = True
-        self._tasks.keep(self._run())
+        self._tasks.start(self._run())
         if self._machines is not None:
-            self._tasks.keep(self._read_list(self._machines))
+            self._tasks.start(self._read_list(self._machines))
         this = engine.this_member()
         self._log.info("membership_started", node=this.node, zone=this.zone, region=this.region)
 
--- a/src/foxwinch/node/local.py
+++ b/src/foxwinch/node/local.py
@@ -33,7 +33,7 @@
         """How many times it has been appended to."""
         return self._batches
 
-    def on_applied(self, applied: Applied) -> None:
+    def on_late_append(self, applied: Applied) -> None:
         """Accept a listener that will never be called: no append is ever in doubt."""
 
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
--- a/src/foxwinch/node/parts/configuration.py
+++ b/src/foxwinch/node/parts/configuration.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from foxwinch.commands.operator import ConfigurationChanges, FixedConfiguration
+from foxwinch.commands.operator import ConfigurationChangePort, StaticConfiguration
 from foxwinch.configuration.local import LocalConfiguration
 from foxwinch.configuration.ports import ConfigurationView
 from foxwinch.configuration.service import ConfigurationService, ConfigurationServicePorts
@@ -22,7 +22,7 @@
 
     configuration: ConfigurationView
     limits: LimitView
-    changes: ConfigurationChanges
+    changes: ConfigurationChangePort
     """Takes operators' changes and tells the revision at each node."""
     services: tuple[NodeService, ...] = ()
 
@@ -48,5 +48,5 @@
 
 
 def _fixed(context: NodeContext, document: ClusterConfiguration) -> ConfigurationPart:
-    changes = FixedConfiguration(context.node, ZoneName(context.settings.zone))
+    changes = StaticConfiguration(context.node, ZoneName(context.settings.zone))
     return ConfigurationPart(LocalConfiguration(document), LocalLimits(), changes)
--- a/src/foxwinch/node/parts/programs.py
+++ b/src/foxwinch/node/parts/programs.py
@@ -9,7 +9,7 @@
 from foxwinch.commands.abandon_program import AbandonCommand
 from foxwinch.commands.call_retries import CallRetries
 from foxwinch.commands.forward import Forwarder
-from foxwinch.commands.operator import ProgramAbandons
+from foxwinch.commands.operator import ProgramAbandonPort
 from foxwinch.commands.ports import ProgramPorts
 from foxwinch.commands.program_owner import ProgramOwner
 from foxwinch.commands.requests import ProgramRequest
@@ -39,7 +39,7 @@
     execute: Callable[[ProgramRequest], AsyncIterator[ProgramEvent]]
     """Carries a caller's request out, here or at the node that serves the program."""
     facts: ProgramFacts
-    abandons: ProgramAbandons
+    abandons: ProgramAbandonPort
     services: tuple[NodeService, ...] = ()
 
 
--- a/src/foxwinch/platform/process.py
+++ b/src/foxwinch/platform/process.py
@@ -19,7 +19,7 @@
 from foxwinch.platform.translation import configuration_of, worker_of
 from foxwinch.platform.worker_client import HttpWorkers
 from foxwinch.records.store_state import ObservedStore
-from foxwinch.records.watch import wait_that_recovers_within
+from foxwinch.records.watch import watch_wait_seconds
 from foxwinch.service_tasks import TaskFailedError, stop_on_failure
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.node import ServingNode
@@ -73,8 +73,8 @@
             workers_table=WORKERS_TABLE,
             decode_configuration=configuration_of,
             decode_worker=worker_of,
-            wait_seconds=wait_that_recovers_within(settings.store.notice_ms / 1e3),
-            lapse_seconds=LAPSE_HEARTBEATS * settings.store.heartbeat_ms / 1e3,
+            wait_seconds=watch_wait_seconds(settings.store.notice_ms / 1e3),
+            expiry_seconds=LAPSE_HEARTBEATS * settings.store.heartbeat_ms / 1e3,
         )
         self._node = ServingNode(
             name=settings.name,
--- a/src/foxwinch/platform/translation.py
+++ b/src/foxwinch/platform/translation.py
@@ -6,7 +6,7 @@
 from pydantic import BaseModel, ValidationError
 
 from foxwinch.core.routing.configuration import (
-    CallerBounds,
+    RequestLimits,
     Route,
     RoutingConfiguration,
     Service,
@@ -66,7 +66,7 @@
         zone=entry.zone,
         slots=entry.slots,
         draining=entry.state is WorkerState.DRAINING,
-        cold_seconds=entry.cold_ms / 1e3,
+        warmup_seconds=entry.cold_ms / 1e3,
         started_ms=entry.started_ms,
     )
 
@@ -112,9 +112,9 @@
     return checked
 
 
-def _bounds(limits: LimitsDocument) -> CallerBounds:
-    bounds = CallerBounds()
-    return CallerBounds(
+def _bounds(limits: LimitsDocument) -> RequestLimits:
+    bounds = RequestLimits()
+    return RequestLimits(
         header_bytes=limits.header_bytes or bounds.header_bytes,
         body_bytes=limits.body_bytes or bounds.body_bytes,
         header_seconds=(limits.header_ms or 1e3 * bounds.header_seconds) / 1e3,
--- a/src/foxwinch/records/budgets.py
+++ b/src/foxwinch/records/budgets.py
@@ -27,7 +27,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.records.partitions import partition_of
 from foxwinch.records.ports import Conflict, RowCondition, RowKey, RowWrite, Written
-from foxwinch.records.repeat import CALL_SECONDS
+from foxwinch.records.retry import CALL_SECONDS
 from foxwinch.records.store_state import ObservedStore
 from foxwinch.service_tasks import ServiceTasks
 
@@ -156,7 +156,7 @@
             row = RowKey(BUDGETS_TABLE, partition_of(program_id), program_id)
             program = _Program(row, Account(self._node, self._sequences))
             self._programs[program_id] = program
-            self._tasks.keep(self._keep(program_id, program))
+            self._tasks.start(self._keep(program_id, program))
         program.touched_at = self._clock.monotonic()
         return program
 
--- a/src/foxwinch/records/program_trees.py
+++ b/src/foxwinch/records/program_trees.py
@@ -46,7 +46,7 @@
         """How many times the journal has been appended to."""
 
     @abstractmethod
-    def on_applied(self, applied: Applied) -> None:
+    def on_late_append(self, applied: Applied) -> None:
         """Tell `applied` of records whose append was given up and took effect all the same."""
 
     @abstractmethod
--- a/src/foxwinch/records/repeat.py
+++ b/src/foxwinch/records/retry.py
@@ -17,7 +17,7 @@
 Outcome = TypeVar("Outcome")
 
 
-async def repeat_until(
+async def retry_until(
     clock: Clock,
     deadline_at: float,
     call: Callable[[float], Awaitable[Outcome]],
--- a/src/foxwinch/records/tree_journal.py
+++ b/src/foxwinch/records/tree_journal.py
@@ -16,7 +16,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowWrite, Written
 from foxwinch.records.program_trees import Applied, TreeHead, TreeJournal
-from foxwinch.records.repeat import CALL_SECONDS
+from foxwinch.records.retry import CALL_SECONDS
 from foxwinch.records.tree_rows import (
     after_batches,
     batch_writes,
@@ -62,7 +62,7 @@
         """How many times the journal has been appended to."""
         return self._head.batches
 
-    def on_applied(self, applied: Applied) -> None:
+    def on_late_append(self, applied: Applied) -> None:
         """Tell `applied` of records whose append was given up and took effect all the same."""
         self._applied = applied
 
--- a/src/foxwinch/records/tree_store.py
+++ b/src/foxwinch/records/tree_store.py
@@ -14,7 +14,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowKey, Written
 from foxwinch.records.program_trees import OpenedTree, OwnedElsewhere, ProgramTreeStore, TreeHead
-from foxwinch.records.repeat import CALL_SECONDS, repeat_until
+from foxwinch.records.retry import CALL_SECONDS, retry_until
 from foxwinch.records.tree_journal import StoredJournal
 from foxwinch.records.tree_rows import (
     HEADS_TABLE,
@@ -94,7 +94,7 @@
         async def ask(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (), timeout_seconds)
 
-        answer = await repeat_until(self._clock, deadline_at, ask)
+        answer = await retry_until(self._clock, deadline_at, ask)
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         if isinstance(answer, Written):
@@ -113,7 +113,7 @@
                 (condition,), (head_write(root, wanted),), timeout_seconds
             )
 
-        answer = await repeat_until(self._clock, deadline_at, write)
+        answer = await retry_until(self._clock, deadline_at, write)
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         if isinstance(answer, Written):
@@ -139,7 +139,7 @@
             records = records_of(root, read.rows, head)
             return STALE if records is None else records
 
-        answer = await repeat_until(self._clock, deadline_at, ask)
+        answer = await retry_until(self._clock, deadline_at, ask)
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         return answer
--- a/src/foxwinch/records/turns.py
+++ b/src/foxwinch/records/turns.py
@@ -24,7 +24,7 @@
     RowWrite,
     Written,
 )
-from foxwinch.records.repeat import repeat_until
+from foxwinch.records.retry import retry_until
 
 TURNS_TABLE = "turns"
 PIECE_BYTES = 45_000
@@ -93,7 +93,7 @@
         return None
 
     async def _write_batch(self, batch: tuple[RowWrite, ...], deadline_at: float) -> Refused | None:
-        outcome = await repeat_until(
+        outcome = await retry_until(
             self._clock,
             deadline_at,
             lambda timeout_seconds: self._store.transact((), batch, timeout_seconds),
@@ -109,7 +109,7 @@
         if cached is not None:
             return cached
         first = _row(request_id, 0)
-        read = await repeat_until(
+        read = await retry_until(
             self._clock,
             deadline_at,
             lambda timeout_seconds: self._store.read(
@@ -131,7 +131,7 @@
         async def ask(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (), timeout_seconds)
 
-        outcome = await repeat_until(self._clock, deadline_at, ask)
+        outcome = await retry_until(self._clock, deadline_at, ask)
         if isinstance(outcome, Written):
             return NoSuchTurn(request_id)
         if isinstance(outcome, Conflict):
--- a/src/foxwinch/records/watch.py
+++ b/src/foxwinch/records/watch.py
@@ -44,7 +44,7 @@
 log = EventLog("watch")
 
 
-def wait_that_recovers_within(seconds: float) -> float:
+def watch_wait_seconds(seconds: float) -> float:
     """Return how long calls may be held open for a lost one to be made good within `seconds`."""
     return max(MIN_WAIT_SECONDS, seconds - ANSWER_SECONDS - RECOVERY_SECONDS)
 
@@ -108,7 +108,7 @@
         return self._clock.monotonic() - self._confirmed_at
 
     @property
-    def news_since(self) -> float:
+    def changes_since(self) -> float:
         """Return how far back the changes that are taken now may lie, on the node's steady clock.
 
         Without a failed call in between they are new; otherwise they may be as old as the last
--- a/src/foxwinch/serving/node.py
+++ b/src/foxwinch/serving/node.py
@@ -74,10 +74,10 @@
 
     def start(self) -> None:
         """Begin to follow the configuration and the workers."""
-        self._tasks.keep(self.routing.configuration_watch.run())
-        self._tasks.keep(self.routing.workers_watch.run())
+        self._tasks.start(self.routing.configuration_watch.run())
+        self._tasks.start(self.routing.workers_watch.run())
         table = self.routing.configuration_watch.table
-        self._tasks.keep(StoreProbe(self._store, self._clock, table).run())
+        self._tasks.start(StoreProbe(self._store, self._clock, table).run())
 
     async def handle(self, request: ServiceRequest, caller: Caller) -> None:
         """Serve one request."""
--- a/src/foxwinch/serving/routing.py
+++ b/src/foxwinch/serving/routing.py
@@ -38,18 +38,18 @@
         decode_configuration: Callable[[StoredRow], RoutingConfiguration | None],
         decode_worker: Callable[[StoredRow], Worker | None],
         wait_seconds: float = WAIT_SECONDS,
-        lapse_seconds: float = LAPSE_SECONDS,
+        expiry_seconds: float = LAPSE_SECONDS,
     ) -> None:
         """Read rows by the given decoders; None stands for a row that names nothing to use.
 
         The store holds each call of a watch open for `wait_seconds`, and drops entries that were
-        not written anew for `lapse_seconds`.
+        not written anew for `expiry_seconds`.
         """
         self._clock = clock
         self._metrics = metrics
         self._decode_configuration = decode_configuration
         self._decode_worker = decode_worker
-        self._lapse_seconds = lapse_seconds
+        self._lapse_seconds = expiry_seconds
         self._configuration: RoutingConfiguration | None = None
         self._directory = WorkerDirectory()
         self.configuration_watch = TableWatch(
@@ -137,7 +137,7 @@
     def _last_resort(self) -> LastResort:
         """Return until when workers that the list now tells to be leaving may be given work."""
         now = self._clock.monotonic()
-        since = self.workers_watch.news_since
+        since = self.workers_watch.changes_since
         if now - self._lapse_seconds < since:
             return last_resort_from(since)
         return last_resort_after_outage(since, now)
--- a/src/foxwinch/storage/rate_limit.py
+++ b/src/foxwinch/storage/rate_limit.py
@@ -35,7 +35,7 @@
         if not isinstance(outcome, Refused) or outcome.reason is not Reason.RATE_LIMITED:
             return
         now = self._clock.monotonic()
-        self._started(now).hold_for(outcome.retry_after_seconds or 0.0, now)
+        self._started(now).pause_for(outcome.retry_after_seconds or 0.0, now)
 
     def _started(self, now: float) -> TokenBucket:
         if self._bucket is None:
--- a/src/foxwinch/workers/coordinator_directory.py
+++ b/src/foxwinch/workers/coordinator_directory.py
@@ -14,7 +14,7 @@
 
 WORKER_PREFIX = "worker/"
 """Prefix of the epoch resources of workers."""
-PRESENT = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 """States in which a member may still hold workers and answer."""
 ASSIGNABLE = (MemberState.ALIVE, MemberState.SUSPECT)
 """States in which a member may be given workers; a suspected one may yet refute."""
@@ -143,7 +143,7 @@
 
     def _present(self) -> dict[NodeId, Member]:
         members = self._membership.members()
-        return {member.node: member for member in members if member.state in PRESENT}
+        return {member.node: member for member in members if member.state in PRESENT_STATES}
 
     def _digests(self) -> Iterator[tuple[Member, StewardDigest]]:
         """Yield the digest of every member that may still answer."""
--- a/src/foxwinch/workers/coordinator_pools.py
+++ b/src/foxwinch/workers/coordinator_pools.py
@@ -7,7 +7,7 @@
 from foxwinch.backends.ports import EnginePort, LoadReport
 from foxwinch.clock import Clock
 from foxwinch.core.coordinator.calls import WorkerDescription
-from foxwinch.core.coordinator.events import CacheChanged, LoadReported, PolicyChanged, TimePassed
+from foxwinch.core.coordinator.events import CacheChanged, LoadReported, PolicyChanged, Tick
 from foxwinch.core.coordinator.grant_ledger import GrantLedger
 from foxwinch.core.coordinator.policy import PolicySettings, policy_for
 from foxwinch.core.prompt import BLOCK_TOKENS
@@ -162,7 +162,7 @@
     def tick(self) -> None:
         """Let the pools see that time has passed."""
         for pool in self._pools.values():
-            pool.handle(TimePassed())
+            pool.handle(Tick())
 
     async def stop(self) -> None:
         """Let go of everything."""
--- a/src/foxwinch/workers/coordinator_service.py
+++ b/src/foxwinch/workers/coordinator_service.py
@@ -147,7 +147,7 @@
             self.desk.serve(self._ports.peers)
         self._directory.subscribe(self._wake.set)
         self._drains.start()
-        self._tasks.keep(self._run())
+        self._tasks.start(self._run())
 
     async def stop(self) -> None:
         """Stop everything; the epochs stay until another node raises them."""
@@ -221,7 +221,7 @@
         worker = resource_worker(action.resource)
         match action:
             case Claim():
-                self._tasks.keep(self._claim(action.resource))
+                self._tasks.start(self._claim(action.resource))
             case Resync():
                 self._resync(action, worker)
             case Release() if worker is not None:
--- a/src/foxwinch/workers/epochs.py
+++ b/src/foxwinch/workers/epochs.py
@@ -7,7 +7,7 @@
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.records.partitions import partition_of
 from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowKey, RowWrite, Written
-from foxwinch.records.repeat import repeat_until
+from foxwinch.records.retry import retry_until
 from foxwinch.workers.ports import EpochClaim
 
 EPOCHS_TABLE = "epochs"
@@ -62,4 +62,4 @@
         async def send(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (write,), timeout_seconds)
 
-        return await repeat_until(self._clock, deadline_at, send)
+        return await retry_until(self._clock, deadline_at, send)
--- a/src/foxwinch/workers/grants_service.py
+++ b/src/foxwinch/workers/grants_service.py
@@ -82,7 +82,7 @@
 
     async def start(self) -> None:
         """Start reporting."""
-        self._tasks.keep(self._report_for_ever())
+        self._tasks.start(self._report_for_ever())
 
     async def stop(self) -> None:
         """Stop reporting; what is untold expires at the coordinators."""
--- a/src/foxwinch/workers/orders_service.py
+++ b/src/foxwinch/workers/orders_service.py
@@ -74,7 +74,7 @@
 
     async def start(self) -> None:
         """Start deciding whenever this node holds the epoch."""
-        self._tasks.keep(self._decide_for_ever())
+        self._tasks.start(self._decide_for_ever())
 
     async def stop(self) -> None:
         """Stop; another node takes over and asks the workers what they have."""
@@ -121,7 +121,7 @@
                 model=order.model,
                 value=order.value,
             )
-            self._deliveries.keep(self._deliver(order, reconciler))
+            self._deliveries.start(self._deliver(order, reconciler))
 
     async def _actual(self, document: ClusterConfiguration) -> list[WorkerActual]:
         members = [self._directory.member(node) for node in sorted(self._directory.coordinators())]
--- a/src/foxwinch/workers/worker_drains.py
+++ b/src/foxwinch/workers/worker_drains.py
@@ -50,7 +50,7 @@
         self._gossip.subscribe(GossipKind.LEAVING, lambda entry: self._on_change())
         if self._machines is not None:
             reading = self._read_for_ever(self._machines)
-            self._tasks.keep(reading)
+            self._tasks.start(reading)
 
     async def stop(self) -> None:
         """Stop reading."""
--- a/src/foxwinch/workers/worker_link.py
+++ b/src/foxwinch/workers/worker_link.py
@@ -53,7 +53,7 @@
 
     def start(self) -> None:
         """Start polling."""
-        self._tasks.keep(self._poll_for_ever())
+        self._tasks.start(self._poll_for_ever())
 
     def poll_now(self) -> None:
         """Read without waiting for the period: the worker has refused something."""
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -86,7 +86,7 @@
     def batches(self):
         return len(self.records)
 
-    def on_applied(self, applied):
+    def on_late_append(self, applied):
         self.applied = applied
 
     async def append(self, records):
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -15,7 +15,7 @@
     LoadModel,
     ReleaseProgram,
     Submit,
-    TimePassed,
+    Tick,
     TokensProduced,
 )
 from foxwinch.emulator.engine_model import EngineModel
@@ -34,7 +34,7 @@
 def drain(engine: EngineModel) -> list:
     outputs = []
     while (at := engine.next_event_time()) is not None:
-        outputs += engine.handle(TimePassed(), at)
+        outputs += engine.handle(Tick(), at)
     return outputs
 
 
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from foxwinch.core.routing.configuration import CallerBounds, RouteKind
+from foxwinch.core.routing.configuration import RequestLimits, RouteKind
 from foxwinch.platform.translation import configuration_of, worker_of
 from foxwinch.records.ports import RowKey, StoredRow
 from platform_site import configuration, routes
@@ -27,7 +27,7 @@
     assert (kept.timeout_seconds, kept.target_seconds, kept.event_gap_seconds) == (3.0, 0.2, 0.3)
     assert read.services["s"].tokens_per_event == 25
     assert read.bounds.body_bytes == 200_000
-    assert read.bounds.idle_seconds == CallerBounds().idle_seconds
+    assert read.bounds.idle_seconds == RequestLimits().idle_seconds
 
 
 WRONG_ROUTES = {
@@ -50,7 +50,7 @@
 def test_a_service_or_limits_that_are_wrong_hide_nothing_else():
     read = decoded(services=[{"name": 7}, {"name": "s"}], limits=["none"])
     assert list(read.services) == ["s"]
-    assert read.bounds == CallerBounds()
+    assert read.bounds == RequestLimits()
     assert len(read.routes) == len(routes())
 
 
@@ -85,7 +85,7 @@
     }
     worker = worker_of(row(json.dumps(entry).encode(), "servers", "i-1"))
     assert (worker.worker_id, worker.slots, worker.draining) == ("i-1", 12, True)
-    assert worker.cold_seconds == 1.5
+    assert worker.warmup_seconds == 1.5
     assert worker.incarnation == "i-1/1790000000000"
     del entry["born"]
     assert worker_of(row(json.dumps(entry).encode(), "servers", "i-1")).incarnation == "i-1"
--- a/tests/test_pool_scheduler.py
+++ b/tests/test_pool_scheduler.py
@@ -21,7 +21,7 @@
     CallWithdrawn,
     ProgramEnded,
     ReleaseCompleted,
-    TimePassed,
+    Tick,
     TransferCompleted,
     WorkerJoined,
     WorkerLeaving,
@@ -282,5 +282,5 @@
     pool.handle(CallArrived(call("y")), 0.0)
     assert pool.waiting_calls == 1
     pool.handle(worker("b", 1), 1.0)
-    pool.handle(TimePassed(), 9.0)
+    pool.handle(Tick(), 9.0)
     assert pool.waiting_calls == 0
--- a/tests/test_program_trees.py
+++ b/tests/test_program_trees.py
@@ -103,7 +103,7 @@
     trees = world.node("a")
     journal = (await trees.open(ROOT)).journal
     late = []
-    journal.on_applied(late.extend)
+    journal.on_late_append(late.extend)
     world.ways["a"].gate.faults = LOST
     refused = await journal.append([record("one")])
     assert refused.run_state is RunState.UNKNOWN
--- a/tests/test_record_watch.py
+++ b/tests/test_record_watch.py
@@ -14,7 +14,7 @@
     RETRY_BACKOFF,
     WAIT_SECONDS,
     TableWatch,
-    wait_that_recovers_within,
+    watch_wait_seconds,
 )
 from foxwinch.service_tasks import ServiceTasks
 from virtual_clock import VirtualClock
@@ -33,13 +33,13 @@
         self.since = []
         self.watch = TableWatch(model, VirtualClock(), "t", self.take, keys=keys)
         self.tasks = ServiceTasks("watch")
-        self.tasks.keep(self.watch.run())
+        self.tasks.start(self.watch.run())
 
     def take(self, read, whole):
         if whole:
             self.values.clear()
         self.versions.append(read.version)
-        self.since.append(self.watch.news_since)
+        self.since.append(self.watch.changes_since)
         for row in read.rows:
             if row.value is None:
                 self.values.pop(row.row.key, None)
@@ -237,7 +237,7 @@
 # call and one failed try added up to more than the bound.
 @pytest.mark.parametrize("bound_seconds", [3.0, 4.0, 10.0])
 def test_the_longest_way_back_from_a_silent_connection_fits_the_bound(bound_seconds):
-    lost = wait_that_recovers_within(bound_seconds) + ANSWER_SECONDS
+    lost = watch_wait_seconds(bound_seconds) + ANSWER_SECONDS
     waits = sum(RETRY_BACKOFF.wait_seconds(attempt, 1.0) for attempt in range(2))
     assert lost + waits + CONNECT_SECONDS + NEW_ANSWER_SECONDS <= bound_seconds
 
@@ -253,7 +253,7 @@
         if b"2" in [row.value for row in read.rows]:
             heard.set()
 
-    wait_seconds = wait_that_recovers_within(seconds)
+    wait_seconds = watch_wait_seconds(seconds)
     watch = TableWatch(model, clock, "t", take, wait_seconds)
     following = asyncio.ensure_future(watch.run())
     await asyncio.sleep(0.5)
--- a/tests/test_token_bucket.py
+++ b/tests/test_token_bucket.py
@@ -30,7 +30,7 @@
 
 def test_hold_lets_nothing_pass_for_its_time():
     bucket = TokenBucket.full(10.0, 10.0, 0.0)
-    bucket.hold_for(3.0, 0.0)
+    bucket.pause_for(3.0, 0.0)
     assert bucket.wait_seconds(1.0, 0.0) == pytest.approx(3.1)
     assert not bucket.try_take(1.0, 3.0)
     assert bucket.try_take(1.0, 3.1)
