--- a/src/foxwinch/bench/unit_costs.py
+++ b/src/foxwinch/bench/unit_costs.py
@@ -1,6 +1,6 @@
 """Processor time and bytes of single steps, in memory: `python -m foxwinch.bench.unit_costs FILE`.
 
-Each figure is the median of several rounds of one process, for steward decisions the lowest.
+Each figure is the median of several rounds of one process, for coordinator decisions the lowest.
 Nothing here crosses a socket, so the cost of the request itself between nodes (`foxwinch bench
 peer`) comes on top where there is one.
 """
@@ -22,9 +22,9 @@
 from foxwinch.core.limits.shares import SPREAD_SECONDS, ShareTable
 from foxwinch.core.limits.usage import DIGEST_ENTRIES, UsageDigest, decode, encode
 from foxwinch.identifiers import NodeId, ProgramId
-from foxwinch.records.families import FamilyHead
-from foxwinch.records.family_rows import batch_writes, records_of
 from foxwinch.records.ports import StoredRow
+from foxwinch.records.program_trees import TreeHead
+from foxwinch.records.tree_rows import batch_writes, records_of
 
 ROUNDS = 5
 NODES_OF_A_REGION = 71
@@ -33,8 +33,8 @@
 RECORD_BYTES = (200, 4_000, 32_000)
 APPENDS = 500
 QUERIES = 20
-STEWARD_WORKERS = (9, 36, 100)
-STEWARD_QUEUES = (0, 100, 1_000)
+COORDINATOR_WORKERS = (9, 36, 100)
+COORDINATOR_QUEUES = (0, 100, 1_000)
 
 
 class AppendCost(NamedTuple):
@@ -88,7 +88,7 @@
     root = ProgramId("tenant/program")
     answer = HistoryMessage(role="assistant", content="x" * record_bytes)
     record = JournalRecord(call_outcome=CallOutcome(answer=[answer]))
-    head = FamilyHead(1, 1, NodeId("node"), "", "")
+    head = TreeHead(1, 1, NodeId("node"), "", "")
     size = 0
 
     def run() -> None:
@@ -170,7 +170,8 @@
 
 
 def report(
-    steward_workers: Sequence[int] = STEWARD_WORKERS, steward_queues: Sequence[int] = STEWARD_QUEUES
+    coordinator_workers: Sequence[int] = COORDINATOR_WORKERS,
+    coordinator_queues: Sequence[int] = COORDINATOR_QUEUES,
 ) -> dict[str, object]:
     """Measure everything."""
     return {
@@ -181,7 +182,7 @@
         "journal_append": [append_cost(size)._asdict() for size in RECORD_BYTES],
         "limit_shares": asdict(share_cost()),
         "operator_query": asdict(query_cost()),
-        "steward_decisions": decision_costs(steward_workers, steward_queues),
+        "steward_decisions": decision_costs(coordinator_workers, coordinator_queues),
     }
 
 
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from foxwinch.commands.apply_configuration import ApplyConfiguration
-from foxwinch.commands.ports import LocateFamily
+from foxwinch.commands.ports import LocateTree
 from foxwinch.configuration.local import LocalConfiguration
 from foxwinch.core.configuration.change import ChangeAccepted
 from foxwinch.core.membership.member import MemberState
@@ -16,7 +16,7 @@
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.peer.ports import PeerAddress, PeerContext, PeerPort, parse_address
 from foxwinch.queries.configuration import NodeRevision
-from foxwinch.records.families import ServedElsewhere
+from foxwinch.records.program_trees import OwnedElsewhere
 
 DRAIN_METHOD = "operator.drain"
 ABANDON_METHOD = "operator.abandon"
@@ -31,7 +31,7 @@
     """The command is in force."""
 
 
-class ConfigurationChanges(Protocol):
+class ConfigurationChangePort(Protocol):
     """Changes of the cluster configuration."""
 
     async def apply(self, command: ApplyConfiguration) -> ChangeAccepted | Refused:
@@ -51,7 +51,7 @@
         ...
 
 
-class ProgramAbandons(Protocol):
+class ProgramAbandonPort(Protocol):
     """Programs of this node that operators abandon."""
 
     async def abandon(self, program_id: ProgramId) -> Accepted | Refused:
@@ -59,7 +59,7 @@
         ...
 
 
-class FixedConfiguration:
+class StaticConfiguration:
     """A configuration that cannot be changed while the process runs."""
 
     def __init__(self, node: NodeId, zone: ZoneName) -> None:
@@ -77,11 +77,11 @@
         return (self._row,)
 
 
-class FixedWorkers:
+class StaticWorkers:
     """Workers that cannot be drained."""
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
-        """Refuse: nothing stewards the workers."""
+        """Refuse: no node coordinates the workers."""
         return not_run(Reason.NOT_FOUND, f"worker {worker} has no steward here")
 
 
@@ -99,9 +99,9 @@
 
     drain_node: Callable[[], None]
     """Begins the planned stop of this node; harmless when it has begun."""
-    configuration: ConfigurationChanges
+    configuration: ConfigurationChangePort
     workers: WorkerDrains
-    programs: ProgramAbandons
+    programs: ProgramAbandonPort
 
 
 class OperatorCommands:
@@ -110,7 +110,7 @@
     def __init__(
         self,
         membership: MembershipView,
-        locate: LocateFamily,
+        locate: LocateTree,
         peers: PeerPort | None,
         local: LocalCommands,
     ) -> None:
@@ -143,7 +143,7 @@
         located = await self._locate(root)
         if isinstance(located, Refused):
             return located
-        if isinstance(located, ServedElsewhere):
+        if isinstance(located, OwnedElsewhere):
             answer = await self._abandon_at(located, program_id)
             if not isinstance(answer, Refused) or answer.reason not in GONE:
                 return answer
@@ -156,7 +156,7 @@
         return await self._local.configuration.apply(command)
 
     async def _abandon_at(
-        self, served: ServedElsewhere, program_id: ProgramId
+        self, served: OwnedElsewhere, program_id: ProgramId
     ) -> Accepted | Refused:
         address = parse_address(served.address)
         if address is None:
--- a/src/foxwinch/core/steward/actions.py
+++ b/src/foxwinch/core/coordinator/actions.py
@@ -57,4 +57,4 @@
     worker: WorkerId
 
 
-PoolAction = Dispatch | RefuseCall | MovePrefix | ReleaseCache | ResyncCache
+PoolAction = Dispatch | RefuseCall | CopyPrefix | ReleaseCache | ResyncCache
--- a/src/foxwinch/core/steward/admission.py
+++ b/src/foxwinch/core/coordinator/admission.py
@@ -1,7 +1,7 @@
 """Admission control: new programs that cannot meet their deadline are rejected immediately."""
 
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.policy import PolicySettings
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.policy import PolicySettings
 from foxwinch.outcomes import Reason, Refused, not_run
 
 SHORTEST_RETRY_SECONDS = 1.0
@@ -21,7 +21,7 @@
     allowed = share * max(budget, 0.0)
     if predicted_wait_seconds <= allowed:
         return None
-    retry_after = max(SHORTEST_RETRY_SECONDS, predicted_wait_seconds - allowed)
+    retry_after = max(MIN_RETRY_SECONDS, predicted_wait_seconds - allowed)
     detail = (
         f"predicted wait of {predicted_wait_seconds:.1f} s for class {call.class_name}"
         f" exceeds {allowed:.1f} s; the call was not run"
--- a/src/foxwinch/core/steward/assignment.py
+++ b/src/foxwinch/core/coordinator/assignment.py
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class _Held:
-    state: StewardState = StewardState.UNASSIGNED
+    state: CoordinatorState = CoordinatorState.UNASSIGNED
     epoch: Epoch = NO_EPOCH
     """Highest known epoch of the resource, including those of this node."""
     other_since: float | None = None
@@ -156,7 +156,7 @@
     def state(self, resource: str) -> StewardState:
         """Return the state of a resource on this node."""
         held = self._held.get(resource)
-        return StewardState.UNASSIGNED if held is None else held.state
+        return CoordinatorState.UNASSIGNED if held is None else held.state
 
     def held(self) -> dict[str, Epoch]:
         """Return the epochs of the resources that this node holds, by resource name."""
@@ -196,30 +196,30 @@
     def claimed(self, resource: str, epoch: Epoch) -> list[AssignmentAction]:
         """Handle a successful claim by this node under `epoch`."""
         held = self._held.setdefault(resource, _Held())
-        if held.state is not StewardState.CLAIMING or epoch <= held.epoch:
-            held.state = StewardState.UNASSIGNED
+        if held.state is not CoordinatorState.CLAIMING or epoch <= held.epoch:
+            held.state = CoordinatorState.UNASSIGNED
             return []
-        held.state, held.epoch, held.other_since = StewardState.RESYNCING, epoch, None
+        held.state, held.epoch, held.other_since = CoordinatorState.RESYNCING, epoch, None
         return [Resync(resource, epoch)]
 
     def refused(self, resource: str, now: float) -> None:
         """Handle a failed claim, which is retried after `CLAIM_RETRY_SECONDS`."""
         held = self._held.setdefault(resource, _Held())
-        if held.state is StewardState.CLAIMING:
-            held.state = StewardState.UNASSIGNED
+        if held.state is CoordinatorState.CLAIMING:
+            held.state = CoordinatorState.UNASSIGNED
             held.retry_at = now + CLAIM_RETRY_SECONDS
 
     def resynced(self, resource: str, epoch: Epoch) -> None:
         """Start serving a resource whose load and cache state have been read."""
         held = self._held.get(resource)
-        if held and held.state is StewardState.RESYNCING and held.epoch == epoch:
-            held.state = StewardState.SERVING
+        if held and held.state is CoordinatorState.RESYNCING and held.epoch == epoch:
+            held.state = CoordinatorState.SERVING
 
     def released(self, resource: str, epoch: Epoch) -> None:
         """Handle the completion of a handover."""
         held = self._held.get(resource)
-        if held and held.state is StewardState.RELEASING and held.epoch == epoch:
-            held.state = StewardState.UNASSIGNED
+        if held and held.state is CoordinatorState.RELEASING and held.epoch == epoch:
+            held.state = CoordinatorState.UNASSIGNED
 
     def fenced(self, resource: str, epoch: Epoch) -> list[AssignmentAction]:
         """Handle an epoch observed in gossip or in a rejection by the engine."""
@@ -228,7 +228,7 @@
             return []
         was_held = resource in self.held()
         lost_epoch, held.epoch = held.epoch, epoch
-        held.state, held.other_since = StewardState.UNASSIGNED, None
+        held.state, held.other_since = CoordinatorState.UNASSIGNED, None
         return [Lost(resource, lost_epoch)] if was_held else []
 
     def advance(self, now: float) -> list[AssignmentAction]:
@@ -241,11 +241,11 @@
         return actions
 
     def _decide(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
-        if held.state is StewardState.UNASSIGNED:
+        if held.state is CoordinatorState.UNASSIGNED:
             return self._maybe_claim(name, held, now)
-        if held.state in (StewardState.SERVING, StewardState.RESYNCING):
+        if held.state in (CoordinatorState.SERVING, CoordinatorState.RESYNCING):
             return self._maybe_release(name, held, now)
-        if held.state is StewardState.RELEASING:
+        if held.state is CoordinatorState.RELEASING:
             return self._maybe_take_back(name, held)
         return []
 
@@ -256,7 +256,7 @@
             return []
         if self._preferred_node(resource) != self._node:
             return []
-        held.state = StewardState.UNASSIGNED
+        held.state = CoordinatorState.UNASSIGNED
         return [Lost(name, held.epoch)]
 
     def _maybe_claim(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
@@ -268,7 +268,7 @@
         holder = self._holders.get(name)
         if holder and holder.node != self._node and not holder.releasing:
             return []
-        held.state = StewardState.CLAIMING
+        held.state = CoordinatorState.CLAIMING
         return [Claim(name)]
 
     def _preferred_node(self, resource: Resource) -> NodeId | None:
@@ -278,13 +278,13 @@
         return self._preferred[resource.name]
 
     def _is_settling(self, now: float) -> bool:
-        seconds = LONGEST_SETTLING_SECONDS if self._unheard else SETTLING_SECONDS
+        seconds = MAX_SETTLING_SECONDS if self._unheard else SETTLING_SECONDS
         return now < self._started_at + seconds
 
     def _maybe_release(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
         resource = self._resources.get(name)
         if resource is None or self._draining:
-            held.state = StewardState.RELEASING
+            held.state = CoordinatorState.RELEASING
             return [Release(name, held.epoch)]
         preferred = self._preferred_node(resource)
         if preferred in (self._node, None):
@@ -294,5 +294,5 @@
             held.other_since = now
         if now - held.other_since < HANDOVER_SECONDS:
             return []
-        held.state = StewardState.RELEASING
+        held.state = CoordinatorState.RELEASING
         return [Release(name, held.epoch)]
--- a/src/foxwinch/core/steward/placement.py
+++ b/src/foxwinch/core/coordinator/placement.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.estimates import (
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.estimates import (
     PREFILL_TOKEN_SECONDS,
     SEQUENCE_SECONDS,
     Estimates,
 )
-from foxwinch.core.steward.policy import PolicySettings
-from foxwinch.core.steward.workers import WorkerState
+from foxwinch.core.coordinator.policy import PolicySettings
+from foxwinch.core.coordinator.workers import WorkerState
 
 SMALLEST_TRANSFER_BLOCKS = 2
 """Minimum size of a transfer; fewer blocks do not justify the export and import round trip."""
@@ -112,7 +112,7 @@
             return 0.0
         if not self._may_wait:
             return None
-        return max(SHORTEST_WAIT_SECONDS, worker.next_place_seconds(self._now))
+        return max(MIN_WAIT_SECONDS, worker.next_place_seconds(self._now))
 
     def _disturbs(self, worker: WorkerState) -> bool:
         """Return whether the call would slow down urgent calls on the worker."""
--- a/src/foxwinch/core/steward/scheduler.py
+++ b/src/foxwinch/core/coordinator/scheduler.py
@@ -15,19 +15,19 @@
 
 from collections.abc import Callable
 
-from foxwinch.core.steward.actions import (
+from foxwinch.core.coordinator.actions import (
+    CopyPrefix,
     Dispatch,
-    MovePrefix,
     PoolAction,
     RefuseCall,
     ReleaseCache,
     ResyncCache,
 )
-from foxwinch.core.steward.admission import refusal
-from foxwinch.core.steward.cache_index import CacheIndex
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.estimates import PREFILL_TOKEN_SECONDS, Estimates
-from foxwinch.core.steward.events import (
+from foxwinch.core.coordinator.admission import refusal
+from foxwinch.core.coordinator.cache_index import CacheIndex
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.estimates import PREFILL_TOKEN_SECONDS, Estimates
+from foxwinch.core.coordinator.events import (
     CacheChanged,
     CallArrived,
     CallFailed,
@@ -38,19 +38,19 @@
     PoolEvent,
     ProgramEnded,
     ProgramPaused,
-    ReleaseAnswered,
-    TimePassed,
-    TransferAnswered,
+    ReleaseCompleted,
+    Tick,
+    TransferCompleted,
     WorkerJoined,
     WorkerLeaving,
     WorkerLeft,
 )
-from foxwinch.core.steward.placement import Placement, choose_worker, private_blocks
-from foxwinch.core.steward.policy import PolicySettings
-from foxwinch.core.steward.programs import ProgramState, ProgramTable
-from foxwinch.core.steward.reasons import placement_reason
-from foxwinch.core.steward.waiting import WaitingCall, WaitingCalls, order_key
-from foxwinch.core.steward.workers import PlacedCall, WorkerState
+from foxwinch.core.coordinator.placement import Placement, choose_worker, private_blocks
+from foxwinch.core.coordinator.policy import PolicySettings
+from foxwinch.core.coordinator.programs import ProgramState, ProgramTable
+from foxwinch.core.coordinator.reasons import placement_reason
+from foxwinch.core.coordinator.waiting import WaitingCall, WaitingCalls, order_key
+from foxwinch.core.coordinator.workers import PlacedCall, WorkerState
 from foxwinch.identifiers import CallId, WorkerId
 
 PREFILL_SHARE_SECONDS = 0.00007
@@ -79,15 +79,15 @@
             CallFailed: self._call_failed,
             ProgramPaused: self._program_paused,
             ProgramEnded: self._program_ended,
-            ReleaseAnswered: self._release_answered,
-            TransferAnswered: self._transfer_answered,
+            ReleaseCompleted: self._release_answered,
+            TransferCompleted: self._transfer_answered,
             CacheChanged: self._cache_changed,
             WorkerJoined: self._worker_joined,
             WorkerLeaving: self._worker_leaving,
             WorkerLeft: self._worker_left,
             LoadReported: self._load_reported,
             PolicyChanged: self._policy_changed,
-            TimePassed: self._time_passed,
+            Tick: self._time_passed,
         }
 
     def handle(self, event: PoolEvent, now: float) -> list[PoolAction]:
@@ -130,23 +130,23 @@
             return [refused]
         program = self._programs.ensure(call.program_id)
         program.hashes = call.prefix_hashes
-        family = self._programs.ensure(call.family)
-        if family.active_calls == 0:
-            family.step_began_at_seconds = now
-        family.active_calls += 1
-        key = self.order_key(call, family, expected, now)
+        tree = self._programs.ensure(call.tree)
+        if tree.active_calls == 0:
+            tree.step_began_at_seconds = now
+        tree.active_calls += 1
+        key = self.order_key(call, tree, expected, now)
         self._sequence += 1
         self._waiting.add(WaitingCall(call, key, self._sequence, now, expected))
         return []
 
     def order_key(
-        self, call: PoolCall, family: ProgramState, expected_seconds: float, now: float
+        self, call: PoolCall, tree: ProgramState, expected_seconds: float, now: float
     ) -> float:
         """Return the sort key of a call, which experiments may override."""
         return order_key(self.policy, call, now, family.step_began_at_seconds, expected_seconds)
 
     def _admit(self, call: PoolCall, now: float) -> RefuseCall | None:
-        known = self._programs.get(call.family) is not None or call.service_seconds > 0
+        known = self._programs.get(call.tree) is not None or call.service_seconds > 0
         if known or not self.policy.features.admission:
             return None
         wait = self.predicted_wait_seconds(call.class_rank)
@@ -161,7 +161,7 @@
     def _call_withdrawn(self, event: CallWithdrawn, now: float) -> list[PoolAction]:
         waiting = self._waiting.remove(event.call_id)
         if waiting is not None:
-            self._family_call_over(waiting.call)
+            self._tree_call_over(waiting.call)
             return []
         return self._vacate(event.call_id)
 
@@ -186,7 +186,7 @@
         if placed is None:
             return []
         placed.worker.leave(placed)
-        self._family_call_over(placed.call)
+        self._tree_call_over(placed.call)
         program_id = placed.call.program_id
         gone = self._programs.get(program_id) is None
         worker = placed.worker.description.worker
@@ -194,10 +194,10 @@
             return [ReleaseCache(worker, program_id)]
         return []
 
-    def _family_call_over(self, call: PoolCall) -> None:
-        family = self._programs.get(call.family)
-        if family is not None:
-            family.active_calls = max(0, family.active_calls - 1)
+    def _tree_call_over(self, call: PoolCall) -> None:
+        tree = self._programs.get(call.tree)
+        if tree is not None:
+            tree.active_calls = max(0, tree.active_calls - 1)
 
     # --- programs ----------------------------------------------------------------------------
 
@@ -217,7 +217,7 @@
         self._workers[worker].index.forget_program(program.hashes, program.program_id)
         return ReleaseCache(worker, program.program_id)
 
-    def _release_answered(self, event: ReleaseAnswered, now: float) -> list[PoolAction]:
+    def _release_answered(self, event: ReleaseCompleted, now: float) -> list[PoolAction]:
         back = self._programs.get(event.program_id) is not None
         if event.done or back or event.worker not in self._workers:
             return []
@@ -262,7 +262,7 @@
         self.policy = event.policy
         return []
 
-    def _time_passed(self, event: TimePassed, now: float) -> list[PoolAction]:
+    def _time_passed(self, event: Tick, now: float) -> list[PoolAction]:
         return []
 
     # --- placement ---------------------------------------------------------------------------
@@ -321,7 +321,7 @@
         assert placement.source is not None
         hashes = placed.call.prefix_hashes[: placement.cached_blocks]
         holder = placement.source.index.program_of(hashes[-1])
-        return MovePrefix(
+        return CopyPrefix(
             placed.call.call_id,
             holder or placed.call.program_id,
             placement.source.description.worker,
@@ -329,7 +329,7 @@
             hashes,
         )
 
-    def _transfer_answered(self, event: TransferAnswered, now: float) -> list[PoolAction]:
+    def _transfer_answered(self, event: TransferCompleted, now: float) -> list[PoolAction]:
         placed = self._placed.get(event.call_id)
         if placed is None or placed.dispatched_at_seconds is not None:
             return []
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -13,7 +13,7 @@
     NodeStatus,
     ProgramDetail,
 )
-from foxwinch.commands.ports import LocateFamily
+from foxwinch.commands.ports import LocateTree
 from foxwinch.core.membership.member import Member, MemberState
 from foxwinch.core.program.identity import root_of
 from foxwinch.identifiers import NodeId, ProgramId
@@ -21,7 +21,7 @@
 from foxwinch.outcomes import Refused
 from foxwinch.peer.ports import PeerContext, PeerPort, parse_address
 from foxwinch.queries.facts import NodeFacts, ProgramFacts, WorkerFacts
-from foxwinch.records.families import ServedElsewhere
+from foxwinch.records.program_trees import OwnedElsewhere
 
 FACTS_METHOD = "operator.facts"
 PROGRAM_METHOD = "operator.program"
@@ -30,7 +30,7 @@
 NODES_AT_ONCE = 32
 """Nodes asked side by side, so that a query over hundreds of nodes causes no burst."""
 DEFAULT_PROGRAMS = 100
-MAXIMUM_PROGRAMS = 1_000
+MAX_PROGRAMS = 1_000
 ASKED_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 
 
@@ -57,7 +57,7 @@
     def __init__(
         self,
         membership: MembershipView,
-        locate: LocateFamily,
+        locate: LocateTree,
         peers: PeerPort | None,
         local: LocalFacts,
     ) -> None:
@@ -77,7 +77,7 @@
         return [_merged(member, answered.get(member.node)) for member in self._members()]
 
     async def workers(self) -> ListWorkersResponse:
-        """Return the workers of all stewards in order of their names."""
+        """Return the workers of all coordinators in order of their names."""
         facts = await self._ask_all(FactsRequest(workers=True))
         found = [worker for answer in facts.answers for worker in answer.workers]
         found.sort(key=lambda worker: worker.worker)
@@ -97,7 +97,7 @@
         located = await self._locate(root_of(program_id))
         if isinstance(located, Refused):
             return located
-        address = parse_address(located.address) if isinstance(located, ServedElsewhere) else None
+        address = parse_address(located.address) if isinstance(located, OwnedElsewhere) else None
         if address is not None and self._peers is not None:
             answer = await self._peers.call(
                 address, PROGRAM_METHOD, program_id.encode(), FACTS_SECONDS
@@ -148,7 +148,7 @@
 
 
 def _limit(request: ListProgramsRequest) -> int:
-    return min(request.limit or DEFAULT_PROGRAMS, MAXIMUM_PROGRAMS)
+    return min(request.limit or DEFAULT_PROGRAMS, MAX_PROGRAMS)
 
 
 def _merged(member: Member, answered: NodeStatus | None) -> NodeStatus:
--- a/src/foxwinch/workers/steward_choices.py
+++ b/src/foxwinch/workers/coordinator_cache.py
@@ -3,9 +3,13 @@
 from dataclasses import dataclass, field
 
 from foxwinch.clock import Clock
-from foxwinch.core.steward.assignment import Holder
+from foxwinch.core.coordinator.assignment import Holder
 from foxwinch.identifiers import ModelName, NodeId, WorkerId
-from foxwinch.workers.steward_directory import ServingSteward, StewardDirectory, worker_resource
+from foxwinch.workers.coordinator_directory import (
+    CoordinatorDirectory,
+    ServingCoordinator,
+    worker_resource,
+)
 
 KEPT_SECONDS = 0.05
 """Cache lifetime, far below the propagation time of a digest; after a stale choice the steward
@@ -16,7 +20,7 @@
 class _Copy:
     read_at: float
     holders: dict[str, Holder]
-    serving: dict[ModelName, list[ServingSteward]] = field(default_factory=dict)
+    serving: dict[ModelName, list[ServingCoordinator]] = field(default_factory=dict)
 
 
 class StewardChoices:
@@ -27,8 +31,8 @@
         self._clock = clock
         self._copy: _Copy | None = None
 
-    def serving(self, model: ModelName) -> list[ServingSteward]:
-        """Return the stewards with a worker that serves the model."""
+    def serving(self, model: ModelName) -> list[ServingCoordinator]:
+        """Return the coordinators with a worker that serves the model."""
         copy = self._fresh()
         found = copy.serving.get(model)
         if found is None:
--- a/src/foxwinch/workers/steward_client.py
+++ b/src/foxwinch/workers/coordinator_client.py
@@ -20,7 +20,7 @@
 from foxwinch.identifiers import NodeId
 from foxwinch.outcomes import Reason, Refused, not_run, outcome_unknown
 from foxwinch.peer.ports import PeerPort
-from foxwinch.workers.steward_messages import (
+from foxwinch.workers.coordinator_messages import (
     ACQUIRE_METHOD,
     DESCRIBE_METHOD,
     ORDER_METHOD,
@@ -71,7 +71,7 @@
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
         answers = self._peers.stream(
-            steward.address, ACQUIRE_METHOD, ask.SerializeToString(), ask.remaining_seconds
+            coordinator.address, ACQUIRE_METHOD, ask.SerializeToString(), ask.remaining_seconds
         )
         async with aclosing(cast(AsyncGenerator[bytes | Refused, None], answers)) as stream:
             async for answer in stream:
@@ -83,7 +83,7 @@
         if steward.node == self._node:
             return await self._local.report(self._node, report)
         return await self._call(
-            steward, REPORT_METHOD, report, GrantReportAnswer(), REPORT_DEADLINE_SECONDS
+            coordinator, REPORT_METHOD, report, GrantReportAnswer(), REPORT_DEADLINE_SECONDS
         )
 
     async def describe(self, steward: Member) -> StewardedWorkers | Refused:
@@ -91,7 +91,11 @@
         if steward.node == self._node:
             return await self._local.describe()
         return await self._call(
-            steward, DESCRIBE_METHOD, DescribeWorkers(), StewardedWorkers(), REPORT_DEADLINE_SECONDS
+            coordinator,
+            DESCRIBE_METHOD,
+            DescribeWorkers(),
+            StewardedWorkers(),
+            REPORT_DEADLINE_SECONDS,
         )
 
     async def order(self, steward: Member, order: WorkerOrder) -> WorkerOrderDone | Refused:
@@ -99,16 +103,16 @@
         if steward.node == self._node:
             return await self._local.order(order)
         return await self._call(
-            steward, ORDER_METHOD, order, WorkerOrderDone(), ORDER_DEADLINE_SECONDS
+            coordinator, ORDER_METHOD, order, WorkerOrderDone(), ORDER_DEADLINE_SECONDS
         )
 
     async def _call(
-        self, steward: Member, method: str, request: Message, answer: Answer, deadline: float
+        self, coordinator: Member, method: str, request: Message, answer: Answer, deadline: float
     ) -> Answer | Refused:
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
         payload = await self._peers.call(
-            steward.address, method, request.SerializeToString(), deadline
+            coordinator.address, method, request.SerializeToString(), deadline
         )
         return _parsed(answer, payload)
 
--- a/src/foxwinch/workers/steward_directory.py
+++ b/src/foxwinch/workers/coordinator_directory.py
@@ -6,9 +6,9 @@
 from google.protobuf.message import DecodeError
 
 from foxwinch._generated.steward_pb2 import HeldResource, StewardDigest
+from foxwinch.core.coordinator.assignment import Candidate, Holder
 from foxwinch.core.membership.entry import GossipEntry, GossipKind
 from foxwinch.core.membership.member import Member, MemberState
-from foxwinch.core.steward.assignment import Candidate, Holder
 from foxwinch.identifiers import Epoch, ModelName, NodeId, WorkerId
 from foxwinch.membership.ports import GossipView, MembershipView
 
@@ -55,7 +55,7 @@
     def subscribe(self, listener: Callable[[], None]) -> None:
         """Call `listener` after every change of members or digests."""
         self._membership.subscribe(lambda member: listener())
-        self._gossip.subscribe(GossipKind.STEWARD, lambda entry: listener())
+        self._gossip.subscribe(GossipKind.COORDINATOR, lambda entry: listener())
 
     def member(self, node: NodeId) -> Member | None:
         """Return a member that may answer requests, or None if there is none for `node`."""
@@ -87,7 +87,7 @@
     def epochs(self) -> dict[str, Epoch]:
         """Return the highest known epoch of each resource, including epochs of dead nodes."""
         found: dict[str, Epoch] = {}
-        for key, entry in self._gossip.entries(GossipKind.STEWARD).items():
+        for key, entry in self._gossip.entries(GossipKind.COORDINATOR).items():
             for held in self._decode(key, entry).held:
                 found[held.name] = max(found.get(held.name, Epoch(0)), Epoch(held.epoch))
         return found
@@ -97,17 +97,17 @@
         holder = self.holders().get(worker_resource(worker))
         return None if holder is None else holder.node
 
-    def serving(self, model: ModelName) -> list[ServingSteward]:
-        """Return the stewards with a worker that serves the model and is not leaving."""
+    def serving(self, model: ModelName) -> list[ServingCoordinator]:
+        """Return the coordinators with a worker that serves the model and is not leaving."""
         holders = self.holders()
-        found: list[ServingSteward] = []
+        found: list[ServingCoordinator] = []
         for member, digest in self._digests():
             workers = sum(_serves(held, model, member, holders) for held in digest.held)
             if not workers:
                 continue
             queue = next((q for q in digest.queues if q.model == model), None)
             found.append(
-                ServingSteward(
+                ServingCoordinator(
                     member=member,
                     workers=workers,
                     queued=queue.queued if queue else 0,
@@ -142,12 +142,12 @@
 
     def _present(self) -> dict[NodeId, Member]:
         members = self._membership.members()
-        return {member.node: member for member in members if member.state in PRESENT}
+        return {member.node: member for member in members if member.state in PRESENT_STATES}
 
     def _digests(self) -> Iterator[tuple[Member, StewardDigest]]:
         """Yield the digest of every member that may answer requests."""
         present = self._present()
-        entries = self._gossip.entries(GossipKind.STEWARD)
+        entries = self._gossip.entries(GossipKind.COORDINATOR)
         for node in self._decoded.keys() - entries.keys():
             del self._decoded[node]
         for key, entry in entries.items():
--- a/src/foxwinch/workers/steward_facts.py
+++ b/src/foxwinch/workers/coordinator_facts.py
@@ -9,8 +9,8 @@
 from foxwinch.identifiers import NodeId, WorkerId
 from foxwinch.membership.ports import GossipView
 from foxwinch.outcomes import Refused
-from foxwinch.workers.steward_pools import HeldWorker
-from foxwinch.workers.steward_service import StewardService
+from foxwinch.workers.coordinator_pools import HeldWorker
+from foxwinch.workers.coordinator_service import CoordinatorService
 
 
 class StewardFacts:
@@ -18,7 +18,7 @@
 
     def __init__(self, node: NodeId, steward: StewardService) -> None:
         self._node = node
-        self._steward = steward
+        self._coordinator = coordinator
 
     def workers(self) -> Sequence[WorkerStatus]:
         """Return the status of each worker held by this node."""
--- a/src/foxwinch/workers/steward_metrics.py
+++ b/src/foxwinch/workers/coordinator_metrics.py
@@ -1,12 +1,12 @@
-"""Metrics of the steward of a node."""
+"""Metrics of the coordinator of a node."""
 
 from collections.abc import Mapping
 
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
-from foxwinch.core.steward.grant_ledger import GrantLedger
+from foxwinch.core.coordinator.grant_ledger import GrantLedger
 from foxwinch.identifiers import Epoch
-from foxwinch.workers.steward_pools import StewardPools
+from foxwinch.workers.coordinator_pools import CoordinatorPools
 
 
 class StewardMetrics:
--- a/src/foxwinch/workers/steward_pools.py
+++ b/src/foxwinch/workers/coordinator_pools.py
@@ -6,11 +6,11 @@
 
 from foxwinch.backends.ports import EnginePort, LoadReport
 from foxwinch.clock import Clock
+from foxwinch.core.coordinator.calls import WorkerDescription
+from foxwinch.core.coordinator.events import CacheChanged, LoadReported, PolicyChanged, Tick
+from foxwinch.core.coordinator.grant_ledger import GrantLedger
+from foxwinch.core.coordinator.policy import PolicySettings, policy_for
 from foxwinch.core.prompt import BLOCK_TOKENS
-from foxwinch.core.steward.calls import WorkerDescription
-from foxwinch.core.steward.events import CacheChanged, LoadReported, PolicyChanged, TimePassed
-from foxwinch.core.steward.grant_ledger import GrantLedger
-from foxwinch.core.steward.policy import PolicySettings, policy_for
 from foxwinch.identifiers import Epoch, ModelName, WorkerId
 from foxwinch.settings.cluster import ClusterConfiguration, WorkerSettings
 from foxwinch.workers.engine_retries import EngineRetries
@@ -162,7 +162,7 @@
     def tick(self) -> None:
         """Send a timer tick to all pools."""
         for pool in self._pools.values():
-            pool.handle(TimePassed())
+            pool.handle(Tick())
 
     async def stop(self) -> None:
         """Drop all workers and stop the pools."""
--- a/src/foxwinch/workers/steward_programs.py
+++ b/src/foxwinch/workers/coordinator_programs.py
@@ -3,10 +3,10 @@
 from cachetools import LRUCache
 
 from foxwinch._generated.steward_pb2 import FinishedProgram, PausedProgram
-from foxwinch.core.steward.events import ProgramEnded, ProgramPaused
+from foxwinch.core.coordinator.events import ProgramEnded, ProgramPaused
 from foxwinch.identifiers import NodeId, ProgramId, ToolName, WorkerId
-from foxwinch.workers.steward_grants import StewardGrants
-from foxwinch.workers.steward_pools import StewardPools
+from foxwinch.workers.coordinator_grants import CoordinatorGrants
+from foxwinch.workers.coordinator_pools import CoordinatorPools
 
 PROGRAMS_REMEMBERED = 8_192
 """Capacity of the LRU maps of programs and of completed releases. After an eviction a pause is
@@ -19,9 +19,9 @@
     def __init__(self, pools: StewardPools, grants: StewardGrants) -> None:
         self._pools = pools
         self._grants = grants
-        self._last_ask: LRUCache[ProgramId, tuple[NodeId, int]] = LRUCache(PROGRAMS_REMEMBERED)
-        self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(PROGRAMS_REMEMBERED)
-        self._released: LRUCache[tuple[ProgramId, WorkerId], None] = LRUCache(PROGRAMS_REMEMBERED)
+        self._last_ask: LRUCache[ProgramId, tuple[NodeId, int]] = LRUCache(MAX_CACHED_PROGRAMS)
+        self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(MAX_CACHED_PROGRAMS)
+        self._released: LRUCache[tuple[ProgramId, WorkerId], None] = LRUCache(MAX_CACHED_PROGRAMS)
 
     def asked(self, owner: NodeId, program_id: ProgramId, sequence: int) -> None:
         """Record the latest request of a program."""
--- a/src/foxwinch/workers/steward_service.py
+++ b/src/foxwinch/workers/coordinator_service.py
@@ -10,18 +10,18 @@
 from foxwinch.backends.ports import EnginePort
 from foxwinch.clock import Clock
 from foxwinch.configuration.ports import ConfigurationSnapshot, ConfigurationView
-from foxwinch.core.membership.entry import GossipEntry, GossipKind
-from foxwinch.core.steward.assignment import (
+from foxwinch.core.coordinator.assignment import (
     AssignmentAction,
     Claim,
+    CoordinatorAssignment,
+    CoordinatorState,
     Lost,
     Release,
     Resource,
     Resync,
-    StewardAssignment,
-    StewardState,
 )
-from foxwinch.core.steward.grant_ledger import GrantLedger
+from foxwinch.core.coordinator.grant_ledger import GrantLedger
+from foxwinch.core.membership.entry import GossipEntry, GossipKind
 from foxwinch.identifiers import Epoch, ModelName, NodeId, WorkerId, ZoneName
 from foxwinch.log import EventLog
 from foxwinch.membership.ports import GossipView, MembershipView
@@ -30,13 +30,17 @@
 from foxwinch.service_tasks import ServiceTasks
 from foxwinch.storage.ports import MachinePort
 from foxwinch.workers.cache_evacuation import CacheEvacuation
+from foxwinch.workers.coordinator_directory import (
+    CoordinatorDirectory,
+    resource_worker,
+    worker_resource,
+)
+from foxwinch.workers.coordinator_grants import LOWEST_RANK, CoordinatorGrants
+from foxwinch.workers.coordinator_handlers import CoordinatorHandlers
+from foxwinch.workers.coordinator_metrics import CoordinatorMetrics
+from foxwinch.workers.coordinator_pools import CoordinatorPools
 from foxwinch.workers.engine_retries import EngineRetries
 from foxwinch.workers.ports import EpochView
-from foxwinch.workers.steward_desk import StewardDesk
-from foxwinch.workers.steward_directory import StewardDirectory, resource_worker, worker_resource
-from foxwinch.workers.steward_grants import LOWEST_RANK, StewardGrants
-from foxwinch.workers.steward_metrics import StewardMetrics
-from foxwinch.workers.steward_pools import StewardPools
 from foxwinch.workers.waiting import wait_for_event
 from foxwinch.workers.worker_drains import WorkerDrains
 
@@ -80,10 +84,10 @@
         self._evacuation = CacheEvacuation(ports.engine)
         self._wake = asyncio.Event()
         self._drains = WorkerDrains(ports.gossip, ports.machines, ports.clock, self._wake.set)
-        self.pools = StewardPools(
+        self.pools = CoordinatorPools(
             ports.engine, ports.clock, self._ledger, self._retries, self._drains, self._evacuate
         )
-        self._grants = StewardGrants(
+        self._grants = CoordinatorGrants(
             ports.engine,
             ports.clock,
             ports.configuration,
@@ -93,7 +97,7 @@
             self._drains,
             self._fenced,
         )
-        self.desk = StewardDesk(
+        self.desk = CoordinatorHandlers(
             ports.engine,
             ports.clock,
             self.pools,
@@ -102,8 +106,8 @@
             self._grants,
             self.state_of,
         )
-        self._metrics = StewardMetrics(ports.registry)
-        self._assignment: StewardAssignment | None = None
+        self._metrics = CoordinatorMetrics(ports.registry)
+        self._assignment: CoordinatorAssignment | None = None
         self._tasks = ServiceTasks("steward")
         self._extra: tuple[Resource, ...] = ()
         self._draining = False
@@ -115,7 +119,7 @@
     def state_of(self, worker: WorkerId) -> StewardState:
         """Return the state of a worker on this node."""
         if self._assignment is None:
-            return StewardState.UNASSIGNED
+            return CoordinatorState.UNASSIGNED
         return self._assignment.state(worker_resource(worker))
 
     def hold_also(self, resource: Resource) -> None:
@@ -126,14 +130,14 @@
         """Return the epoch of a resource, or None if this node is not serving it."""
         if self._assignment is None or self._draining:
             return None
-        if self._assignment.state(resource) is not StewardState.SERVING:
+        if self._assignment.state(resource) is not CoordinatorState.SERVING:
             return None
         return self._assignment.held().get(resource)
 
     async def start(self) -> None:
         """Start handling requests and claiming workers."""
         member = self._ports.membership.this_member()
-        self._assignment = StewardAssignment(self._ports.node, member.region, self._began_at())
+        self._assignment = CoordinatorAssignment(self._ports.node, member.region, self._began_at())
         self._ports.configuration.subscribe(self._configured)
         snapshot = self._ports.configuration.current()
         if not isinstance(snapshot, Refused):
@@ -142,7 +146,7 @@
             self.desk.serve(self._ports.peers)
         self._directory.subscribe(self._wake.set)
         self._drains.start()
-        self._tasks.keep(self._run())
+        self._tasks.start(self._run())
 
     async def stop(self) -> None:
         """Stop all parts; the epochs stay valid until another node raises them."""
@@ -181,7 +185,7 @@
             await wait_for_event(self._ports.clock, self._wake, TICK_SECONDS)
 
     def _tick(self) -> None:
-        assignment = cast(StewardAssignment, self._assignment)
+        assignment = cast(CoordinatorAssignment, self._assignment)
         now = self._ports.clock.monotonic()
         assignment.update_candidates(self._directory.candidates())
         assignment.update_holders(self._directory.holders())
@@ -216,7 +220,7 @@
         worker = resource_worker(action.resource)
         match action:
             case Claim():
-                self._tasks.keep(self._claim(action.resource))
+                self._tasks.start(self._claim(action.resource))
             case Resync():
                 self._resync(action, worker)
             case Release() if worker is not None:
@@ -225,7 +229,7 @@
                 self._let_go(worker)
 
     async def _claim(self, resource: str) -> None:
-        assignment = cast(StewardAssignment, self._assignment)
+        assignment = cast(CoordinatorAssignment, self._assignment)
         claim = await self._ports.epochs.raise_epoch(resource)
         if isinstance(claim, Refused):
             log.info("claim_refused", resource=resource, reason=claim.reason)
@@ -236,7 +240,7 @@
         self._wake.set()
 
     def _resync(self, action: Resync, worker: WorkerId | None) -> None:
-        assignment = cast(StewardAssignment, self._assignment)
+        assignment = cast(CoordinatorAssignment, self._assignment)
         if worker is None:
             assignment.resynced(action.resource, action.epoch)
             return
@@ -258,7 +262,7 @@
         """Complete handovers without a possible successor after their grants have ended."""
         alone = not any(c.node != self._ports.node for c in self._directory.candidates())
         for resource, epoch in assignment.held().items():
-            if assignment.state(resource) is not StewardState.RELEASING:
+            if assignment.state(resource) is not CoordinatorState.RELEASING:
                 continue
             worker = resource_worker(resource)
             if worker is None:
@@ -305,7 +309,7 @@
         self._digest, self._digest_held, self._digest_at = payload, held_part, now
         self._digest_version += 1
         entry = GossipEntry(
-            GossipKind.STEWARD, str(self._ports.node), self._digest_version, payload
+            GossipKind.COORDINATOR, str(self._ports.node), self._digest_version, payload
         )
         self._ports.gossip.publish(entry)
 
@@ -313,12 +317,12 @@
         members = len(self._ports.membership.members())
         return max(DIGEST_SECONDS, DIGEST_SECONDS_PER_MEMBER * members)
 
-    def _held_resources(self, assignment: StewardAssignment) -> list[HeldResource]:
+    def _held_resources(self, assignment: CoordinatorAssignment) -> list[HeldResource]:
         found: list[HeldResource] = []
         for resource, epoch in sorted(assignment.held().items()):
             worker = resource_worker(resource)
             held = self.pools.held().get(worker) if worker else None
-            releasing = assignment.state(resource) is StewardState.RELEASING
+            releasing = assignment.state(resource) is CoordinatorState.RELEASING
             item = HeldResource(name=resource, epoch=epoch, releasing=releasing)
             if held is not None and held.ready and held.link.report is not None:
                 item.leaving = held.leaving
--- a/src/foxwinch/workers/engine_retries.py
+++ b/src/foxwinch/workers/engine_retries.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from foxwinch.backends.ports import Done
+from foxwinch.backends.ports import Completed
 from foxwinch.clock import Clock
 from foxwinch.identifiers import WorkerId
 from foxwinch.log import EventLog
@@ -35,7 +35,7 @@
     """Program of a `RELEASE` or call of a `CANCEL`."""
 
 
-Operation = Callable[[], Awaitable[Done | Refused]]
+Operation = Callable[[], Awaitable[Completed | Refused]]
 
 
 class EngineRetries:
@@ -105,7 +105,7 @@
                 reason=refused.reason,
             )
             await self._clock.sleep(pause * (0.5 + self._clock.uniform() / 2))
-            pause = min(2 * pause, LONGEST_PAUSE_SECONDS)
+            pause = min(2 * pause, MAX_PAUSE_SECONDS)
         self._tasks.pop(key, None)
         for when_done in self._when_done.pop(key, ()):
             when_done()
--- a/src/foxwinch/workers/grant_reports.py
+++ b/src/foxwinch/workers/grant_reports.py
@@ -19,8 +19,8 @@
     WithdrawnAsk,
 )
 from foxwinch.identifiers import CallId, NodeId, ProgramId, WorkerId
+from foxwinch.workers.coordinator_messages import settled_message
 from foxwinch.workers.ports import Grant, GrantUsage
-from foxwinch.workers.steward_messages import settled_message
 
 ITEMS_PER_REPORT = 256
 """Maximum number of items in a message; the remaining items are sent in the next one."""
@@ -46,7 +46,7 @@
 class Report:
     """A message to one steward and the items that its answer acknowledges."""
 
-    steward: NodeId
+    coordinator: NodeId
     message: GrantReport = field(default_factory=GrantReport)
     settled: list[int] = field(default_factory=list)
     """Sequence numbers of the requests whose grants have ended."""
@@ -71,8 +71,8 @@
         self._paused: dict[ProgramId, _Pause] = {}
         self._finished: dict[ProgramId, set[WorkerId]] = {}
         self._adopted: set[ProgramId] = set()
-        self._workers: LRUCache[ProgramId, set[WorkerId]] = LRUCache(PROGRAMS_REMEMBERED)
-        self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(PROGRAMS_REMEMBERED)
+        self._workers: LRUCache[ProgramId, set[WorkerId]] = LRUCache(MAX_CACHED_PROGRAMS)
+        self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(MAX_CACHED_PROGRAMS)
 
     def next_sequence(self) -> int:
         """Return the next sequence number, which is greater than all previous ones."""
@@ -203,7 +203,7 @@
 
     def _build_finished(self, reports: "_ReportSet") -> None:
         for program_id, workers in self._finished.items():
-            for node, served in reports.by_steward(workers).items():
+            for node, served in reports.by_coordinator(workers).items():
                 if (report := reports.with_room(reports.of_node(node))) is not None:
                     item = FinishedProgram(program_id=program_id, workers=sorted(served))
                     report.message.finished.append(item)
@@ -225,8 +225,8 @@
 class _ReportSet:
     """Reports under construction, one per steward."""
 
-    def __init__(self, steward_of: StewardOf) -> None:
-        self._steward_of = steward_of
+    def __init__(self, coordinator_of: CoordinatorOf) -> None:
+        self._coordinator_of = coordinator_of
         self._reports: dict[NodeId, Report] = {}
 
     def all(self) -> list[Report]:
@@ -250,6 +250,6 @@
         """Return the workers that have a steward, grouped by steward."""
         found: dict[NodeId, set[WorkerId]] = {}
         for worker in workers:
-            if (node := self._steward_of(worker)) is not None:
+            if (node := self._coordinator_of(worker)) is not None:
                 found.setdefault(node, set()).add(worker)
         return found
--- a/src/foxwinch/workers/grants_service.py
+++ b/src/foxwinch/workers/grants_service.py
@@ -10,12 +10,12 @@
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.service_tasks import ServiceTasks
+from foxwinch.workers.coordinator_cache import CoordinatorCache
+from foxwinch.workers.coordinator_client import CoordinatorClient
+from foxwinch.workers.coordinator_directory import CoordinatorDirectory, ServingCoordinator
+from foxwinch.workers.coordinator_messages import ask_message, grant_of
 from foxwinch.workers.grant_reports import GrantReports, Report
 from foxwinch.workers.ports import Grant, GrantRequest, GrantUsage
-from foxwinch.workers.steward_choices import StewardChoices
-from foxwinch.workers.steward_client import StewardClient
-from foxwinch.workers.steward_directory import ServingSteward, StewardDirectory
-from foxwinch.workers.steward_messages import ask_message, grant_of
 from foxwinch.workers.waiting import wait_for_event
 
 REPORT_SECONDS = 2.0
@@ -65,13 +65,13 @@
 
     def __init__(
         self,
-        directory: StewardDirectory,
-        client: StewardClient,
+        directory: CoordinatorDirectory,
+        client: CoordinatorClient,
         configuration: ConfigurationView,
         clock: Clock,
     ) -> None:
         self._directory = directory
-        self._choices = StewardChoices(directory, clock)
+        self._choices = CoordinatorCache(directory, clock)
         self._client = client
         self._configuration = configuration
         self._clock = clock
@@ -92,8 +92,8 @@
 
         The next owner of a program repeats releases that an engine has not answered.
         """
-        give_up_at = self._clock.monotonic() + DRAIN_SECONDS
-        while self._reports.pending() and self._clock.monotonic() < give_up_at:
+        deadline_at = self._clock.monotonic() + DRAIN_SECONDS
+        while self._reports.pending() and self._clock.monotonic() < deadline_at:
             self._news.set()
             await self._clock.sleep(RETRY_SECONDS)
 
@@ -108,14 +108,14 @@
             if self._clock.monotonic() >= request.deadline_at_seconds:
                 detail = "no worker was granted before the deadline"
                 return not_run(Reason.DEADLINE, detail, COME_BACK_SECONDS)
-            steward = self._choose(search)
-            if steward is None:
-                refused = await self._wait_for_steward(search)
+            coordinator = self._choose(search)
+            if coordinator is None:
+                refused = await self._wait_for_coordinator(search)
             else:
-                answer = await self._ask(steward, search)
+                answer = await self._ask(coordinator, search)
                 if not isinstance(answer, Refused):
                     return self._accept(request, answer, search)
-                search.refused_by.add(steward.member.node)
+                search.refused_by.add(coordinator.member.node)
                 refused = await self._after_refusal(answer, search)
             if refused is not None:
                 return refused
@@ -152,28 +152,28 @@
         if len(serving) <= 1:
             return serving[0] if serving else None
         worker = self._reports.last_worker(request.program_id)
-        holder = self._choices.steward_of(worker) if worker else None
-        chosen = [steward for steward in serving if steward.member.node == holder]
+        holder = self._choices.coordinator_of(worker) if worker else None
+        chosen = [coordinator for coordinator in serving if coordinator.member.node == holder]
         chosen += [self._draw(serving), self._draw(serving)]
         return min(chosen, key=lambda s: _cost(s, request, s.member.node == holder))
 
-    def _draw(self, serving: list[ServingSteward]) -> ServingSteward:
+    def _draw(self, serving: list[ServingCoordinator]) -> ServingCoordinator:
         return serving[int(self._clock.uniform() * len(serving))]
 
-    async def _ask(self, steward: ServingSteward, search: _Search) -> GrantGiven | Refused:
+    async def _ask(self, coordinator: ServingCoordinator, search: _Search) -> GrantGiven | Refused:
         now = self._clock.monotonic()
         sequence = self._reports.next_sequence()
         ask = ask_message(search.request, now, now - search.asked_at, sequence)
         told = False
         try:
-            answer = await self._client.acquire(steward.member, ask)
+            answer = await self._client.acquire(coordinator.member, ask)
             told = not isinstance(answer, Refused) or answer.reason is not Reason.PEER_UNREACHABLE
             return answer
         finally:
             if self._clock.monotonic() - now > RETRY_SECONDS:
                 search.waiting_since = self._clock.monotonic()
             if not told:
-                self._reports.withdrew(search.request.call_id, sequence, steward.member.node)
+                self._reports.withdrew(search.request.call_id, sequence, coordinator.member.node)
                 self._news.set()
 
     def _accept(self, request: GrantRequest, given: GrantGiven, search: _Search) -> Grant:
@@ -186,7 +186,7 @@
         if refused.reason not in ELSEWHERE:
             return refused
         search.last_refusal = refused
-        return await self._wait_for_steward(search)
+        return await self._wait_for_coordinator(search)
 
     async def _wait_for_steward(self, search: _Search) -> Refused | None:
         """Wait before the next attempt, or return a refusal if the search has taken too long."""
@@ -231,7 +231,7 @@
 
     async def _report_once(self) -> None:
         self._reports.forget_gone(self._known_workers(), self._directory.present())
-        reports = self._reports.build(self._choices.steward_of)
+        reports = self._reports.build(self._choices.coordinator_of)
         await asyncio.gather(*(self._deliver(report) for report in reports))
 
     def _known_workers(self) -> set[WorkerId]:
@@ -240,27 +240,27 @@
         return workers or {grant.worker for grant in self._reports.held()}
 
     async def _deliver(self, report: Report) -> None:
-        member = self._directory.member(report.steward)
+        member = self._directory.member(report.coordinator)
         if member is None:
             return
         answer = await self._client.report(member, report.message)
         if isinstance(answer, Refused):
             return
         for call_id in self._reports.answered(report, answer):
-            log.info("grant_void", call=call_id, steward=report.steward)
+            log.info("grant_void", call=call_id, steward=report.coordinator)
 
 
 def _cost(steward: ServingSteward, request: GrantRequest, is_sticky: bool) -> float:
     """Return the predicted time to the first token, in seconds."""
     cached = 1.0 if is_sticky else _cached_share(steward, request)
     prefill = (1.0 - cached) * request.prompt_tokens * PREFILL_TOKEN_SECONDS
-    return steward.predicted_wait_seconds + prefill
+    return coordinator.predicted_wait_seconds + prefill
 
 
 def _cached_share(steward: ServingSteward, request: GrantRequest) -> float:
     """Return the share of the prompt covered by a hot prefix of the steward."""
     blocks = len(request.prefix_hashes)
     for index in range(blocks - 1, -1, -1):
-        if request.prefix_hashes[index] in steward.hot_prefixes:
+        if request.prefix_hashes[index] in coordinator.hot_prefixes:
             return (index + 1) / blocks
     return 0.0
--- a/src/foxwinch/workers/orders_service.py
+++ b/src/foxwinch/workers/orders_service.py
@@ -11,17 +11,17 @@
 from foxwinch._generated.steward_pb2 import StewardedWorker, StewardedWorkers, WorkerOrder
 from foxwinch.clock import Clock
 from foxwinch.configuration.ports import ConfigurationView
+from foxwinch.core.coordinator.assignment import Resource
 from foxwinch.core.orders.model import ModelGoal, Order, OrderKind, WorkerActual
 from foxwinch.core.orders.reconciler import OrderPolicy, OrderReconciler
-from foxwinch.core.steward.assignment import Resource
 from foxwinch.identifiers import Epoch, ModelName, RegionName, WorkerId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, RunState
 from foxwinch.service_tasks import ServiceTasks
 from foxwinch.settings.cluster import ClusterConfiguration
-from foxwinch.workers.steward_client import StewardClient
-from foxwinch.workers.steward_directory import StewardDirectory
-from foxwinch.workers.steward_service import StewardService
+from foxwinch.workers.coordinator_client import CoordinatorClient
+from foxwinch.workers.coordinator_directory import CoordinatorDirectory
+from foxwinch.workers.coordinator_service import CoordinatorService
 
 DECIDE_SECONDS = 2.0
 """Reconciliation period; reports lag by a second and loading takes tens of seconds."""
@@ -50,15 +50,15 @@
     def __init__(
         self,
         region: RegionName,
-        steward: StewardService,
-        directory: StewardDirectory,
-        client: StewardClient,
+        coordinator: CoordinatorService,
+        directory: CoordinatorDirectory,
+        client: CoordinatorClient,
         configuration: ConfigurationView,
         clock: Clock,
         policy: OrderPolicy,
     ) -> None:
         self._resource = orders_resource(region)
-        self._steward = steward
+        self._coordinator = coordinator
         self._directory = directory
         self._client = client
         self._configuration = configuration
@@ -70,7 +70,7 @@
         self._deliveries = ServiceTasks("order_deliveries")
         self._versions: dict[tuple[WorkerId, ModelName], str] = {}
         self._adapters: dict[WorkerId, set[tuple[ModelName, str]]] = {}
-        steward.hold_also(self._resource)
+        coordinator.hold_also(self._resource)
 
     async def start(self) -> None:
         """Start the reconciliation loop."""
@@ -121,10 +121,10 @@
                 model=order.model,
                 value=order.value,
             )
-            self._deliveries.keep(self._deliver(order, reconciler))
+            self._deliveries.start(self._deliver(order, reconciler))
 
     async def _actual(self, document: ClusterConfiguration) -> list[WorkerActual]:
-        members = [self._directory.member(node) for node in sorted(self._directory.stewards())]
+        members = [self._directory.member(node) for node in sorted(self._directory.coordinators())]
         asked = (self._client.describe(member) for member in members if member is not None)
         answers = await asyncio.gather(*asked)
         pools = {WorkerId(worker.name): worker.pool for worker in document.workers}
@@ -156,7 +156,7 @@
         """Resend an order under its token until it is answered or the delivery times out."""
         give_up_at = self._clock.monotonic() + GIVE_UP_SECONDS
         succeeded = False
-        while self._clock.monotonic() < give_up_at:
+        while self._clock.monotonic() < deadline_at:
             answer = await self._send(order)
             if answer is None:
                 succeeded = True
--- a/src/foxwinch/workers/worker_drains.py
+++ b/src/foxwinch/workers/worker_drains.py
@@ -13,7 +13,7 @@
 from foxwinch.outcomes import Refused
 from foxwinch.service_tasks import ServiceTasks
 from foxwinch.storage.ports import MachinePort
-from foxwinch.workers.steward_directory import worker_resource
+from foxwinch.workers.coordinator_directory import worker_resource
 
 LIST_SECONDS = 1.0
 """Polling period of the machine list; a leaving worker gets no new calls within 3 s."""
@@ -56,7 +56,7 @@
         self._gossip.subscribe(GossipKind.LEAVING, lambda entry: self._on_change())
         if self._machines is not None:
             reading = self._read_for_ever(self._machines)
-            self._tasks.keep(reading)
+            self._tasks.start(reading)
 
     async def stop(self) -> None:
         """Stop polling."""
--- a/src/foxwinch/workers/worker_link.py
+++ b/src/foxwinch/workers/worker_link.py
@@ -6,7 +6,7 @@
 
 from foxwinch.backends.ports import CacheEventPage, EnginePort, LoadReport
 from foxwinch.clock import Clock
-from foxwinch.core.steward.events import BlockChange, CacheChanged
+from foxwinch.core.coordinator.events import BlockChange, CacheChanged
 from foxwinch.identifiers import WorkerId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, outcome_unknown
@@ -35,7 +35,7 @@
 
 
 class WorkerLink:
-    """Polls one worker while this node is its steward."""
+    """Polls one worker while this node is its coordinator."""
 
     def __init__(
         self, worker: WorkerId, engine: EnginePort, clock: Clock, events: WorkerLinkEvents
@@ -52,7 +52,7 @@
 
     def start(self) -> None:
         """Start polling."""
-        self._tasks.keep(self._poll_for_ever())
+        self._tasks.start(self._poll_for_ever())
 
     def poll_now(self) -> None:
         """Poll immediately, for example after the worker has refused a call."""
