--- a/src/foxwinch/core/coordinator/actions.py
+++ b/src/foxwinch/core/coordinator/actions.py
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MovePrefix:
-    """Copy leading cache blocks between workers, then report `TransferAnswered` for the call.
+class CopyPrefix:
+    """Copy leading cache blocks between workers, then report `TransferCompleted` for the call.
 
     `program_id` identifies a program that has run with this prefix on the source.
     """
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseCache:
-    """Free the cache that the worker holds only for this program, then report `ReleaseAnswered`."""
+    """Free the cache held only for this program on the worker, then report `ReleaseCompleted`."""
 
     worker: WorkerId
     program_id: ProgramId
--- a/src/foxwinch/core/coordinator/admission.py
+++ b/src/foxwinch/core/coordinator/admission.py
@@ -4,7 +4,7 @@
 from foxwinch.core.coordinator.policy import PolicySettings
 from foxwinch.outcomes import Reason, Refused, not_run
 
-SHORTEST_RETRY_SECONDS = 1.0
+MIN_RETRY_SECONDS = 1.0
 """A retry within the duration of a call would get the same result."""
 
 
--- a/src/foxwinch/core/coordinator/assignment.py
+++ b/src/foxwinch/core/coordinator/assignment.py
@@ -1,6 +1,6 @@
-"""Assignment of workers to stewards.
+"""Assignment of workers to coordinators.
 
-Every node runs one `StewardAssignment` on the same inputs: the live members, the configured
+Every node runs one `CoordinatorAssignment` on the same inputs: the live members, the configured
 workers and the holders received by gossip. Rendezvous hashing selects the preferred node of each
 resource, first among the members in the resource's zone, then in the rest of the region. A dead
 holder is replaced immediately. A live holder releases a resource itself, and only after another
@@ -24,7 +24,7 @@
 time to suspect a member and refute the suspicion, so a false suspicion causes no handover."""
 SETTLING_SECONDS = 1.0
 """Delay after start before the first claim, in which the node receives the current holders."""
-LONGEST_SETTLING_SECONDS = 5.0
+MAX_SETTLING_SECONDS = 5.0
 """Limit of this delay while digests of live members are missing; gossip takes about a second."""
 CLAIM_RETRY_SECONDS = 0.5
 """Delay before a rejected claim is retried."""
@@ -32,7 +32,7 @@
 """Lower than every assigned epoch."""
 
 
-class StewardState(StrEnum):
+class CoordinatorState(StrEnum):
     """State of a resource on this node."""
 
     UNASSIGNED = "unassigned"
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A live node that is eligible as a steward."""
+    """A live node that is eligible as a coordinator."""
 
     node: NodeId
     zone: ZoneName
@@ -133,7 +133,7 @@
     retry_at: float = 0.0
 
 
-class StewardAssignment:
+class CoordinatorAssignment:
     """State machine of the resources on one node.
 
     Call `advance` after every change and at least once per second.
@@ -153,14 +153,14 @@
         self._epochs: Mapping[str, Epoch] = {}
         self._draining = False
 
-    def state(self, resource: str) -> StewardState:
+    def state(self, resource: str) -> CoordinatorState:
         """Return the state of a resource on this node."""
         held = self._held.get(resource)
         return CoordinatorState.UNASSIGNED if held is None else held.state
 
     def held(self) -> dict[str, Epoch]:
         """Return the epochs of the resources that this node holds, by resource name."""
-        owned = (StewardState.RESYNCING, StewardState.SERVING, StewardState.RELEASING)
+        owned = (CoordinatorState.RESYNCING, CoordinatorState.SERVING, CoordinatorState.RELEASING)
         return {name: h.epoch for name, h in self._held.items() if h.state in owned}
 
     def update_resources(self, resources: Iterable[Resource]) -> None:
--- a/src/foxwinch/core/coordinator/calls.py
+++ b/src/foxwinch/core/coordinator/calls.py
@@ -26,15 +26,15 @@
     deadline_at_seconds: float
     """Deadline on the clock that provides `now` of each event."""
     repeatable: bool = True
-    family_id: ProgramId | None = None
+    tree_id: ProgramId | None = None
     """Root program of the sub-agent tree, or None for a program without a parent."""
     excluded_workers: tuple[WorkerId, ...] = ()
     """Workers on which this call has already failed."""
 
     @property
-    def family(self) -> ProgramId:
+    def tree(self) -> ProgramId:
         """Root program, which is the program itself if it has no parent."""
-        return self.family_id or self.program_id
+        return self.tree_id or self.program_id
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/foxwinch/core/coordinator/events.py
+++ b/src/foxwinch/core/coordinator/events.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReleaseAnswered:
+class ReleaseCompleted:
     """A worker has completed a release, or the release has failed."""
 
     worker: WorkerId
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TransferAnswered:
+class TransferCompleted:
     """A transfer of cache blocks has ended; after a failure the call recomputes its prefix."""
 
     call_id: CallId
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimePassed:
+class Tick:
     """A timer tick that only advances the time to `now`."""
 
 
--- a/src/foxwinch/core/coordinator/grant_ledger.py
+++ b/src/foxwinch/core/coordinator/grant_ledger.py
@@ -1,8 +1,8 @@
-"""Grants issued by one steward and their leases.
+"""Grants issued by one coordinator and their leases.
 
 A grant stays valid while its owner confirms it. It expires when it is not confirmed for
 `LEASE_SECONDS` or when its owner is dead. The slot of an expired grant becomes free and the engine
-is asked to cancel the call. Calls granted by an earlier steward of the same worker are foreign:
+is asked to cancel the call. Calls granted by an earlier coordinator of the same worker are foreign:
 they occupy slots there, but nothing else is known about them.
 """
 
@@ -39,7 +39,7 @@
         self._expires_at: dict[tuple[NodeId, CallId], float] = {}
 
     def __len__(self) -> int:
-        """Return the number of active grants issued by this steward."""
+        """Return the number of active grants issued by this coordinator."""
         return len(self._grants)
 
     def find(self, call_id: CallId) -> GrantRecord | None:
@@ -51,7 +51,7 @@
         return [record for record in self._grants.values() if record.worker == worker]
 
     def foreign_calls(self, worker: WorkerId) -> int:
-        """Return the number of calls on a worker that an earlier steward granted."""
+        """Return the number of calls on a worker that an earlier coordinator granted."""
         return sum(record.worker == worker for record in self._foreign.values())
 
     def grant(self, record: GrantRecord, now: float) -> None:
--- a/src/foxwinch/core/coordinator/hot_prefixes.py
+++ b/src/foxwinch/core/coordinator/hot_prefixes.py
@@ -1,9 +1,9 @@
-"""Prefixes shared by several calls, published in the digest that owners use to choose a steward."""
+"""Prefixes shared by several calls, published so that owners can choose a coordinator."""
 
 from collections import OrderedDict
 
 TOP_PREFIXES = 8
-"""Prefixes per digest, which take 64 bytes as allowed by the gossip budget of a steward."""
+"""Prefixes per digest, which take 64 bytes as allowed by the gossip budget of a coordinator."""
 BLOCKS_COUNTED = 64
 """Leading blocks counted per call; longer shared prefixes are rare."""
 BLOCKS_KEPT = 2_048
--- a/src/foxwinch/core/coordinator/placement.py
+++ b/src/foxwinch/core/coordinator/placement.py
@@ -14,7 +14,7 @@
 
 SMALLEST_TRANSFER_BLOCKS = 2
 """Minimum size of a transfer; fewer blocks do not justify the export and import round trip."""
-SHORTEST_WAIT_SECONDS = 0.1
+MIN_WAIT_SECONDS = 0.1
 """Lower bound of a predicted wait: a slot whose call is overdue is still busy for a few steps."""
 PREEMPTION_SECONDS = 0.05
 """Cost of a preemption: two steps until the batch changes."""
--- a/src/foxwinch/core/coordinator/scheduler.py
+++ b/src/foxwinch/core/coordinator/scheduler.py
@@ -7,10 +7,10 @@
     actions = scheduler.handle(CallArrived(call), now)   # [Dispatch(...)] or []
     actions = scheduler.handle(CallFinished(...), now)   # [Dispatch(...)] of a waiting call or []
 
-`now` must be monotonic. The scheduler has no timer: call `handle(TimePassed(), now)` about once per
+`now` must be monotonic. The scheduler has no timer: call `handle(Tick(), now)` about once per
 second so that calls waiting for a preferred worker can fall back to another one. Every call gets
 exactly one `Dispatch` or `RefuseCall` unless it is withdrawn first. `ReleaseCache` is repeated
-after each `ReleaseAnswered(done=False)` until it succeeds or the worker leaves.
+after each `ReleaseCompleted(done=False)` until it succeeds or the worker leaves.
 """
 
 from collections.abc import Callable
@@ -56,7 +56,7 @@
 PREFILL_SHARE_SECONDS = 0.00007
 """Share of the fixed step time per prefilled token: 18 ms over 256 tokens."""
 
-NO_PLACE_FREED = (CacheChanged, ProgramPaused, ProgramEnded, ReleaseAnswered, LoadReported)
+NO_PLACE_FREED = (CacheChanged, ProgramPaused, ProgramEnded, ReleaseCompleted, LoadReported)
 """Events that cannot make a slot available to a waiting call."""
 
 
@@ -143,7 +143,7 @@
         self, call: PoolCall, tree: ProgramState, expected_seconds: float, now: float
     ) -> float:
         """Return the sort key of a call, which experiments may override."""
-        return order_key(self.policy, call, now, family.step_began_at_seconds, expected_seconds)
+        return order_key(self.policy, call, now, tree.step_began_at_seconds, expected_seconds)
 
     def _admit(self, call: PoolCall, now: float) -> RefuseCall | None:
         known = self._programs.get(call.tree) is not None or call.service_seconds > 0
--- a/src/foxwinch/workers/__init__.py
+++ b/src/foxwinch/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Stewards of workers: grants, model orders, drains and cache transfers."""
+"""Coordinators of workers: grants, model orders, drains and cache transfers."""
--- a/src/foxwinch/workers/coordinator_cache.py
+++ b/src/foxwinch/workers/coordinator_cache.py
@@ -1,4 +1,4 @@
-"""Short-lived cache of the steward directory, which avoids reading all digests for every call."""
+"""Short-lived cache of the coordinator directory, to avoid reading all digests for every call."""
 
 from dataclasses import dataclass, field
 
@@ -12,7 +12,7 @@
 )
 
 KEPT_SECONDS = 0.05
-"""Cache lifetime, far below the propagation time of a digest; after a stale choice the steward
+"""Cache lifetime, far below the propagation time of a digest; after a stale choice the coordinator
 refuses the request and the choice is repeated."""
 
 
@@ -23,10 +23,10 @@
     serving: dict[ModelName, list[ServingCoordinator]] = field(default_factory=dict)
 
 
-class StewardChoices:
+class CoordinatorCache:
     """Cache that reads the directory at most once per `KEPT_SECONDS`."""
 
-    def __init__(self, directory: StewardDirectory, clock: Clock) -> None:
+    def __init__(self, directory: CoordinatorDirectory, clock: Clock) -> None:
         self._directory = directory
         self._clock = clock
         self._copy: _Copy | None = None
@@ -39,7 +39,7 @@
             found = copy.serving[model] = self._directory.serving(model)
         return found
 
-    def steward_of(self, worker: WorkerId) -> NodeId | None:
+    def coordinator_of(self, worker: WorkerId) -> NodeId | None:
         """Return the node that holds a worker, or None if no node does."""
         holder = self._fresh().holders.get(worker_resource(worker))
         return None if holder is None else holder.node
--- a/src/foxwinch/workers/coordinator_client.py
+++ b/src/foxwinch/workers/coordinator_client.py
@@ -1,4 +1,4 @@
-"""Client of stewards, which calls the local one directly and the others over peer streams."""
+"""Client of coordinators, which calls the local one directly and the others over peer streams."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -35,8 +35,8 @@
 Answer = TypeVar("Answer", bound=Message)
 
 
-class StewardEndpoint(Protocol):
-    """Requests that a steward handles, implemented by the steward of this node."""
+class CoordinatorEndpoint(Protocol):
+    """Requests that a coordinator handles, implemented by the coordinator of this node."""
 
     async def acquire(self, owner: NodeId, ask: GrantAsk) -> GrantGiven | Refused:
         """Return a grant when it is issued; cancellation withdraws the request."""
@@ -55,18 +55,18 @@
         ...
 
 
-class StewardClient:
-    """Client of any steward, addressed by its member entry."""
+class CoordinatorClient:
+    """Client of any coordinator, addressed by its member entry."""
 
-    def __init__(self, node: NodeId, local: StewardEndpoint, peers: PeerPort | None) -> None:
+    def __init__(self, node: NodeId, local: CoordinatorEndpoint, peers: PeerPort | None) -> None:
         """Call `local` for this node; `peers` is None in a single-node deployment."""
         self._node = node
         self._local = local
         self._peers = peers
 
-    async def acquire(self, steward: Member, ask: GrantAsk) -> GrantGiven | Refused:
+    async def acquire(self, coordinator: Member, ask: GrantAsk) -> GrantGiven | Refused:
         """Return a grant when it is issued; cancellation withdraws the request."""
-        if steward.node == self._node:
+        if coordinator.node == self._node:
             return await self._local.acquire(self._node, ask)
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
@@ -76,19 +76,21 @@
         async with aclosing(cast(AsyncGenerator[bytes | Refused, None], answers)) as stream:
             async for answer in stream:
                 return _parsed(GrantGiven(), answer)
-        return outcome_unknown(Reason.PEER_UNREACHABLE, "the steward closed without an answer")
+        return outcome_unknown(
+            Reason.PEER_UNREACHABLE, "the coordinator closed the stream without a response"
+        )
 
-    async def report(self, steward: Member, report: GrantReport) -> GrantReportAnswer | Refused:
+    async def report(self, coordinator: Member, report: GrantReport) -> GrantReportAnswer | Refused:
         """Deliver a report; after a refusal it may still have arrived."""
-        if steward.node == self._node:
+        if coordinator.node == self._node:
             return await self._local.report(self._node, report)
         return await self._call(
             coordinator, REPORT_METHOD, report, GrantReportAnswer(), REPORT_DEADLINE_SECONDS
         )
 
-    async def describe(self, steward: Member) -> StewardedWorkers | Refused:
-        """Return the state of the steward's workers."""
-        if steward.node == self._node:
+    async def describe(self, coordinator: Member) -> StewardedWorkers | Refused:
+        """Return the state of the coordinator's workers."""
+        if coordinator.node == self._node:
             return await self._local.describe()
         return await self._call(
             coordinator,
@@ -98,9 +100,9 @@
             REPORT_DEADLINE_SECONDS,
         )
 
-    async def order(self, steward: Member, order: WorkerOrder) -> WorkerOrderDone | Refused:
-        """Send a model order to a steward and wait for its execution."""
-        if steward.node == self._node:
+    async def order(self, coordinator: Member, order: WorkerOrder) -> WorkerOrderDone | Refused:
+        """Send a model order to a coordinator and wait for its execution."""
+        if coordinator.node == self._node:
             return await self._local.order(order)
         return await self._call(
             coordinator, ORDER_METHOD, order, WorkerOrderDone(), ORDER_DEADLINE_SECONDS
@@ -123,5 +125,5 @@
     try:
         answer.ParseFromString(payload)
     except DecodeError:
-        return outcome_unknown(Reason.INTERNAL, "the answer of a steward could not be decoded")
+        return outcome_unknown(Reason.INTERNAL, "a coordinator response could not be decoded")
     return answer
--- a/src/foxwinch/workers/coordinator_directory.py
+++ b/src/foxwinch/workers/coordinator_directory.py
@@ -1,4 +1,4 @@
-"""Directory of the stewards, their workers and their load, based on gossiped digests."""
+"""Directory of the coordinators, their workers and their load, based on gossiped digests."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 WORKER_PREFIX = "worker/"
 """Prefix of the resource names of workers."""
-PRESENT = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 """States in which a member may hold workers and answer requests."""
 ASSIGNABLE = (MemberState.ALIVE, MemberState.SUSPECT)
 """States in which workers may be assigned to a member, which may refute a suspicion."""
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServingSteward:
-    """A steward that can grant calls for a model."""
+class ServingCoordinator:
+    """A coordinator that can grant calls for a model."""
 
     member: Member
     workers: int
@@ -44,7 +44,7 @@
     hot_prefixes: frozenset[int]
 
 
-class StewardDirectory:
+class CoordinatorDirectory:
     """Queries on membership and gossiped digests, whose decoded form is cached."""
 
     def __init__(self, membership: MembershipView, gossip: GossipView) -> None:
@@ -66,7 +66,7 @@
         return set(self._present())
 
     def candidates(self) -> list[Candidate]:
-        """Return the members that are eligible as stewards."""
+        """Return the members that are eligible as coordinators."""
         draining = {member.node for member, digest in self._digests() if digest.draining}
         return [
             Candidate(member.node, member.zone, member.region)
@@ -92,7 +92,7 @@
                 found[held.name] = max(found.get(held.name, Epoch(0)), Epoch(held.epoch))
         return found
 
-    def steward_of(self, worker: WorkerId) -> NodeId | None:
+    def coordinator_of(self, worker: WorkerId) -> NodeId | None:
         """Return the node that holds a worker, even during a handover, or None if no node does."""
         holder = self.holders().get(worker_resource(worker))
         return None if holder is None else holder.node
@@ -117,13 +117,13 @@
             )
         return found
 
-    def stewards(self) -> set[NodeId]:
+    def coordinators(self) -> set[NodeId]:
         """Return the nodes that hold any resource."""
         return {member.node for member, digest in self._digests() if digest.held}
 
     def unheard(self) -> bool:
         """Return whether the digest of a live member of this region has not arrived yet."""
-        entries = self._gossip.entries(GossipKind.STEWARD)
+        entries = self._gossip.entries(GossipKind.COORDINATOR)
         this = self._membership.this_member()
         return any(
             node not in entries
@@ -132,7 +132,7 @@
         )
 
     def queued(self) -> dict[ModelName, int]:
-        """Return the number of waiting calls of each model, summed over all stewards."""
+        """Return the number of waiting calls of each model, summed over all coordinators."""
         found: dict[ModelName, int] = {}
         for _, digest in self._digests():
             for queue in digest.queues:
--- a/src/foxwinch/workers/coordinator_facts.py
+++ b/src/foxwinch/workers/coordinator_facts.py
@@ -13,16 +13,16 @@
 from foxwinch.workers.coordinator_service import CoordinatorService
 
 
-class StewardFacts:
+class CoordinatorFacts:
     """Implementation of `foxwinch.queries.facts.WorkerFacts`."""
 
-    def __init__(self, node: NodeId, steward: StewardService) -> None:
+    def __init__(self, node: NodeId, coordinator: CoordinatorService) -> None:
         self._node = node
         self._coordinator = coordinator
 
     def workers(self) -> Sequence[WorkerStatus]:
         """Return the status of each worker held by this node."""
-        held = self._steward.pools.held()
+        held = self._coordinator.pools.held()
         return [self._status(worker, entry) for worker, entry in held.items()]
 
     def _status(self, worker: WorkerId, held: HeldWorker) -> WorkerStatus:
--- a/src/foxwinch/workers/coordinator_grants.py
+++ b/src/foxwinch/workers/coordinator_grants.py
@@ -1,4 +1,4 @@
-"""Steward side of grants: places calls, maintains leases and ends grants."""
+"""Coordinator side of grants: places calls, maintains leases and ends grants."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 from foxwinch.workers.worker_drains import WorkerDrains
 
 ASK_ELSEWHERE_SECONDS = 0.2
-"""Retry delay before the request is sent to another steward."""
+"""Retry delay before the request is sent to another coordinator."""
 LOWEST_RANK = 9
 """Rank of a class that the active configuration does not contain."""
 FAILURES_REMEMBERED = 4_096
@@ -34,7 +34,7 @@
 log = EventLog("steward")
 
 
-class StewardGrants:
+class CoordinatorGrants:
     """Grants on the workers that this node holds."""
 
     def __init__(
@@ -66,13 +66,13 @@
         self._end_earlier(call.call_id)
         found = self._pools.serving(call.model, call.class_rank)
         if found is None:
-            detail = f"this steward has no worker for model {call.model}"
+            detail = f"this coordinator has no worker for model {call.model}"
             return not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS)
         name, pool = found
         if call.excluded_workers and not pool.serves(call.model, call.excluded_workers):
-            # If the call returns, no other steward could run it, so these workers are tried again.
+            # A call that returns found no other coordinator, so these workers are tried again.
             self._failed_on.pop(call.call_id, None)
-            detail = "the call has failed on every suitable worker of this steward"
+            detail = "the call has failed on every suitable worker of this coordinator"
             return not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS)
         try:
             async with asyncio.timeout(ask.remaining_seconds):
@@ -145,7 +145,7 @@
         call_id, program_id = CallId(ask.call_id), ProgramId(ask.program_id)
         if held is None:
             pool.withdraw(call_id)
-            detail = f"worker {dispatch.worker} is no longer held by this steward"
+            detail = f"worker {dispatch.worker} is no longer held by this coordinator"
             return not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS)
         self._hot.use(tuple(ask.prefix_hashes))
         record = GrantRecord(
--- a/src/foxwinch/workers/coordinator_handlers.py
+++ b/src/foxwinch/workers/coordinator_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of a steward for requests from owners, operators and the issuer of model orders."""
+"""Handlers of a coordinator for requests from owners, operators and the issuer of model orders."""
 
 from collections.abc import AsyncIterator, Callable
 
@@ -35,8 +35,8 @@
 UNREADABLE = not_run(Reason.INVALID_REQUEST, "the message could not be decoded")
 
 
-class StewardDesk:
-    """Implementation of `foxwinch.workers.steward_client.StewardEndpoint`."""
+class CoordinatorHandlers:
+    """Implementation of `foxwinch.workers.coordinator_client.CoordinatorEndpoint`."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         worker = WorkerId(order.worker)
         held = self._pools.held().get(worker)
         if held is None:
-            return not_run(Reason.NOT_OWNER, f"worker {worker} has another steward")
+            return not_run(Reason.NOT_OWNER, f"worker {worker} is not held by this coordinator")
         fenced = ModelOrder(
             order.token, held.epoch, order.kind, ModelName(order.model), order.value
         )
--- a/src/foxwinch/workers/coordinator_metrics.py
+++ b/src/foxwinch/workers/coordinator_metrics.py
@@ -9,7 +9,7 @@
 from foxwinch.workers.coordinator_pools import CoordinatorPools
 
 
-class StewardMetrics:
+class CoordinatorMetrics:
     """Metrics of one node, whose label values come from the configuration only."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
@@ -42,7 +42,9 @@
         """Count expired grants."""
         self._expired.inc(count)
 
-    def observe(self, held: Mapping[str, Epoch], ledger: GrantLedger, pools: StewardPools) -> None:
+    def observe(
+        self, held: Mapping[str, Epoch], ledger: GrantLedger, pools: CoordinatorPools
+    ) -> None:
         """Update the gauges."""
         self._held.set(len(held))
         self._granted.set(len(ledger))
--- a/src/foxwinch/workers/coordinator_pools.py
+++ b/src/foxwinch/workers/coordinator_pools.py
@@ -1,4 +1,4 @@
-"""Workers held by a steward, with their links, epochs and pool schedulers."""
+"""Workers held by a coordinator, with their links, epochs and pool schedulers."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -37,8 +37,8 @@
     ready: bool = False
 
 
-class StewardPools:
-    """Workers held by this node, as directed by the steward service, and their pools."""
+class CoordinatorPools:
+    """Workers held by this node, as directed by the coordinator service, and their pools."""
 
     def __init__(
         self,
--- a/src/foxwinch/workers/coordinator_programs.py
+++ b/src/foxwinch/workers/coordinator_programs.py
@@ -1,4 +1,4 @@
-"""Program state on a steward between and after calls: pauses and cache releases."""
+"""Program state on a coordinator between and after calls: pauses and cache releases."""
 
 from cachetools import LRUCache
 
@@ -8,15 +8,15 @@
 from foxwinch.workers.coordinator_grants import CoordinatorGrants
 from foxwinch.workers.coordinator_pools import CoordinatorPools
 
-PROGRAMS_REMEMBERED = 8_192
+MAX_CACHED_PROGRAMS = 8_192
 """Capacity of the LRU maps of programs and of completed releases. After an eviction a pause is
 accepted without a check for newer requests, and a release is repeated."""
 
 
-class StewardPrograms:
+class CoordinatorPrograms:
     """Programs that use the workers held by this node."""
 
-    def __init__(self, pools: StewardPools, grants: StewardGrants) -> None:
+    def __init__(self, pools: CoordinatorPools, grants: CoordinatorGrants) -> None:
         self._pools = pools
         self._grants = grants
         self._last_ask: LRUCache[ProgramId, tuple[NodeId, int]] = LRUCache(MAX_CACHED_PROGRAMS)
--- a/src/foxwinch/workers/coordinator_service.py
+++ b/src/foxwinch/workers/coordinator_service.py
@@ -1,4 +1,4 @@
-"""Steward of a node, which claims and polls workers, issues grants and hands workers over."""
+"""Coordinator of a node, which claims and polls workers, issues grants and hands workers over."""
 
 import asyncio
 from dataclasses import dataclass
@@ -47,7 +47,7 @@
 TICK_SECONDS = 0.25
 """Maximum interval between checks of members, leases and waiting calls."""
 HANDOVER_SECONDS = 5.0
-"""Time to wait for the claim of the next steward, which arrives by gossip and may be queued."""
+"""Time to wait for the claim of the next coordinator, which arrives by gossip and may be queued."""
 DIGEST_SECONDS = 2.0
 DIGEST_SECONDS_PER_MEMBER = 0.3
 """If only queue lengths change, a digest is published at most once per `DIGEST_SECONDS` or per this
@@ -58,8 +58,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StewardPorts:
-    """Dependencies of a steward on its node."""
+class CoordinatorPorts:
+    """Dependencies of a coordinator on its node."""
 
     node: NodeId
     clock: Clock
@@ -73,10 +73,10 @@
     registry: CollectorRegistry
 
 
-class StewardService:
+class CoordinatorService:
     """Service that runs the worker assignment of this node; `desk` handles requests of owners."""
 
-    def __init__(self, ports: StewardPorts, directory: StewardDirectory) -> None:
+    def __init__(self, ports: CoordinatorPorts, directory: CoordinatorDirectory) -> None:
         self._ports = ports
         self._directory = directory
         self._ledger = GrantLedger()
@@ -116,7 +116,7 @@
         self._digest_version = 0
         self._digest_at = float("-inf")
 
-    def state_of(self, worker: WorkerId) -> StewardState:
+    def state_of(self, worker: WorkerId) -> CoordinatorState:
         """Return the state of a worker on this node."""
         if self._assignment is None:
             return CoordinatorState.UNASSIGNED
@@ -253,12 +253,12 @@
 
     def _fenced(self, worker: WorkerId, epoch: Epoch) -> None:
         """Drop a worker that refused an epoch of this node because a higher one exists."""
-        assignment = cast(StewardAssignment, self._assignment)
+        assignment = cast(CoordinatorAssignment, self._assignment)
         for action in assignment.fenced(worker_resource(worker), Epoch(epoch + 1)):
             self._carry_out(action)
         self._wake.set()
 
-    def _finish_handovers(self, assignment: StewardAssignment) -> None:
+    def _finish_handovers(self, assignment: CoordinatorAssignment) -> None:
         """Complete handovers without a possible successor after their grants have ended."""
         alone = not any(c.node != self._ports.node for c in self._directory.candidates())
         for resource, epoch in assignment.held().items():
@@ -294,7 +294,7 @@
 
     # --- digest ------------------------------------------------------------------------------
 
-    def _publish(self, assignment: StewardAssignment, now: float) -> None:
+    def _publish(self, assignment: CoordinatorAssignment, now: float) -> None:
         """Publish a changed digest, immediately for held resources and rate-limited otherwise."""
         digest = StewardDigest(draining=self._draining, held=self._held_resources(assignment))
         held_part = digest.SerializeToString(deterministic=True)
--- a/src/foxwinch/workers/engine_retries.py
+++ b/src/foxwinch/workers/engine_retries.py
@@ -12,7 +12,7 @@
 from foxwinch.outcomes import Refused
 
 FIRST_PAUSE_SECONDS = 0.2
-LONGEST_PAUSE_SECONDS = 5.0
+MAX_PAUSE_SECONDS = 5.0
 """Maximum backoff, within which an engine that is available again gets pending operations."""
 
 log = EventLog("engine")
@@ -39,7 +39,7 @@
 
 
 class EngineRetries:
-    """Runs operations until the engine answers `Done`, with jittered exponential backoff."""
+    """Runs operations until the engine answers `Completed`, with jittered exponential backoff."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -81,7 +81,7 @@
             self.drop(key)
 
     def drop_worker(self, worker: WorkerId) -> None:
-        """Cancel the operations on a worker that is no longer held by this steward."""
+        """Cancel the operations on a worker that is no longer held by this coordinator."""
         for key in [key for key in self._tasks if key.worker == worker]:
             self.drop(key)
 
--- a/src/foxwinch/workers/grant_reports.py
+++ b/src/foxwinch/workers/grant_reports.py
@@ -1,8 +1,8 @@
-"""Pending reports from an owner to stewards about its grants and programs.
+"""Pending reports from an owner to coordinators about its grants and programs.
 
-Each item is kept until the current steward of its worker has answered, or until the worker no
-longer exists. Items are idempotent, so a report whose answer was lost is resent. If a steward fails
-before it answers, the items go to the next steward of the worker.
+Each item is kept until the current coordinator of its worker has acknowledged it, or until the
+worker no longer exists. Items are idempotent, so a report whose response was lost is resent. If a
+coordinator fails before it responds, the items go to the next coordinator of the worker.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,9 +24,9 @@
 
 ITEMS_PER_REPORT = 256
 """Maximum number of items in a message; the remaining items are sent in the next one."""
-PROGRAMS_REMEMBERED = 20_000
+MAX_CACHED_PROGRAMS = 20_000
 """Capacity of the LRU map from programs to workers; evicted programs are released everywhere."""
-StewardOf = Callable[[WorkerId], NodeId | None]
+CoordinatorOf = Callable[[WorkerId], NodeId | None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """A message to one steward and the items that its answer acknowledges."""
+    """A message to one coordinator and the items that its response acknowledges."""
 
     coordinator: NodeId
     message: GrantReport = field(default_factory=GrantReport)
@@ -106,9 +106,9 @@
         self._workers.setdefault(program_id, set()).add(grant.worker)
         self._last_worker[program_id] = grant.worker
 
-    def withdrew(self, call_id: CallId, sequence: int, steward: NodeId) -> None:
+    def withdrew(self, call_id: CallId, sequence: int, coordinator: NodeId) -> None:
         """Record a withdrawn request whose grant may be in flight."""
-        self._withdrawn[sequence] = (call_id, steward)
+        self._withdrawn[sequence] = (call_id, coordinator)
 
     def settle(self, grant: Grant, usage: GrantUsage) -> None:
         """End a grant; repeated calls have no effect."""
@@ -144,7 +144,7 @@
             self._finished.setdefault(program_id, set()).update(workers)
 
     def forget_gone(self, workers: set[WorkerId], members: set[NodeId]) -> None:
-        """Drop items about workers that are not configured and stewards that have left."""
+        """Drop items about workers that are not configured and coordinators that have left."""
         for sequence, (grant, _) in list(self._settled.items()):
             if grant.worker not in workers:
                 del self._settled[sequence]
@@ -159,9 +159,9 @@
             if not served:
                 del self._finished[program_id]
 
-    def build(self, steward_of: StewardOf) -> list[Report]:
-        """Return one report for each steward with pending items or active grants."""
-        reports = _ReportSet(steward_of)
+    def build(self, coordinator_of: CoordinatorOf) -> list[Report]:
+        """Return one report for each coordinator with pending items or active grants."""
+        reports = _ReportSet(coordinator_of)
         self._build_calls(reports)
         self._build_paused(reports)
         self._build_finished(reports)
@@ -223,7 +223,7 @@
 
 
 class _ReportSet:
-    """Reports under construction, one per steward."""
+    """Reports under construction, one per coordinator."""
 
     def __init__(self, coordinator_of: CoordinatorOf) -> None:
         self._coordinator_of = coordinator_of
@@ -234,20 +234,20 @@
         return list(self._reports.values())
 
     def of_node(self, node: NodeId) -> Report:
-        """Return the report to a steward, creating it if necessary."""
+        """Return the report to a coordinator, creating it if necessary."""
         return self._reports.setdefault(node, Report(node))
 
     def of_worker(self, worker: WorkerId) -> Report | None:
-        """Return the report to the steward of a worker, or None if the worker has no steward."""
-        node = self._steward_of(worker)
+        """Return the report to the coordinator of a worker, or None if it has no coordinator."""
+        node = self._coordinator_of(worker)
         return None if node is None else self.of_node(node)
 
     def with_room(self, report: Report | None) -> Report | None:
         """Return the report, or None if it is full."""
         return None if report is None or report.is_full() else report
 
-    def by_steward(self, workers: Iterable[WorkerId]) -> dict[NodeId, set[WorkerId]]:
-        """Return the workers that have a steward, grouped by steward."""
+    def by_coordinator(self, workers: Iterable[WorkerId]) -> dict[NodeId, set[WorkerId]]:
+        """Return the workers that have a coordinator, grouped by coordinator."""
         found: dict[NodeId, set[WorkerId]] = {}
         for worker in workers:
             if (node := self._coordinator_of(worker)) is not None:
--- a/src/foxwinch/workers/grants_service.py
+++ b/src/foxwinch/workers/grants_service.py
@@ -1,4 +1,4 @@
-"""Owner side of grants: chooses stewards, requests grants and reports until acknowledged."""
+"""Owner side of grants: chooses coordinators, requests grants and reports until acknowledged."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -23,14 +23,14 @@
 GATHER_SECONDS = 0.005
 """Time for which reports are batched, short compared to a call, which takes tenths of a second."""
 RETRY_SECONDS = 0.2
-"""Delay before an unanswered report is resent and before another search for a steward."""
+"""Delay before an unanswered report is resent and before another search for a coordinator."""
 DRAIN_SECONDS = 5.0
 """Timeout of the last reports during a planned stop."""
-NO_STEWARD_SECONDS = 10.0
-"""Time for which a request waits for a steward of any suitable worker, about two detections of a
-dead node followed by a takeover. The request is then rejected with a retry delay."""
+NO_COORDINATOR_SECONDS = 10.0
+"""Time for which a request waits for a coordinator of any suitable worker, about two detections of
+a dead node followed by a takeover. The request is then rejected with a retry delay."""
 COME_BACK_SECONDS = 2.0
-"""Retry delay after no steward was found."""
+"""Retry delay after no coordinator was found."""
 PREFILL_TOKEN_SECONDS = 0.0002
 """Estimated prefill time per prompt token, to compare a cached prefix with a shorter queue."""
 ELSEWHERE = frozenset(
@@ -42,26 +42,26 @@
         Reason.BACKEND_UNAVAILABLE,
     }
 )
-"""Refusals after which another steward may issue the grant; requests are safe to repeat."""
+"""Refusals after which another coordinator may issue the grant; requests are safe to repeat."""
 
 log = EventLog("grants")
 
 
 @dataclass(slots=True)
 class _Search:
-    """State of one request while stewards are tried."""
+    """State of one request while coordinators are tried."""
 
     request: GrantRequest
     asked_at: float
     waiting_since: float
-    """Time since which no steward has kept the request in its queue."""
+    """Time since which no coordinator has kept the request in its queue."""
     last_refusal: Refused | None = None
     refused_by: set[NodeId] = field(default_factory=set)
-    """Stewards that have refused the request; the remaining ones are tried first."""
+    """Coordinators that have refused the request; the remaining ones are tried first."""
 
 
 class GrantsService:
-    """Implementation of `foxwinch.workers.ports.GrantView` for all stewards of the region."""
+    """Implementation of `foxwinch.workers.ports.GrantView` for all coordinators of the region."""
 
     def __init__(
         self,
@@ -81,10 +81,10 @@
 
     async def start(self) -> None:
         """Start the reporting loop."""
-        self._tasks.keep(self._report_for_ever())
+        self._tasks.start(self._report_for_ever())
 
     async def stop(self) -> None:
-        """Stop reporting; unreported grants expire on their stewards."""
+        """Stop reporting; unreported grants expire on their coordinators."""
         await self._tasks.stop()
 
     async def drain(self) -> None:
@@ -141,8 +141,8 @@
 
     # --- requests ----------------------------------------------------------------------------
 
-    def _choose(self, search: _Search) -> ServingSteward | None:
-        """Return the cheapest of the steward with the prefix and two randomly chosen stewards."""
+    def _choose(self, search: _Search) -> ServingCoordinator | None:
+        """Return the cheapest of the coordinator with the prefix and two randomly chosen ones."""
         request = search.request
         serving = self._choices.serving(request.model)
         unasked = [s for s in serving if s.member.node not in search.refused_by]
@@ -182,17 +182,17 @@
         return grant
 
     async def _after_refusal(self, refused: Refused, search: _Search) -> Refused | None:
-        """Return a final refusal, or None if another steward can be tried."""
+        """Return a final refusal, or None if another coordinator can be tried."""
         if refused.reason not in ELSEWHERE:
             return refused
         search.last_refusal = refused
         return await self._wait_for_coordinator(search)
 
-    async def _wait_for_steward(self, search: _Search) -> Refused | None:
+    async def _wait_for_coordinator(self, search: _Search) -> Refused | None:
         """Wait before the next attempt, or return a refusal if the search has taken too long."""
         now = self._clock.monotonic()
-        if now - search.waiting_since >= NO_STEWARD_SECONDS:
-            detail = f"no worker for model {search.request.model} has a steward"
+        if now - search.waiting_since >= NO_COORDINATOR_SECONDS:
+            detail = f"no worker for model {search.request.model} has a coordinator"
             if search.last_refusal is not None:
                 detail = search.last_refusal.detail
             return not_run(Reason.BACKEND_UNAVAILABLE, detail, COME_BACK_SECONDS)
@@ -250,15 +250,15 @@
             log.info("grant_void", call=call_id, steward=report.coordinator)
 
 
-def _cost(steward: ServingSteward, request: GrantRequest, is_sticky: bool) -> float:
+def _cost(coordinator: ServingCoordinator, request: GrantRequest, is_sticky: bool) -> float:
     """Return the predicted time to the first token, in seconds."""
-    cached = 1.0 if is_sticky else _cached_share(steward, request)
+    cached = 1.0 if is_sticky else _cached_share(coordinator, request)
     prefill = (1.0 - cached) * request.prompt_tokens * PREFILL_TOKEN_SECONDS
     return coordinator.predicted_wait_seconds + prefill
 
 
-def _cached_share(steward: ServingSteward, request: GrantRequest) -> float:
-    """Return the share of the prompt covered by a hot prefix of the steward."""
+def _cached_share(coordinator: ServingCoordinator, request: GrantRequest) -> float:
+    """Return the share of the prompt covered by a hot prefix of the coordinator."""
     blocks = len(request.prefix_hashes)
     for index in range(blocks - 1, -1, -1):
         if request.prefix_hashes[index] in coordinator.hot_prefixes:
--- a/src/foxwinch/workers/orders_service.py
+++ b/src/foxwinch/workers/orders_service.py
@@ -1,8 +1,8 @@
 """Reconciliation of the models on all workers of a region with the configuration.
 
 Every node runs this service, and the node that holds the orders epoch of the region issues the
-orders. The stewards execute them under the epochs of their workers and reject orders of a replaced
-issuer.
+orders. The coordinators execute them under the epochs of their workers and reject orders of a
+replaced issuer.
 """
 
 import asyncio
@@ -74,7 +74,7 @@
 
     async def start(self) -> None:
         """Start the reconciliation loop."""
-        self._tasks.keep(self._decide_for_ever())
+        self._tasks.start(self._decide_for_ever())
 
     async def stop(self) -> None:
         """Stop issuing orders; another node takes over and reads the state of the workers."""
@@ -90,7 +90,7 @@
 
     async def _follow_epoch(self) -> None:
         """Reset the state after an epoch change; earlier results are read from the workers."""
-        epoch = self._steward.epoch_of(self._resource.name)
+        epoch = self._coordinator.epoch_of(self._resource.name)
         if epoch == self._epoch:
             return
         await self._deliveries.stop()
@@ -154,7 +154,7 @@
 
     async def _deliver(self, order: Order, reconciler: OrderReconciler) -> None:
         """Resend an order under its token until it is answered or the delivery times out."""
-        give_up_at = self._clock.monotonic() + GIVE_UP_SECONDS
+        deadline_at = self._clock.monotonic() + GIVE_UP_SECONDS
         succeeded = False
         while self._clock.monotonic() < deadline_at:
             answer = await self._send(order)
@@ -170,10 +170,10 @@
 
     async def _send(self, order: Order) -> Refused | None:
         """Send an order, and return None if it was executed."""
-        node = self._directory.steward_of(order.worker)
+        node = self._directory.coordinator_of(order.worker)
         member = None if node is None else self._directory.member(node)
         if member is None:
-            return Refused(Reason.NOT_OWNER, RunState.NOT_RUN, "the worker has no steward")
+            return Refused(Reason.NOT_OWNER, RunState.NOT_RUN, "the worker has no coordinator")
         message = WorkerOrder(
             token=order.token,
             orders_epoch=self._epoch or 0,
--- a/src/foxwinch/workers/pool_driver.py
+++ b/src/foxwinch/workers/pool_driver.py
@@ -81,7 +81,7 @@
         return self.scheduler.predicted_wait_seconds(class_rank)
 
     async def place(self, call: PoolCall) -> Answer:
-        """Return the answer to a call when it is available; cancellation withdraws the call."""
+        """Wait for the placement of a call; cancellation withdraws the call."""
         self.withdraw(call.call_id)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._waiting[call.call_id] = future
@@ -112,7 +112,7 @@
         self._refuse_unservable()
 
     def remove_worker(self, worker: WorkerId) -> None:
-        """Remove a worker that is unavailable or has another steward."""
+        """Remove a worker that is unavailable or has another coordinator."""
         if self._workers.pop(worker, None) is not None:
             self._joined.discard(worker)
             self.handle(WorkerLeft(worker))
@@ -126,7 +126,7 @@
     async def stop(self) -> None:
         """Refuse the waiting calls and cancel the transfers."""
         for call_id in list(self._waiting):
-            self._answer(call_id, not_run(Reason.DRAINING, "the steward is stopping", 0.0))
+            self._answer(call_id, not_run(Reason.DRAINING, "the coordinator is stopping", 0.0))
         tasks = list(self._transfers)
         for task in tasks:
             task.cancel()
@@ -150,7 +150,7 @@
             self.handle(CallWithdrawn(action.call_id))
 
     def _answer(self, call_id: CallId, answer: Answer) -> bool:
-        """Answer a waiting call, and return False if the call is no longer waiting."""
+        """Set the result of a waiting call, and return False if the call is no longer waiting."""
         self._models.pop(call_id, None)
         future = self._waiting.pop(call_id, None)
         if future is None or future.done():
@@ -159,10 +159,10 @@
         return True
 
     def _refuse_unservable(self) -> None:
-        """Refuse waiting calls whose model no worker serves, so that they try another steward."""
+        """Refuse waiting calls for models without a worker, so that they try other coordinators."""
         for call_id, model in list(self._models.items()):
             if not self.serves(model):
-                detail = f"this steward has no workers left for model {model}"
+                detail = f"this coordinator has no workers left for model {model}"
                 self._answer(call_id, not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS))
                 self.handle(CallWithdrawn(call_id))
 
--- a/src/foxwinch/workers/ports.py
+++ b/src/foxwinch/workers/ports.py
@@ -54,8 +54,8 @@
     repeatable: bool = True
 
     @property
-    def family_id(self) -> ProgramId:
-        """Root program of the family, whose step start is shared by its sub-agents."""
+    def tree_id(self) -> ProgramId:
+        """Root program of the program tree, whose step start is shared by its sub-agents."""
         return root_of(self.program_id)
 
 
@@ -86,11 +86,11 @@
     not_run: bool = False
     """True if the worker refused the call without running it."""
     fenced: bool = False
-    """True if the worker refused the epoch as outdated, because the steward has been replaced."""
+    """True if the worker refused an outdated epoch because the coordinator has been replaced."""
 
 
 class GrantView(Protocol):
-    """Grants from the stewards of all workers."""
+    """Grants from the coordinators of all workers."""
 
     async def acquire(self, request: GrantRequest) -> Grant | Refused:
         """Return a grant when it is issued; cancellation withdraws the request."""
--- a/src/foxwinch/workers/worker_link.py
+++ b/src/foxwinch/workers/worker_link.py
@@ -1,4 +1,4 @@
-"""Polling of one worker by its steward: load reports and cache events."""
+"""Polling of one worker by its coordinator: load reports and cache events."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 ANSWER_SECONDS = 1.0
 """Timeout of a poll."""
 GONE_SECONDS = 4.0
-"""Time without an answer after which a worker counts as unreachable and its slots are dropped."""
+"""Time without a response after which a worker counts as unreachable and its slots are dropped."""
 
 log = EventLog("worker")
 
@@ -92,7 +92,7 @@
                 return await self._engine.load(self.worker)
         except TimeoutError:
             return outcome_unknown(
-                Reason.BACKEND_UNAVAILABLE, "the worker did not answer the load request in time"
+                Reason.BACKEND_UNAVAILABLE, "the worker did not respond to the load request in time"
             )
 
     async def _read_cache(self) -> None:
--- a/tests/coordinator_cluster.py
+++ b/tests/coordinator_cluster.py
@@ -1,4 +1,4 @@
-"""Test cluster of stewards and owners on virtual time, with fake engines and a memory network."""
+"""Test cluster of coordinators and owners on virtual time, with a memory network."""
 
 import asyncio
 from pathlib import Path
@@ -77,7 +77,7 @@
 
 
 class Node:
-    """Steward and owner services of one node."""
+    """Coordinator and owner services of one node."""
 
     def __init__(self, cluster, number, address):
         name = f"n{number}"
@@ -126,7 +126,7 @@
         await self.coordinator.stop()
 
 
-class StewardCluster:
+class CoordinatorCluster:
     """Cluster of nodes n0, n1, ... with the engine workers of the example configuration."""
 
     def __init__(self, nodes=3, workers=4, empty=()):
--- a/tests/idle_engine.py
+++ b/tests/idle_engine.py
@@ -1,4 +1,4 @@
-"""Fake engine with no load that accepts every order, so that a steward can hold it."""
+"""Fake engine with no load that accepts every order, so that a coordinator can hold it."""
 
 from foxwinch.backends.ports import CacheEventPage, Completed, LoadReport
 
--- a/tests/test_steward_assignment.py
+++ b/tests/test_coordinator_assignment.py
@@ -33,7 +33,7 @@
 
 def serving(node, now=10.0):
     """Return the assignment of a node that serves the worker under epoch 1."""
-    assignment = StewardAssignment(NodeId(node), REGION, now - SETTLING_SECONDS)
+    assignment = CoordinatorAssignment(NodeId(node), REGION, now - SETTLING_SECONDS)
     assignment.update_resources([WORKER])
     assignment.update_candidates(candidates(node))
     assert assignment.advance(now) == [Claim(WORKER.name)]
--- a/tests/test_steward_service.py
+++ b/tests/test_coordinator_service.py
@@ -1,4 +1,4 @@
-"""Tests of stewards with owners: grants, takeover, fencing, leaving workers and releases."""
+"""Tests of coordinators with owners: grants, takeover, fencing, leaving workers and releases."""
 
 import asyncio
 
@@ -20,8 +20,8 @@
 
 
 def granted(cluster):
-    """Return the number of active grants on all stewards."""
-    return sum(len(node.steward._ledger) for node in cluster.nodes.values())
+    """Return the number of active grants on all coordinators."""
+    return sum(len(node.coordinator._ledger) for node in cluster.nodes.values())
 
 
 async def test_every_worker_has_one_coordinator_and_any_owner_gets_grants():
--- a/tests/test_orders_service.py
+++ b/tests/test_orders_service.py
@@ -1,4 +1,4 @@
-"""Tests that stewards execute model orders, including after the issuing node has died."""
+"""Tests that coordinators execute model orders, including after the issuing node has died."""
 
 import pytest
 
