--- a/src/foxwinch/core/coordinator/admission.py
+++ b/src/foxwinch/core/coordinator/admission.py
@@ -8,7 +8,7 @@
 """A retry within the duration of a call would get the same result."""
 
 
-def refusal(
+def check_admission(
     policy: PolicySettings,
     call: PoolCall,
     lowest_rank: int,
--- a/src/foxwinch/core/coordinator/assignment.py
+++ b/src/foxwinch/core/coordinator/assignment.py
@@ -4,7 +4,7 @@
 workers and the holders received by gossip. Rendezvous hashing selects the preferred node of each
 resource, first among the members in the resource's zone, then in the rest of the region. A dead
 holder is replaced immediately. A live holder releases a resource itself, and only after another
-node has been preferred continuously for `HANDOVER_SECONDS`, so a flapping member causes no
+node has been preferred continuously for `HANDOVER_DELAY_SECONDS`, so a flapping member causes no
 handover.
 
 Two nodes may claim a resource at the same time. The epoch resolves the conflict: the engine
@@ -19,7 +19,7 @@
 
 from foxwinch.identifiers import Epoch, NodeId, RegionName, ZoneName
 
-HANDOVER_SECONDS = 5.0
+HANDOVER_DELAY_SECONDS = 5.0
 """Time for which another node must be preferred before a live holder hands over. It exceeds the
 time to suspect a member and refute the suspicion, so a false suspicion causes no handover."""
 SETTLING_SECONDS = 1.0
@@ -114,8 +114,8 @@
 ) -> NodeId | None:
     """Return the node that should hold `resource`, or None if the region has no candidate."""
     local = [c for c in candidates if c.region == region]
-    near = [c for c in local if resource.zone is not None and c.zone == resource.zone]
-    best = max(near or local, key=lambda c: _weight(resource.name, c.node), default=None)
+    same_zone = [c for c in local if resource.zone is not None and c.zone == resource.zone]
+    best = max(same_zone or local, key=lambda c: _weight(resource.name, c.node), default=None)
     return None if best is None else best.node
 
 
@@ -124,11 +124,11 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _Status:
     state: CoordinatorState = CoordinatorState.UNASSIGNED
     epoch: Epoch = NO_EPOCH
     """Highest known epoch of the resource, including those of this node."""
-    other_since: float | None = None
+    other_preferred_since: float | None = None
     """Time since which another node has been preferred continuously."""
     retry_at: float = 0.0
 
@@ -144,24 +144,24 @@
         self._region = region
         self._started_at = started_at
         self._resources: dict[str, Resource] = {}
-        self._held: dict[str, _Held] = {}
+        self._statuses: dict[str, _Status] = {}
         self._candidates: tuple[Candidate, ...] = ()
         self._preferred: dict[str, NodeId | None] = {}
         """Cached until resources or candidates change: hashing all of them takes milliseconds."""
         self._holders: Mapping[str, Holder] = {}
-        self._unheard = False
+        self._has_missing_digests = False
         self._epochs: Mapping[str, Epoch] = {}
         self._draining = False
 
     def state(self, resource: str) -> CoordinatorState:
         """Return the state of a resource on this node."""
-        held = self._held.get(resource)
-        return CoordinatorState.UNASSIGNED if held is None else held.state
+        status = self._statuses.get(resource)
+        return CoordinatorState.UNASSIGNED if status is None else status.state
 
     def held(self) -> dict[str, Epoch]:
         """Return the epochs of the resources that this node holds, by resource name."""
         owned = (CoordinatorState.RESYNCING, CoordinatorState.SERVING, CoordinatorState.RELEASING)
-        return {name: h.epoch for name, h in self._held.items() if h.state in owned}
+        return {name: h.epoch for name, h in self._statuses.items() if h.state in owned}
 
     def update_resources(self, resources: Iterable[Resource]) -> None:
         """Replace the configured resources."""
@@ -185,9 +185,9 @@
         """Replace the highest known epoch of each resource, including epochs of dead nodes."""
         self._epochs = epochs
 
-    def update_unheard(self, unheard: bool) -> None:
+    def update_missing_digests(self, has_missing_digests: bool) -> None:
         """Set whether the digest of a live member has not arrived yet."""
-        self._unheard = unheard
+        self._has_missing_digests = has_missing_digests
 
     def drain(self) -> None:
         """Release every resource on the next `advance` and stop claiming."""
@@ -195,80 +195,84 @@
 
     def claimed(self, resource: str, epoch: Epoch) -> list[AssignmentAction]:
         """Handle a successful claim by this node under `epoch`."""
-        held = self._held.setdefault(resource, _Held())
-        if held.state is not CoordinatorState.CLAIMING or epoch <= held.epoch:
-            held.state = CoordinatorState.UNASSIGNED
+        status = self._statuses.setdefault(resource, _Status())
+        if status.state is not CoordinatorState.CLAIMING or epoch <= status.epoch:
+            status.state = CoordinatorState.UNASSIGNED
             return []
-        held.state, held.epoch, held.other_since = CoordinatorState.RESYNCING, epoch, None
+        status.state, status.epoch, status.other_preferred_since = (
+            CoordinatorState.RESYNCING,
+            epoch,
+            None,
+        )
         return [Resync(resource, epoch)]
 
     def refused(self, resource: str, now: float) -> None:
         """Handle a failed claim, which is retried after `CLAIM_RETRY_SECONDS`."""
-        held = self._held.setdefault(resource, _Held())
-        if held.state is CoordinatorState.CLAIMING:
-            held.state = CoordinatorState.UNASSIGNED
-            held.retry_at = now + CLAIM_RETRY_SECONDS
+        status = self._statuses.setdefault(resource, _Status())
+        if status.state is CoordinatorState.CLAIMING:
+            status.state = CoordinatorState.UNASSIGNED
+            status.retry_at = now + CLAIM_RETRY_SECONDS
 
     def resynced(self, resource: str, epoch: Epoch) -> None:
         """Start serving a resource whose load and cache state have been read."""
-        held = self._held.get(resource)
-        if held and held.state is CoordinatorState.RESYNCING and held.epoch == epoch:
-            held.state = CoordinatorState.SERVING
+        status = self._statuses.get(resource)
+        if status and status.state is CoordinatorState.RESYNCING and status.epoch == epoch:
+            status.state = CoordinatorState.SERVING
 
     def released(self, resource: str, epoch: Epoch) -> None:
         """Handle the completion of a handover."""
-        held = self._held.get(resource)
-        if held and held.state is CoordinatorState.RELEASING and held.epoch == epoch:
-            held.state = CoordinatorState.UNASSIGNED
+        status = self._statuses.get(resource)
+        if status and status.state is CoordinatorState.RELEASING and status.epoch == epoch:
+            status.state = CoordinatorState.UNASSIGNED
 
     def fenced(self, resource: str, epoch: Epoch) -> list[AssignmentAction]:
         """Handle an epoch observed in gossip or in a rejection by the engine."""
-        held = self._held.get(resource)
-        if held is None or epoch <= held.epoch:
+        status = self._statuses.get(resource)
+        if status is None or epoch <= status.epoch:
             return []
         was_held = resource in self.held()
-        lost_epoch, held.epoch = held.epoch, epoch
-        held.state, held.other_since = CoordinatorState.UNASSIGNED, None
+        lost_epoch, status.epoch = status.epoch, epoch
+        status.state, status.other_preferred_since = CoordinatorState.UNASSIGNED, None
         return [Lost(resource, lost_epoch)] if was_held else []
 
     def advance(self, now: float) -> list[AssignmentAction]:
         """Return the actions that are due for all resources."""
         actions: list[AssignmentAction] = []
-        for name in sorted(set(self._resources) | set(self._held)):
-            held = self._held.setdefault(name, _Held())
+        for name in sorted(set(self._resources) | set(self._statuses)):
+            status = self._statuses.setdefault(name, _Status())
             actions += self.fenced(name, self._epochs.get(name, NO_EPOCH))
-            actions += self._decide(name, held, now)
+            actions += self._decide(name, status, now)
         return actions
 
-    def _decide(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
-        if held.state is CoordinatorState.UNASSIGNED:
-            return self._maybe_claim(name, held, now)
-        if held.state in (CoordinatorState.SERVING, CoordinatorState.RESYNCING):
-            return self._maybe_release(name, held, now)
-        if held.state is CoordinatorState.RELEASING:
-            return self._maybe_take_back(name, held)
+    def _decide(self, name: str, status: _Status, now: float) -> list[AssignmentAction]:
+        if status.state is CoordinatorState.UNASSIGNED:
+            return self._maybe_claim(name, status, now)
+        if status.state in (CoordinatorState.SERVING, CoordinatorState.RESYNCING):
+            return self._maybe_release(name, status, now)
+        if status.state is CoordinatorState.RELEASING:
+            return self._maybe_reclaim(name, status)
         return []
 
-    def _maybe_take_back(self, name: str, held: _Held) -> list[AssignmentAction]:
+    def _maybe_reclaim(self, name: str, status: _Status) -> list[AssignmentAction]:
         """Abort the handover for a new claim when this node is preferred again."""
         resource = self._resources.get(name)
         if resource is None or self._draining:
             return []
         if self._preferred_node(resource) != self._node:
             return []
-        held.state = CoordinatorState.UNASSIGNED
-        return [Lost(name, held.epoch)]
+        status.state = CoordinatorState.UNASSIGNED
+        return [Lost(name, status.epoch)]
 
-    def _maybe_claim(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
+    def _maybe_claim(self, name: str, status: _Status, now: float) -> list[AssignmentAction]:
         resource = self._resources.get(name)
-        if resource is None or self._draining or now < held.retry_at or self._is_settling(now):
+        if resource is None or self._draining or now < status.retry_at or self._is_settling(now):
             return []
         if self._preferred_node(resource) != self._node:
             return []
         holder = self._holders.get(name)
         if holder and holder.node != self._node and not holder.releasing:
             return []
-        held.state = CoordinatorState.CLAIMING
+        status.state = CoordinatorState.CLAIMING
         return [Claim(name)]
 
     def _preferred_node(self, resource: Resource) -> NodeId | None:
@@ -278,21 +282,21 @@
         return self._preferred[resource.name]
 
     def _is_settling(self, now: float) -> bool:
-        seconds = MAX_SETTLING_SECONDS if self._unheard else SETTLING_SECONDS
+        seconds = MAX_SETTLING_SECONDS if self._has_missing_digests else SETTLING_SECONDS
         return now < self._started_at + seconds
 
-    def _maybe_release(self, name: str, held: _Held, now: float) -> list[AssignmentAction]:
+    def _maybe_release(self, name: str, status: _Status, now: float) -> list[AssignmentAction]:
         resource = self._resources.get(name)
         if resource is None or self._draining:
-            held.state = CoordinatorState.RELEASING
-            return [Release(name, held.epoch)]
+            status.state = CoordinatorState.RELEASING
+            return [Release(name, status.epoch)]
         preferred = self._preferred_node(resource)
         if preferred in (self._node, None):
-            held.other_since = None
+            status.other_preferred_since = None
             return []
-        if held.other_since is None:
-            held.other_since = now
-        if now - held.other_since < HANDOVER_SECONDS:
+        if status.other_preferred_since is None:
+            status.other_preferred_since = now
+        if now - status.other_preferred_since < HANDOVER_DELAY_SECONDS:
             return []
-        held.state = CoordinatorState.RELEASING
-        return [Release(name, held.epoch)]
+        status.state = CoordinatorState.RELEASING
+        return [Release(name, status.epoch)]
--- a/src/foxwinch/core/coordinator/cache_index.py
+++ b/src/foxwinch/core/coordinator/cache_index.py
@@ -60,7 +60,7 @@
                 high = middle
         return low
 
-    def program_of(self, block_hash: int) -> ProgramId | None:
+    def last_program(self, block_hash: int) -> ProgramId | None:
         """Return the last program that used the block, or None if unknown."""
         entry = self._blocks.get(block_hash)
         return entry.program_id if entry else None
@@ -90,8 +90,8 @@
             entry = self._blocks.get(block_hash)
             if entry is None:
                 continue
-            ours = entry.program_id is not None
-            if ours and now - entry.used_at_seconds < EVENT_LAG_SECONDS:
+            used_locally = entry.program_id is not None
+            if used_locally and now - entry.used_at_seconds < EVENT_LAG_SECONDS:
                 continue
             del self._blocks[block_hash]
 
@@ -114,7 +114,7 @@
             else:
                 self.removed(change.block_hashes, now)
 
-    def forget_program(self, hashes: Sequence[int], program_id: ProgramId) -> None:
+    def remove_program(self, hashes: Sequence[int], program_id: ProgramId) -> None:
         """Remove released blocks that no other program is known to have used."""
         for block_hash in hashes:
             entry = self._blocks.get(block_hash)
--- a/src/foxwinch/core/coordinator/estimates.py
+++ b/src/foxwinch/core/coordinator/estimates.py
@@ -31,10 +31,10 @@
         self.transfer_block_seconds = MovingMean(INITIAL_TRANSFER_BLOCK_SECONDS)
         self._answers: dict[str, MovingMean] = {}
 
-    def answer_tokens(self, class_name: str, asked_tokens: int) -> float:
+    def answer_tokens(self, class_name: str, requested_tokens: int) -> float:
         """Return the expected length of an answer: the mean of the class, capped at the request."""
         mean = self._answers.get(class_name)
-        return min(float(asked_tokens), mean.value) if mean else float(asked_tokens)
+        return min(float(requested_tokens), mean.value) if mean else float(requested_tokens)
 
     def observe_answer(self, class_name: str, tokens: int) -> None:
         """Record the length of an answer."""
@@ -45,10 +45,10 @@
     def observe_call(self, seconds: float, uncached_tokens: int, tokens: int) -> None:
         """Record the time from dispatch to the last token."""
         if tokens > 1:
-            decoding = seconds - uncached_tokens * PREFILL_TOKEN_SECONDS
-            self.token_seconds.observe(max(decoding, 0.0) / tokens)
+            decode_seconds = seconds - uncached_tokens * PREFILL_TOKEN_SECONDS
+            self.token_seconds.observe(max(decode_seconds, 0.0) / tokens)
 
-    def call_seconds(self, class_name: str, uncached_tokens: int, asked_tokens: int) -> float:
+    def call_seconds(self, class_name: str, uncached_tokens: int, requested_tokens: int) -> float:
         """Return the expected duration of a call in a batch, in seconds."""
-        answer = self.answer_tokens(class_name, asked_tokens)
+        answer = self.answer_tokens(class_name, requested_tokens)
         return uncached_tokens * PREFILL_TOKEN_SECONDS + answer * self.token_seconds.value
--- a/src/foxwinch/core/coordinator/grant_ledger.py
+++ b/src/foxwinch/core/coordinator/grant_ledger.py
@@ -46,7 +46,7 @@
         """Return the grant of a call, or None if it has none."""
         return self._grants.get(call_id)
 
-    def on_worker(self, worker: WorkerId) -> list[GrantRecord]:
+    def worker_grants(self, worker: WorkerId) -> list[GrantRecord]:
         """Return the grants of a worker, excluding foreign calls."""
         return [record for record in self._grants.values() if record.worker == worker]
 
@@ -87,21 +87,21 @@
     def drop_worker(self, worker: WorkerId) -> list[GrantRecord]:
         """Remove and return the grants of a worker that is no longer held here."""
         self._foreign = {k: r for k, r in self._foreign.items() if r.worker != worker}
-        return [self._remove(record) for record in self.on_worker(worker)]
+        return [self._remove(record) for record in self.worker_grants(worker)]
 
     def expire(self, is_present: Callable[[NodeId], bool], now: float) -> list[GrantRecord]:
         """Remove expired grants and foreign calls, and return the removed grants."""
         self._foreign = {
             key: record
             for key, record in self._foreign.items()
-            if not self._is_void(record, is_present, now)
+            if not self._is_expired(record, is_present, now)
         }
-        void = [r for r in self._grants.values() if self._is_void(r, is_present, now)]
-        expired = [self._remove(record) for record in void]
-        self._forget_leases([*self._grants.values(), *self._foreign.values()])
+        due = [r for r in self._grants.values() if self._is_expired(r, is_present, now)]
+        expired = [self._remove(record) for record in due]
+        self._prune_leases([*self._grants.values(), *self._foreign.values()])
         return expired
 
-    def _is_void(
+    def _is_expired(
         self, record: GrantRecord, is_present: Callable[[NodeId], bool], now: float
     ) -> bool:
         expires_at = self._expires_at.get((record.owner, record.call_id), now)
@@ -111,6 +111,6 @@
         del self._grants[record.call_id]
         return record
 
-    def _forget_leases(self, records: Iterable[GrantRecord]) -> None:
+    def _prune_leases(self, records: Iterable[GrantRecord]) -> None:
         live = {(record.owner, record.call_id) for record in records}
         self._expires_at = {key: at for key, at in self._expires_at.items() if key in live}
--- a/src/foxwinch/core/coordinator/hot_prefixes.py
+++ b/src/foxwinch/core/coordinator/hot_prefixes.py
@@ -2,11 +2,11 @@
 
 from collections import OrderedDict
 
-TOP_PREFIXES = 8
+MAX_PREFIXES = 8
 """Prefixes per digest, which take 64 bytes as allowed by the gossip budget of a coordinator."""
-BLOCKS_COUNTED = 64
+COUNTED_BLOCKS = 64
 """Leading blocks counted per call; longer shared prefixes are rare."""
-BLOCKS_KEPT = 2_048
+MAX_TRACKED_BLOCKS = 2_048
 """Capacity of the LRU table of counted blocks."""
 
 
@@ -18,15 +18,15 @@
 
     def use(self, hashes: tuple[int, ...]) -> None:
         """Count the leading blocks of a call."""
-        for depth, block_hash in enumerate(hashes[:BLOCKS_COUNTED], 1):
+        for depth, block_hash in enumerate(hashes[:COUNTED_BLOCKS], 1):
             count, _ = self._counts.get(block_hash, (0, depth))
             self._counts[block_hash] = (count + 1, depth)
             self._counts.move_to_end(block_hash)
-        while len(self._counts) > BLOCKS_KEPT:
+        while len(self._counts) > MAX_TRACKED_BLOCKS:
             self._counts.popitem(last=False)
 
     def top(self) -> list[int]:
         """Return the hashes with the largest savings: calls after the first times blocks."""
         shared = [(h, (n - 1) * depth) for h, (n, depth) in self._counts.items() if n > 1]
         shared.sort(key=lambda item: (-item[1], item[0]))
-        return [block_hash for block_hash, _ in shared[:TOP_PREFIXES]]
+        return [block_hash for block_hash, _ in shared[:MAX_PREFIXES]]
--- a/src/foxwinch/core/coordinator/placement.py
+++ b/src/foxwinch/core/coordinator/placement.py
@@ -12,7 +12,7 @@
 from foxwinch.core.coordinator.policy import PolicySettings
 from foxwinch.core.coordinator.workers import WorkerState
 
-SMALLEST_TRANSFER_BLOCKS = 2
+MIN_TRANSFER_BLOCKS = 2
 """Minimum size of a transfer; fewer blocks do not justify the export and import round trip."""
 MIN_WAIT_SECONDS = 0.1
 """Lower bound of a predicted wait: a slot whose call is overdue is still busy for a few steps."""
@@ -44,13 +44,13 @@
     estimates: Estimates,
 ) -> Placement | None:
     """Return the placement with the lowest predicted cost, or None if no worker is available."""
-    usable = [worker for worker in workers if _may_use(worker, call)]
-    if not usable:
+    eligible = [worker for worker in workers if _is_eligible(worker, call)]
+    if not eligible:
         return None
-    choice = _Choice(call, waited_seconds, now, policy, estimates, usable)
+    choice = _CostModel(call, waited_seconds, now, policy, estimates, eligible)
     best: WorkerState | None = None
     best_cost = best_wait = 0.0
-    for worker in usable:
+    for worker in eligible:
         wait = choice.wait_seconds(worker)
         if wait is None:
             continue
@@ -64,11 +64,11 @@
 
 def private_blocks(call: PoolCall, block_tokens: int, answer_tokens: float) -> int:
     """Return the number of blocks for the answer and the last, partial block of the prompt."""
-    rest = max(0, call.prompt_tokens - len(call.prefix_hashes) * block_tokens)
-    return int((rest + answer_tokens) / block_tokens) + 1
+    partial_tokens = max(0, call.prompt_tokens - len(call.prefix_hashes) * block_tokens)
+    return int((partial_tokens + answer_tokens) / block_tokens) + 1
 
 
-def _may_use(worker: WorkerState, call: PoolCall) -> bool:
+def _is_eligible(worker: WorkerState, call: PoolCall) -> bool:
     description = worker.description
     return (
         not worker.leaving
@@ -77,7 +77,7 @@
     )
 
 
-class _Choice:
+class _CostModel:
     """Values shared by all workers while placing one call."""
 
     def __init__(
@@ -87,18 +87,20 @@
         now: float,
         policy: PolicySettings,
         estimates: Estimates,
-        usable: list[WorkerState],
+        eligible: list[WorkerState],
     ) -> None:
         self._call = call
         self._now = now
         self._policy = policy
         self._features = policy.features
         self._urgent = call.class_rank == 0
-        self._answer = estimates.answer_tokens(call.class_name, call.output_tokens)
-        self._copy_seconds = estimates.transfer_block_seconds.value
-        self._cached = [worker.index.cached_prefix(call.prefix_hashes) for worker in usable]
-        self._held = dict(zip((w.description.worker for w in usable), self._cached, strict=True))
-        self._source = usable[max(range(len(usable)), key=self._cached.__getitem__)]
+        self._answer_tokens = estimates.answer_tokens(call.class_name, call.output_tokens)
+        self._block_copy_seconds = estimates.transfer_block_seconds.value
+        self._cached = [worker.index.cached_prefix(call.prefix_hashes) for worker in eligible]
+        self._cached_blocks = dict(
+            zip((w.description.worker for w in eligible), self._cached, strict=True)
+        )
+        self._source = eligible[max(range(len(eligible)), key=self._cached.__getitem__)]
         self._source_blocks = max(self._cached)
         self._may_wait = (
             self._features.wait_for_cache and waited_seconds <= policy.longest_cache_wait_seconds
@@ -106,60 +108,66 @@
 
     def wait_seconds(self, worker: WorkerState) -> float | None:
         """Return the predicted wait (0 if a slot is free), or None if the call may not wait."""
-        if worker.free_slots > 0 and not self._disturbs(worker) and self._fits(worker):
+        if worker.free_slots > 0 and not self._delays_urgent_calls(worker) and self._fits(worker):
             return 0.0
-        if self._urgent and self._features.preemption and worker.urgent < worker.description.slots:
+        if (
+            self._urgent
+            and self._features.preemption
+            and worker.urgent_calls < worker.description.slots
+        ):
             return 0.0
         if not self._may_wait:
             return None
-        return max(MIN_WAIT_SECONDS, worker.next_place_seconds(self._now))
+        return max(MIN_WAIT_SECONDS, worker.next_slot_seconds(self._now))
 
-    def _disturbs(self, worker: WorkerState) -> bool:
+    def _delays_urgent_calls(self, worker: WorkerState) -> bool:
         """Return whether the call would slow down urgent calls on the worker."""
-        if self._urgent or worker.urgent == 0 or not self._features.quiet_lane:
+        if self._urgent or worker.urgent_calls == 0 or not self._features.quiet_lane:
             return False
         if len(worker.placed) >= self._policy.quiet_slots_share * worker.description.slots:
             return True
-        held = self._held[worker.description.worker] * worker.description.block_tokens
-        too_long = self._call.prompt_tokens - held > self._policy.quiet_prefill_tokens
+        cached = self._cached_blocks[worker.description.worker] * worker.description.block_tokens
+        too_long = self._call.prompt_tokens - cached > self._policy.quiet_prefill_tokens
         return too_long or worker.prefill_until_seconds > self._now
 
     def _fits(self, worker: WorkerState) -> bool:
         size = worker.description.block_tokens
-        return worker.fits(self._call, private_blocks(self._call, size, self._answer))
+        return worker.fits(self._call, private_blocks(self._call, size, self._answer_tokens))
 
     def cost_seconds(self, worker: WorkerState) -> float:
         """Return the predicted cost of running on the worker, excluding the wait."""
-        beside = len(worker.placed)
+        other_calls = len(worker.placed)
         weight = self._policy.others_weight
-        cost = self._answer * SEQUENCE_SECONDS * beside * (1.0 + weight)
+        cost = self._answer_tokens * SEQUENCE_SECONDS * other_calls * (1.0 + weight)
         if self._urgent:
             cost += max(0.0, worker.prefill_until_seconds - self._now)
             cost += PREEMPTION_SECONDS if worker.free_slots <= 0 else 0.0
-            cost += self._policy.new_lane_seconds if worker.urgent == 0 else 0.0
-        held = self._held[worker.description.worker] if self._features.cache_placement else 0
-        missing = self._call.prompt_tokens - held * worker.description.block_tokens
-        prefill = missing * self._prefill_seconds(worker)
-        return cost + prefill - self._gain_of_copying(worker)
+            cost += self._policy.new_lane_seconds if worker.urgent_calls == 0 else 0.0
+        cached = (
+            self._cached_blocks[worker.description.worker] if self._features.cache_placement else 0
+        )
+        uncached_tokens = self._call.prompt_tokens - cached * worker.description.block_tokens
+        prefill = uncached_tokens * self._prefill_seconds(worker)
+        return cost + prefill - self._transfer_gain_seconds(worker)
 
     def _prefill_seconds(self, worker: WorkerState) -> float:
         """Return the cost of one prompt token, including the delay of other calls on the worker."""
-        others = 0.0 if self._urgent else self._policy.others_weight * len(worker.placed)
-        return PREFILL_TOKEN_SECONDS * (1.0 + others)
+        delay_factor = 0.0 if self._urgent else self._policy.others_weight * len(worker.placed)
+        return PREFILL_TOKEN_SECONDS * (1.0 + delay_factor)
 
-    def _gain_of_copying(self, worker: WorkerState) -> float:
+    def _transfer_gain_seconds(self, worker: WorkerState) -> float:
         """Return the time saved by copying the missing prefix, or 0 if computing it is cheaper."""
-        more = self._source_blocks - self._held[worker.description.worker]
-        if not self._features.transfers or more < SMALLEST_TRANSFER_BLOCKS:
+        copied = self._source_blocks - self._cached_blocks[worker.description.worker]
+        if not self._features.transfers or copied < MIN_TRANSFER_BLOCKS:
             return 0.0
-        saved = more * worker.description.block_tokens * self._prefill_seconds(worker)
-        transfer = more * self._copy_seconds
+        saved = copied * worker.description.block_tokens * self._prefill_seconds(worker)
+        transfer = copied * self._block_copy_seconds
         return saved - transfer if transfer < saved * self._policy.transfer_margin else 0.0
 
     def placement(self, worker: WorkerState, cost: float, wait: float) -> Placement:
         """Return the placement on `worker`."""
-        held = self._held[worker.description.worker]
-        if self._gain_of_copying(worker) <= 0.0:
-            return Placement(worker, cost, wait, held)
-        more = self._source_blocks - held
-        return Placement(worker, cost, wait, held + more, self._source, more)
+        cached = self._cached_blocks[worker.description.worker]
+        if self._transfer_gain_seconds(worker) <= 0.0:
+            return Placement(worker, cost, wait, cached)
+        copied = self._source_blocks - cached
+        return Placement(worker, cost, wait, cached + copied, self._source, copied)
--- a/src/foxwinch/core/coordinator/programs.py
+++ b/src/foxwinch/core/coordinator/programs.py
@@ -34,7 +34,7 @@
         """Return a program, or None if it is unknown."""
         return self._programs.get(program_id)
 
-    def ensure(self, program_id: ProgramId) -> ProgramState:
+    def get_or_create(self, program_id: ProgramId) -> ProgramState:
         """Return a program, adding it if it is unknown."""
         state = self._programs.get(program_id)
         if state is None:
--- a/src/foxwinch/core/coordinator/reasons.py
+++ b/src/foxwinch/core/coordinator/reasons.py
@@ -10,11 +10,11 @@
     """Return the explanation of a placement, which contains no prompt content."""
     waited = now - waiting.arrived_at_seconds
     worker = placement.worker
-    how = f"{cached_tokens} of {waiting.call.prompt_tokens} prompt tokens cached"
+    details = f"{cached_tokens} of {waiting.call.prompt_tokens} prompt tokens cached"
     if placement.source is not None:
         source = placement.source.description.worker
-        how += f", {placement.copied_blocks} blocks copied from {source}"
+        details += f", {placement.copied_blocks} blocks copied from {source}"
     return (
         f"waited {waited:.2f} s for a place; {worker.description.worker} had the least predicted"
-        f" cost {placement.cost_seconds:.2f} s: {how}, {len(worker.placed)} other calls on it"
+        f" cost {placement.cost_seconds:.2f} s: {details}, {len(worker.placed)} other calls on it"
     )
--- a/src/foxwinch/core/coordinator/scheduler.py
+++ b/src/foxwinch/core/coordinator/scheduler.py
@@ -23,7 +23,7 @@
     ReleaseCache,
     ResyncCache,
 )
-from foxwinch.core.coordinator.admission import refusal
+from foxwinch.core.coordinator.admission import check_admission
 from foxwinch.core.coordinator.cache_index import CacheIndex
 from foxwinch.core.coordinator.calls import PoolCall
 from foxwinch.core.coordinator.estimates import PREFILL_TOKEN_SECONDS, Estimates
@@ -56,7 +56,7 @@
 PREFILL_SHARE_SECONDS = 0.00007
 """Share of the fixed step time per prefilled token: 18 ms over 256 tokens."""
 
-NO_PLACE_FREED = (CacheChanged, ProgramPaused, ProgramEnded, ReleaseCompleted, LoadReported)
+NON_FREEING_EVENTS = (CacheChanged, ProgramPaused, ProgramEnded, ReleaseCompleted, LoadReported)
 """Events that cannot make a slot available to a waiting call."""
 
 
@@ -79,21 +79,21 @@
             CallFailed: self._call_failed,
             ProgramPaused: self._program_paused,
             ProgramEnded: self._program_ended,
-            ReleaseCompleted: self._release_answered,
-            TransferCompleted: self._transfer_answered,
+            ReleaseCompleted: self._release_completed,
+            TransferCompleted: self._transfer_completed,
             CacheChanged: self._cache_changed,
             WorkerJoined: self._worker_joined,
             WorkerLeaving: self._worker_leaving,
             WorkerLeft: self._worker_left,
             LoadReported: self._load_reported,
             PolicyChanged: self._policy_changed,
-            Tick: self._time_passed,
+            Tick: self._tick,
         }
 
     def handle(self, event: PoolEvent, now: float) -> list[PoolAction]:
         """Process an event and return the resulting actions in order."""
         actions = self._handlers[type(event)](event, now)
-        if len(self._waiting) > 0 and not isinstance(event, NO_PLACE_FREED):
+        if len(self._waiting) > 0 and not isinstance(event, NON_FREEING_EVENTS):
             actions += self._place_waiting(now)
         return actions
 
@@ -128,9 +128,9 @@
         refused = self._admit(call, now)
         if refused is not None:
             return [refused]
-        program = self._programs.ensure(call.program_id)
+        program = self._programs.get_or_create(call.program_id)
         program.hashes = call.prefix_hashes
-        tree = self._programs.ensure(call.tree)
+        tree = self._programs.get_or_create(call.tree)
         if tree.active_calls == 0:
             tree.step_began_at_seconds = now
         tree.active_calls += 1
@@ -150,7 +150,7 @@
         if known or not self.policy.features.admission:
             return None
         wait = self.predicted_wait_seconds(call.class_rank)
-        refused = refusal(self.policy, call, self._lowest_rank, wait, now)
+        refused = check_admission(self.policy, call, self._lowest_rank, wait, now)
         return RefuseCall(call.call_id, refused) if refused else None
 
     def predicted_wait_seconds(self, class_rank: int) -> float:
@@ -161,40 +161,40 @@
     def _call_withdrawn(self, event: CallWithdrawn, now: float) -> list[PoolAction]:
         waiting = self._waiting.remove(event.call_id)
         if waiting is not None:
-            self._tree_call_over(waiting.call)
+            self._end_tree_call(waiting.call)
             return []
-        return self._vacate(event.call_id)
+        return self._free_slot(event.call_id)
 
     def _call_finished(self, event: CallFinished, now: float) -> list[PoolAction]:
         placed = self._placed.get(event.call_id)
         if placed is None:
             return []
         call = placed.call
-        dispatched = placed.dispatched_at_seconds or placed.placed_at_seconds
+        dispatched_at = placed.dispatched_at_seconds or placed.placed_at_seconds
         uncached = event.prompt_tokens - event.cached_tokens
         self.estimates.observe_answer(call.class_name, event.completion_tokens)
-        self.estimates.observe_call(now - dispatched, uncached, event.completion_tokens)
+        self.estimates.observe_call(now - dispatched_at, uncached, event.completion_tokens)
         placed.worker.index.use(call.prefix_hashes, call.program_id, now)
-        return self._vacate(event.call_id)
+        return self._free_slot(event.call_id)
 
     def _call_failed(self, event: CallFailed, now: float) -> list[PoolAction]:
-        return self._vacate(event.call_id)
+        return self._free_slot(event.call_id)
 
-    def _vacate(self, call_id: CallId) -> list[PoolAction]:
+    def _free_slot(self, call_id: CallId) -> list[PoolAction]:
         """Free the slot of a call and release its cache again if its program has ended."""
         placed = self._placed.pop(call_id, None)
         if placed is None:
             return []
-        placed.worker.leave(placed)
-        self._tree_call_over(placed.call)
+        placed.worker.remove_call(placed)
+        self._end_tree_call(placed.call)
         program_id = placed.call.program_id
-        gone = self._programs.get(program_id) is None
+        has_ended = self._programs.get(program_id) is None
         worker = placed.worker.description.worker
-        if gone and self.policy.features.release_ended and worker in self._workers:
+        if has_ended and self.policy.features.release_ended and worker in self._workers:
             return [ReleaseCache(worker, program_id)]
         return []
 
-    def _tree_call_over(self, call: PoolCall) -> None:
+    def _end_tree_call(self, call: PoolCall) -> None:
         tree = self._programs.get(call.tree)
         if tree is not None:
             tree.active_calls = max(0, tree.active_calls - 1)
@@ -214,12 +214,12 @@
 
     def _release(self, worker: WorkerId, program: ProgramState) -> ReleaseCache:
         program.workers.pop(worker, None)
-        self._workers[worker].index.forget_program(program.hashes, program.program_id)
+        self._workers[worker].index.remove_program(program.hashes, program.program_id)
         return ReleaseCache(worker, program.program_id)
 
-    def _release_answered(self, event: ReleaseCompleted, now: float) -> list[PoolAction]:
-        back = self._programs.get(event.program_id) is not None
-        if event.done or back or event.worker not in self._workers:
+    def _release_completed(self, event: ReleaseCompleted, now: float) -> list[PoolAction]:
+        is_active = self._programs.get(event.program_id) is not None
+        if event.done or is_active or event.worker not in self._workers:
             return []
         return [ReleaseCache(event.worker, event.program_id)]
 
@@ -244,7 +244,7 @@
     def _worker_left(self, event: WorkerLeft, now: float) -> list[PoolAction]:
         state = self._workers.pop(event.worker, None)
         for call_id in list(state.placed) if state else []:
-            self._vacate(call_id)
+            self._free_slot(call_id)
         return []
 
     def _load_reported(self, event: LoadReported, now: float) -> list[PoolAction]:
@@ -262,7 +262,7 @@
         self.policy = event.policy
         return []
 
-    def _time_passed(self, event: Tick, now: float) -> list[PoolAction]:
+    def _tick(self, event: Tick, now: float) -> list[PoolAction]:
         return []
 
     # --- placement ---------------------------------------------------------------------------
@@ -271,7 +271,7 @@
         """Assign slots to waiting calls in order, examining at most `scan_limit` calls."""
         actions: list[PoolAction] = []
         for waiting in self._waiting.first(self.policy.scan_limit):
-            if not self._may_have_place(waiting):
+            if not self._may_have_slot(waiting):
                 break
             placement = choose_worker(
                 self._workers.values(),
@@ -285,7 +285,7 @@
                 actions += self._place(waiting, placement, now)
         return actions
 
-    def _may_have_place(self, waiting: WaitingCall) -> bool:
+    def _may_have_slot(self, waiting: WaitingCall) -> bool:
         if waiting.call.class_rank == 0 and self.policy.features.preemption:
             return True
         return any(w.free_slots > 0 and not w.leaving for w in self._workers.values())
@@ -296,7 +296,7 @@
         cached = placement.cached_blocks * worker.description.block_tokens
         uncached = max(0, call.prompt_tokens - cached)
         seconds = self.estimates.call_seconds(call.class_name, uncached, call.output_tokens)
-        answer = self.estimates.answer_tokens(call.class_name, call.output_tokens)
+        expected_answer_tokens = self.estimates.answer_tokens(call.class_name, call.output_tokens)
         placed = PlacedCall(
             call=call,
             worker=worker,
@@ -304,32 +304,34 @@
             arrived_at_seconds=waiting.arrived_at_seconds,
             expected_cached_tokens=cached,
             expected_end_seconds=now + seconds,
-            private_blocks=private_blocks(call, worker.description.block_tokens, answer),
+            private_blocks=private_blocks(
+                call, worker.description.block_tokens, expected_answer_tokens
+            ),
             reason=placement_reason(waiting, placement, cached, now),
             copied_blocks=placement.copied_blocks,
         )
         self._placed[call.call_id] = placed
-        worker.place(placed)
+        worker.add_call(placed)
         program = self._programs.get(call.program_id)
         if program is not None:
             program.workers[worker.description.worker] = None
         if placement.source is not None:
-            return [self._copy(placed, placement)]
+            return [self._copy_prefix(placed, placement)]
         return self._dispatch(placed, now)
 
-    def _copy(self, placed: PlacedCall, placement: Placement) -> PoolAction:
+    def _copy_prefix(self, placed: PlacedCall, placement: Placement) -> PoolAction:
         assert placement.source is not None
         hashes = placed.call.prefix_hashes[: placement.cached_blocks]
-        holder = placement.source.index.program_of(hashes[-1])
+        source_program_id = placement.source.index.last_program(hashes[-1])
         return CopyPrefix(
             placed.call.call_id,
-            holder or placed.call.program_id,
+            source_program_id or placed.call.program_id,
             placement.source.description.worker,
             placed.worker.description.worker,
             hashes,
         )
 
-    def _transfer_answered(self, event: TransferCompleted, now: float) -> list[PoolAction]:
+    def _transfer_completed(self, event: TransferCompleted, now: float) -> list[PoolAction]:
         placed = self._placed.get(event.call_id)
         if placed is None or placed.dispatched_at_seconds is not None:
             return []
@@ -344,8 +346,8 @@
         placed.dispatched_at_seconds = now
         call, worker = placed.call, placed.worker
         uncached = max(0, call.prompt_tokens - placed.expected_cached_tokens)
-        work = uncached * (PREFILL_TOKEN_SECONDS + PREFILL_SHARE_SECONDS)
-        worker.prefill_until_seconds = max(now, worker.prefill_until_seconds) + work
+        prefill_seconds = uncached * (PREFILL_TOKEN_SECONDS + PREFILL_SHARE_SECONDS)
+        worker.prefill_until_seconds = max(now, worker.prefill_until_seconds) + prefill_seconds
         worker.index.use(call.prefix_hashes, call.program_id, now)
         dispatch = Dispatch(
             call.call_id,
@@ -355,13 +357,13 @@
             now - placed.arrived_at_seconds,
             placed.reason,
         )
-        return [dispatch, *self._release_elsewhere(placed)]
+        return [dispatch, *self._release_previous_workers(placed)]
 
-    def _release_elsewhere(self, placed: PlacedCall) -> list[PoolAction]:
+    def _release_previous_workers(self, placed: PlacedCall) -> list[PoolAction]:
         """Release the cache of a program on its previous workers, where it will not run again."""
         program = self._programs.get(placed.call.program_id)
         if program is None or not self.policy.features.release_moved:
             return []
-        here = placed.worker.description.worker
-        others = [w for w in program.workers if w != here and w in self._workers]
-        return [self._release(worker, program) for worker in others]
+        current = placed.worker.description.worker
+        previous = [w for w in program.workers if w != current and w in self._workers]
+        return [self._release(worker, program) for worker in previous]
--- a/src/foxwinch/core/coordinator/workers.py
+++ b/src/foxwinch/core/coordinator/workers.py
@@ -33,7 +33,7 @@
     index: CacheIndex
     leaving: bool = False
     placed: dict[CallId, PlacedCall] = field(default_factory=dict)
-    urgent: int = 0
+    urgent_calls: int = 0
     """Number of placed calls of the most urgent rank."""
     prefill_until_seconds: float = 0.0
     """Expected end of the dispatched prefill work."""
@@ -52,21 +52,21 @@
 
     def fits(self, call: PoolCall, private_blocks: int) -> bool:
         """Return whether the prompt and answer fit into the cache next to the placed calls."""
-        room = self.description.cache_blocks - self.pinned_blocks - private_blocks
-        if room >= len(call.prefix_hashes):
+        free_blocks = self.description.cache_blocks - self.pinned_blocks - private_blocks
+        if free_blocks >= len(call.prefix_hashes):
             return True
-        return sum(1 for h in call.prefix_hashes if h not in self._pinned) <= room
+        return sum(1 for h in call.prefix_hashes if h not in self._pinned) <= free_blocks
 
-    def place(self, placed: PlacedCall) -> None:
+    def add_call(self, placed: PlacedCall) -> None:
         """Occupy a slot and reserve memory for a call."""
         self.placed[placed.call.call_id] = placed
         self._private_blocks += placed.private_blocks
         for block_hash in placed.call.prefix_hashes:
             self._pinned[block_hash] = self._pinned.get(block_hash, 0) + 1
         if placed.call.class_rank == 0:
-            self.urgent += 1
+            self.urgent_calls += 1
 
-    def leave(self, placed: PlacedCall) -> None:
+    def remove_call(self, placed: PlacedCall) -> None:
         """Free the slot and the reserved memory of a call."""
         del self.placed[placed.call.call_id]
         self._private_blocks -= placed.private_blocks
@@ -75,9 +75,9 @@
             if self._pinned[block_hash] == 0:
                 del self._pinned[block_hash]
         if placed.call.class_rank == 0:
-            self.urgent -= 1
+            self.urgent_calls -= 1
 
-    def next_place_seconds(self, now: float) -> float:
+    def next_slot_seconds(self, now: float) -> float:
         """Return the predicted time until a slot is free, in seconds."""
         if self.free_slots > 0:
             return 0.0
--- a/src/foxwinch/core/orders/model.py
+++ b/src/foxwinch/core/orders/model.py
@@ -50,7 +50,7 @@
     adapters: frozenset[tuple[ModelName, str]] = frozenset()
     role: str = ""
     leaving: bool = False
-    wanted_role: str = ""
+    target_role: str = ""
     """Configured role, or empty if any role is accepted."""
 
 
--- a/src/foxwinch/core/orders/reconciler.py
+++ b/src/foxwinch/core/orders/reconciler.py
@@ -20,7 +20,7 @@
 )
 from foxwinch.identifiers import Epoch, ModelName, WorkerId
 
-FAILURE_PAUSE_SECONDS = 10.0
+FAILURE_BACKOFF_SECONDS = 10.0
 """Delay before a failed order may be issued again."""
 
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Wanted:
+class _Change:
     worker: WorkerId
     kind: OrderKind
     model: ModelName
@@ -60,8 +60,8 @@
         self._policy = policy
         self._sequence = 0
         self._in_flight: dict[str, Order] = {}
-        self._first_seen: dict[_Wanted, float] = {}
-        self._not_before: dict[_Wanted, float] = {}
+        self._first_seen: dict[_Change, float] = {}
+        self._not_before: dict[_Change, float] = {}
         self._next_load_at = float("-inf")
 
     def in_flight(self) -> tuple[Order, ...]:
@@ -76,25 +76,25 @@
         now: float,
     ) -> list[Order]:
         """Return the new orders; `waiting` is the number of waiting calls by model."""
-        staying = sorted(
+        available = sorted(
             (w for w in workers if not w.leaving), key=lambda worker: (worker.load, worker.worker)
         )
-        view = _View({goal.model: goal for goal in goals}, staying, waiting)
-        wanted = self._differences(view)
-        self._first_seen = {want: self._first_seen.get(want, now) for want in wanted}
+        view = _View({goal.model: goal for goal in goals}, available, waiting)
+        changes = self._required_changes(view)
+        self._first_seen = {change: self._first_seen.get(change, now) for change in changes}
         orders: list[Order] = []
-        for want in wanted:
-            if self._allowed(want, view, now):
-                orders.append(self._issue(want, now))
+        for change in changes:
+            if self._is_allowed(change, view, now):
+                orders.append(self._issue(change, now))
         return orders
 
     def completed(self, token: str, succeeded: bool, now: float) -> Order | None:
         """Handle the result of an order and return the order, or None if it is not in flight."""
         order = self._in_flight.pop(token, None)
         if order is not None:
-            want = _Wanted(order.worker, order.kind, order.model, order.value)
-            pause = self._policy.stable_seconds if succeeded else FAILURE_PAUSE_SECONDS
-            self._not_before[want] = now + pause
+            change = _Change(order.worker, order.kind, order.model, order.value)
+            delay = self._policy.stable_seconds if succeeded else FAILURE_BACKOFF_SECONDS
+            self._not_before[change] = now + delay
         return order
 
     def serving(self, model: ModelName, workers: Iterable[WorkerActual]) -> int:
@@ -108,25 +108,25 @@
             model in w.models and not w.leaving and w.worker not in interrupted for w in workers
         )
 
-    def _differences(self, view: _View) -> list[_Wanted]:
+    def _required_changes(self, view: _View) -> list[_Change]:
         """Return the required changes, ordered by kind urgency and then by worker load."""
-        found = self._missing_minimum(view)
-        found += self._idle_workers(view)
-        found += self._under_pressure(view)
+        changes = self._loads_for_minimum(view)
+        changes += self._loads_for_idle_workers(view)
+        changes += self._loads_for_overload(view)
         for worker in view.workers:
-            found += self._wrong_details(worker, view)
+            changes += self._setting_changes(worker, view)
         for worker in view.workers:
-            found += self._superfluous(worker, view)
-        return list(dict.fromkeys(found))
+            changes += self._unloads(worker, view)
+        return list(dict.fromkeys(changes))
 
-    def _missing_minimum(self, view: _View) -> list[_Wanted]:
-        found: list[_Wanted] = []
+    def _loads_for_minimum(self, view: _View) -> list[_Change]:
+        changes: list[_Change] = []
         for goal in sorted(view.goals.values(), key=lambda g: g.model):
-            missing = goal.minimum_workers - self._present_or_loading(goal.model, view.workers)
-            found += _loads(goal, view.workers)[: max(0, missing)]
-        return found
+            missing = goal.minimum_workers - self._workers_with_model(goal.model, view.workers)
+            changes += _loads(goal, view.workers)[: max(0, missing)]
+        return changes
 
-    def _present_or_loading(self, model: ModelName, workers: Iterable[WorkerActual]) -> int:
+    def _workers_with_model(self, model: ModelName, workers: Iterable[WorkerActual]) -> int:
         loading = {
             order.worker
             for order in self._in_flight.values()
@@ -134,91 +134,91 @@
         }
         return sum(model in w.models or w.worker in loading for w in workers)
 
-    def _idle_workers(self, view: _View) -> list[_Wanted]:
+    def _loads_for_idle_workers(self, view: _View) -> list[_Change]:
         """Return loads for workers without a model, choosing the rarest model of their pool."""
-        found: list[_Wanted] = []
+        changes: list[_Change] = []
         for worker in view.workers:
-            fitting = [g for g in view.goals.values() if worker.pool in g.pools]
+            eligible = [g for g in view.goals.values() if worker.pool in g.pools]
             busy = any(order.worker == worker.worker for order in self._in_flight.values())
-            if worker.models or busy or not fitting:
+            if worker.models or busy or not eligible:
                 continue
             rarest = min(
-                fitting, key=lambda g: (self._present_or_loading(g.model, view.workers), g.model)
+                eligible, key=lambda g: (self._workers_with_model(g.model, view.workers), g.model)
             )
-            found.append(_load(rarest, worker))
-        return found
+            changes.append(_load(rarest, worker))
+        return changes
 
-    def _under_pressure(self, view: _View) -> list[_Wanted]:
-        found: list[_Wanted] = []
+    def _loads_for_overload(self, view: _View) -> list[_Change]:
+        changes: list[_Change] = []
         for goal in sorted(view.goals.values(), key=lambda g: g.model):
-            serving = max(1, self._present_or_loading(goal.model, view.workers))
+            serving = max(1, self._workers_with_model(goal.model, view.workers))
             if view.waiting.get(goal.model, 0) > serving * self._policy.pressure_waiting:
-                found += _loads(goal, view.workers)[:1]
-        return found
+                changes += _loads(goal, view.workers)[:1]
+        return changes
 
-    def _wrong_details(self, worker: WorkerActual, view: _View) -> list[_Wanted]:
-        found: list[_Wanted] = []
-        if worker.wanted_role and worker.role != worker.wanted_role:
+    def _setting_changes(self, worker: WorkerActual, view: _View) -> list[_Change]:
+        changes: list[_Change] = []
+        if worker.target_role and worker.role != worker.target_role:
             model = min(worker.models, default=ModelName(""))
-            found.append(_Wanted(worker.worker, OrderKind.SET_ROLE, model, worker.wanted_role))
+            changes.append(_Change(worker.worker, OrderKind.SET_ROLE, model, worker.target_role))
         for model in sorted(worker.models & view.goals.keys()):
             goal = view.goals[model]
             if worker.versions.get(model) != goal.version:
-                found.append(_Wanted(worker.worker, OrderKind.SET_VERSION, model, goal.version))
+                changes.append(_Change(worker.worker, OrderKind.SET_VERSION, model, goal.version))
             present = {adapter for name, adapter in worker.adapters if name == model}
             for adapter in sorted(goal.adapters - present):
-                found.append(_Wanted(worker.worker, OrderKind.LOAD_ADAPTER, model, adapter))
+                changes.append(_Change(worker.worker, OrderKind.LOAD_ADAPTER, model, adapter))
             for adapter in sorted(present - goal.adapters):
-                found.append(_Wanted(worker.worker, OrderKind.UNLOAD_ADAPTER, model, adapter))
-        return found
+                changes.append(_Change(worker.worker, OrderKind.UNLOAD_ADAPTER, model, adapter))
+        return changes
 
-    def _superfluous(self, worker: WorkerActual, view: _View) -> list[_Wanted]:
+    def _unloads(self, worker: WorkerActual, view: _View) -> list[_Change]:
         return [
-            _Wanted(worker.worker, OrderKind.UNLOAD, model)
+            _Change(worker.worker, OrderKind.UNLOAD, model)
             for model in sorted(worker.models)
             if model not in view.goals or worker.pool not in view.goals[model].pools
         ]
 
-    def _allowed(self, want: _Wanted, view: _View, now: float) -> bool:
-        if any(order.worker == want.worker for order in self._in_flight.values()):
+    def _is_allowed(self, change: _Change, view: _View, now: float) -> bool:
+        if any(order.worker == change.worker for order in self._in_flight.values()):
             return False
-        if now < self._not_before.get(want, now):
+        if now < self._not_before.get(change, now):
             return False
-        if not self._is_urgent(want, view) and not self._has_lasted(want, now):
+        if not self._is_urgent(change, view) and not self._is_stable(change, now):
             return False
-        if want.kind in READS_WEIGHTS and not self._store_has_room(now):
+        if change.kind in READS_WEIGHTS and not self._may_start_load(now):
             return False
-        return want.kind not in INTERRUPTS_SERVING or self._keeps_minimum(want, view)
+        return change.kind not in INTERRUPTS_SERVING or self._keeps_minimum(change, view)
 
-    def _has_lasted(self, want: _Wanted, now: float) -> bool:
-        return now - self._first_seen[want] >= self._policy.stable_seconds
+    def _is_stable(self, change: _Change, now: float) -> bool:
+        return now - self._first_seen[change] >= self._policy.stable_seconds
 
-    def _is_urgent(self, want: _Wanted, view: _View) -> bool:
-        if want.kind is not OrderKind.LOAD:
+    def _is_urgent(self, change: _Change, view: _View) -> bool:
+        if change.kind is not OrderKind.LOAD:
             return False
-        goal = view.goals[want.model]
-        return self.serving(want.model, view.workers) < goal.minimum_workers
+        goal = view.goals[change.model]
+        return self.serving(change.model, view.workers) < goal.minimum_workers
 
-    def _store_has_room(self, now: float) -> bool:
+    def _may_start_load(self, now: float) -> bool:
         loading = sum(order.kind in READS_WEIGHTS for order in self._in_flight.values())
         return loading < self._policy.loads_in_flight and now >= self._next_load_at
 
-    def _keeps_minimum(self, want: _Wanted, view: _View) -> bool:
-        goal = view.goals.get(want.model)
+    def _keeps_minimum(self, change: _Change, view: _View) -> bool:
+        goal = view.goals.get(change.model)
         minimum = goal.minimum_workers if goal else 0
-        return self.serving(want.model, view.workers) - 1 >= minimum
+        return self.serving(change.model, view.workers) - 1 >= minimum
 
-    def _issue(self, want: _Wanted, now: float) -> Order:
+    def _issue(self, change: _Change, now: float) -> Order:
         self._sequence += 1
         token = f"{self._epoch}-{self._sequence}"
-        order = Order(token, want.worker, want.kind, want.model, want.value)
+        order = Order(token, change.worker, change.kind, change.model, change.value)
         self._in_flight[token] = order
-        if want.kind in READS_WEIGHTS:
+        if change.kind in READS_WEIGHTS:
             self._next_load_at = now + self._policy.load_interval_seconds
         return order
 
 
-def _loads(goal: ModelGoal, workers: Iterable[WorkerActual]) -> list[_Wanted]:
+def _loads(goal: ModelGoal, workers: Iterable[WorkerActual]) -> list[_Change]:
     """Return loads of a model on the eligible workers, the least loaded first."""
     return [
         _load(goal, worker)
@@ -227,5 +227,5 @@
     ]
 
 
-def _load(goal: ModelGoal, worker: WorkerActual) -> _Wanted:
-    return _Wanted(worker.worker, OrderKind.LOAD, goal.model, goal.version)
+def _load(goal: ModelGoal, worker: WorkerActual) -> _Change:
+    return _Change(worker.worker, OrderKind.LOAD, goal.model, goal.version)
--- a/src/foxwinch/node/parts/grants.py
+++ b/src/foxwinch/node/parts/grants.py
@@ -69,7 +69,7 @@
     coordinator = CoordinatorService(
         _coordinator_ports(context, membership, configuration, records), directory
     )
-    client = CoordinatorClient(context.node, coordinator.desk, context.ports.peers)
+    client = CoordinatorClient(context.node, coordinator.handlers, context.ports.peers)
     clock = context.ports.clock
     grants = GrantsService(directory, client, configuration.configuration, clock)
     orders = OrdersService(
--- a/src/foxwinch/workers/cache_evacuation.py
+++ b/src/foxwinch/workers/cache_evacuation.py
@@ -13,14 +13,14 @@
 from foxwinch.log import EventLog
 from foxwinch.workers.pool_driver import copy_cache
 
-PROGRAMS_MOVED = 32
+MAX_COPIED_PROGRAMS = 32
 """Limit of programs per leaving worker, which rarely allows time for more."""
-TRANSFER_SECONDS = 5.0
+TRANSFER_TIMEOUT_SECONDS = 5.0
 
 log = EventLog("worker")
 
 
-def moving_pays() -> bool:
+def is_copy_cheaper() -> bool:
     """Return whether copying a block is predicted to take less time than recomputing it."""
     return INITIAL_TRANSFER_BLOCK_SECONDS < PREFILL_TOKEN_SECONDS * BLOCK_TOKENS
 
@@ -32,15 +32,15 @@
         self._engine = engine
         self._tasks: dict[WorkerId, asyncio.Task[None]] = {}
 
-    def begin(
+    def start(
         self, source: WorkerId, targets: list[WorkerId], programs: Iterable[ProgramId]
     ) -> None:
         """Copy the caches of `programs` to `targets` round-robin, or nothing without a target."""
-        if not targets or not moving_pays():
+        if not targets or not is_copy_cheaper():
             return
         self.cancel(source)
-        moving = self._move(source, targets, list(programs)[:PROGRAMS_MOVED])
-        self._tasks[source] = asyncio.get_running_loop().create_task(moving)
+        transfer = self._copy_caches(source, targets, list(programs)[:MAX_COPIED_PROGRAMS])
+        self._tasks[source] = asyncio.get_running_loop().create_task(transfer)
 
     def cancel(self, source: WorkerId) -> None:
         """Stop the transfers from a worker that has left or is no longer leaving."""
@@ -56,14 +56,14 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         self._tasks.clear()
 
-    async def _move(
+    async def _copy_caches(
         self, source: WorkerId, targets: list[WorkerId], programs: list[ProgramId]
     ) -> None:
         moved = 0
-        for number, program_id in enumerate(programs):
-            target = targets[number % len(targets)]
+        for index, program_id in enumerate(programs):
+            target = targets[index % len(targets)]
             try:
-                async with asyncio.timeout(TRANSFER_SECONDS):
+                async with asyncio.timeout(TRANSFER_TIMEOUT_SECONDS):
                     moved += await copy_cache(self._engine, source, target, program_id)
             except TimeoutError:
                 break
--- a/src/foxwinch/workers/coordinator_client.py
+++ b/src/foxwinch/workers/coordinator_client.py
@@ -32,7 +32,7 @@
 ORDER_DEADLINE_SECONDS = 120.0
 """Deadline of an order; loading a large model at the weight store's rate takes one to two
 minutes."""
-Answer = TypeVar("Answer", bound=Message)
+Response = TypeVar("Response", bound=Message)
 
 
 class CoordinatorEndpoint(Protocol):
@@ -70,12 +70,12 @@
             return await self._local.acquire(self._node, ask)
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
-        answers = self._peers.stream(
+        responses = self._peers.stream(
             coordinator.address, ACQUIRE_METHOD, ask.SerializeToString(), ask.remaining_seconds
         )
-        async with aclosing(cast(AsyncGenerator[bytes | Refused, None], answers)) as stream:
-            async for answer in stream:
-                return _parsed(GrantGiven(), answer)
+        async with aclosing(cast(AsyncGenerator[bytes | Refused, None], responses)) as stream:
+            async for response in stream:
+                return _decoded(GrantGiven(), response)
         return outcome_unknown(
             Reason.PEER_UNREACHABLE, "the coordinator closed the stream without a response"
         )
@@ -109,21 +109,26 @@
         )
 
     async def _call(
-        self, coordinator: Member, method: str, request: Message, answer: Answer, deadline: float
-    ) -> Answer | Refused:
+        self,
+        coordinator: Member,
+        method: str,
+        request: Message,
+        response: Response,
+        deadline: float,
+    ) -> Response | Refused:
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
         payload = await self._peers.call(
             coordinator.address, method, request.SerializeToString(), deadline
         )
-        return _parsed(answer, payload)
+        return _decoded(response, payload)
 
 
-def _parsed(answer: Answer, payload: bytes | Refused) -> Answer | Refused:
+def _decoded(response: Response, payload: bytes | Refused) -> Response | Refused:
     if isinstance(payload, Refused):
         return payload
     try:
-        answer.ParseFromString(payload)
+        response.ParseFromString(payload)
     except DecodeError:
         return outcome_unknown(Reason.INTERNAL, "a coordinator response could not be decoded")
-    return answer
+    return response
--- a/src/foxwinch/workers/coordinator_directory.py
+++ b/src/foxwinch/workers/coordinator_directory.py
@@ -16,7 +16,7 @@
 """Prefix of the resource names of workers."""
 PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 """States in which a member may hold workers and answer requests."""
-ASSIGNABLE = (MemberState.ALIVE, MemberState.SUSPECT)
+ASSIGNABLE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 """States in which workers may be assigned to a member, which may refute a suspicion."""
 
 
@@ -71,7 +71,7 @@
         return [
             Candidate(member.node, member.zone, member.region)
             for member in self._membership.members()
-            if member.state in ASSIGNABLE and member.node not in draining
+            if member.state in ASSIGNABLE_STATES and member.node not in draining
         ]
 
     def holders(self) -> dict[str, Holder]:
@@ -121,14 +121,14 @@
         """Return the nodes that hold any resource."""
         return {member.node for member, digest in self._digests() if digest.held}
 
-    def unheard(self) -> bool:
+    def has_missing_digests(self) -> bool:
         """Return whether the digest of a live member of this region has not arrived yet."""
         entries = self._gossip.entries(GossipKind.COORDINATOR)
-        this = self._membership.this_member()
+        local_member = self._membership.this_member()
         return any(
             node not in entries
             for node, member in self._present().items()
-            if node != this.node and member.region == this.region
+            if node != local_member.node and member.region == local_member.region
         )
 
     def queued(self) -> dict[ModelName, int]:
--- a/src/foxwinch/workers/coordinator_grants.py
+++ b/src/foxwinch/workers/coordinator_grants.py
@@ -20,15 +20,15 @@
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.workers.coordinator_messages import request_of, usage_of
 from foxwinch.workers.coordinator_pools import CoordinatorPools
-from foxwinch.workers.engine_retries import EngineRetries, RetriedKey, RetriedKind
+from foxwinch.workers.engine_retries import EngineRetries, OperationKey, OperationKind
 from foxwinch.workers.pool_driver import PoolDriver
 from foxwinch.workers.worker_drains import WorkerDrains
 
-ASK_ELSEWHERE_SECONDS = 0.2
+RETRY_AFTER_SECONDS = 0.2
 """Retry delay before the request is sent to another coordinator."""
 LOWEST_RANK = 9
 """Rank of a class that the active configuration does not contain."""
-FAILURES_REMEMBERED = 4_096
+MAX_FAILED_CALLS = 4_096
 """Capacity of the LRU map of failed calls, which avoids the workers on which a call has failed."""
 
 log = EventLog("steward")
@@ -57,32 +57,32 @@
         self._retries = retries
         self._drains = drains
         self._on_fenced = on_fenced
-        self._hot = HotPrefixes()
-        self._failed_on: LRUCache[CallId, frozenset[WorkerId]] = LRUCache(FAILURES_REMEMBERED)
+        self._hot_prefixes = HotPrefixes()
+        self._failed_on: LRUCache[CallId, frozenset[WorkerId]] = LRUCache(MAX_FAILED_CALLS)
 
     async def acquire(self, owner: NodeId, ask: GrantAsk) -> GrantGiven | Refused:
         """Return a grant when it is issued; cancellation withdraws the request."""
-        call = self._call_of(ask, self._clock.monotonic())
-        self._end_earlier(call.call_id)
+        call = self._pool_call(ask, self._clock.monotonic())
+        self._end_previous(call.call_id)
         found = self._pools.serving(call.model, call.class_rank)
         if found is None:
             detail = f"this coordinator has no worker for model {call.model}"
-            return not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS)
+            return not_run(Reason.NOT_OWNER, detail, RETRY_AFTER_SECONDS)
         name, pool = found
         if call.excluded_workers and not pool.serves(call.model, call.excluded_workers):
             # A call that returns found no other coordinator, so these workers are tried again.
             self._failed_on.pop(call.call_id, None)
             detail = "the call has failed on every suitable worker of this coordinator"
-            return not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS)
+            return not_run(Reason.NOT_OWNER, detail, RETRY_AFTER_SECONDS)
         try:
             async with asyncio.timeout(ask.remaining_seconds):
-                answer = await pool.place(call)
+                response = await pool.place(call)
         except TimeoutError:
             wait = max(MIN_RETRY_SECONDS, pool.predicted_wait_seconds(call.class_rank))
             return not_run(Reason.DEADLINE, "no worker was free before the deadline", wait)
-        if isinstance(answer, Refused):
-            return answer
-        return self._give(owner, ask, answer, pool, name)
+        if isinstance(response, Refused):
+            return response
+        return self._issue_grant(owner, ask, response, pool, name)
 
     def settle(self, owner: NodeId, settled: SettledCall) -> None:
         """End a grant and apply its usage; an unknown grant is ignored."""
@@ -95,11 +95,11 @@
             self._on_fenced(record.worker, record.epoch)
             return
         if usage.failed:
-            self._remember_failure(record, usage.not_run)
+            self._record_failure(record, usage.not_run)
             self._fail(record, usage.not_run)
             return
         self._failed_on.pop(usage.call_id, None)
-        self._drains.ran(record.worker)
+        self._drains.record_run(record.worker)
         pool = self._pools.pool_named(record.pool)
         if pool is not None:
             finished = CallFinished(
@@ -132,13 +132,13 @@
 
     def hot_prefixes(self) -> list[int]:
         """Return the prefixes that several calls have shared on this node."""
-        return self._hot.top()
+        return self._hot_prefixes.top()
 
     def is_running(self, worker: WorkerId, program_id: ProgramId) -> bool:
         """Return whether a call of a program has a grant on a worker."""
-        return any(record.program_id == program_id for record in self._ledger.on_worker(worker))
+        return any(record.program_id == program_id for record in self._ledger.worker_grants(worker))
 
-    def _give(
+    def _issue_grant(
         self, owner: NodeId, ask: GrantAsk, dispatch: Dispatch, pool: PoolDriver, pool_name: str
     ) -> GrantGiven | Refused:
         held = self._pools.held().get(dispatch.worker)
@@ -146,8 +146,8 @@
         if held is None:
             pool.withdraw(call_id)
             detail = f"worker {dispatch.worker} is no longer held by this coordinator"
-            return not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS)
-        self._hot.use(tuple(ask.prefix_hashes))
+            return not_run(Reason.NOT_OWNER, detail, RETRY_AFTER_SECONDS)
+        self._hot_prefixes.use(tuple(ask.prefix_hashes))
         record = GrantRecord(
             call_id, owner, ask.sequence, dispatch.worker, held.epoch, program_id, pool_name
         )
@@ -165,14 +165,14 @@
             sequence=ask.sequence,
         )
 
-    def _end_earlier(self, call_id: CallId) -> None:
+    def _end_previous(self, call_id: CallId) -> None:
         """End the previous grant and pending cancellation of a call that is requested again."""
         record = self._ledger.supersede(call_id)
         if record is not None:
             self._fail(record, not_run=False)
-        self._retries.drop_subject(RetriedKind.CANCEL, call_id)
+        self._retries.cancel_subject(OperationKind.CANCEL, call_id)
 
-    def _call_of(self, ask: GrantAsk, now: float) -> PoolCall:
+    def _pool_call(self, ask: GrantAsk, now: float) -> PoolCall:
         request = request_of(ask, now)
         return PoolCall(
             call_id=request.call_id,
@@ -198,14 +198,14 @@
         ranks = (c.rank for c in snapshot.document.classes if c.name == class_name)
         return next(ranks, LOWEST_RANK)
 
-    def _remember_failure(self, record: GrantRecord, not_run: bool) -> None:
+    def _record_failure(self, record: GrantRecord, not_run: bool) -> None:
         known = self._failed_on.get(record.call_id, frozenset())
         self._failed_on[record.call_id] = known | {record.worker}
         held = self._pools.held().get(record.worker)
         if held is not None:
             held.link.poll_now()
         if not_run and record.program_id is not None:
-            self._drains.refused(record.worker, record.program_id)
+            self._drains.record_refusal(record.worker, record.program_id)
 
     def _fail(self, record: GrantRecord, not_run: bool) -> None:
         pool = self._pools.pool_named(record.pool)
@@ -215,6 +215,6 @@
     def _cancel(self, record: GrantRecord) -> None:
         worker, call_id = record.worker, record.call_id
         self._retries.submit(
-            RetriedKey(RetriedKind.CANCEL, worker, call_id),
+            OperationKey(OperationKind.CANCEL, worker, call_id),
             lambda: self._engine.cancel(worker, call_id),
         )
--- a/src/foxwinch/workers/coordinator_handlers.py
+++ b/src/foxwinch/workers/coordinator_handlers.py
@@ -32,7 +32,7 @@
 from foxwinch.workers.coordinator_programs import CoordinatorPrograms
 from foxwinch.workers.engine_retries import EngineRetries
 
-UNREADABLE = not_run(Reason.INVALID_REQUEST, "the message could not be decoded")
+UNDECODABLE = not_run(Reason.INVALID_REQUEST, "the message could not be decoded")
 
 
 class CoordinatorHandlers:
@@ -61,23 +61,23 @@
 
     def serve(self, peers: PeerPort) -> None:
         """Register the handlers for requests of other nodes."""
-        peers.handle_stream(ACQUIRE_METHOD, self._serve_acquire)
-        peers.handle(REPORT_METHOD, self._serve_report)
-        peers.handle(DESCRIBE_METHOD, self._serve_describe)
-        peers.handle(ORDER_METHOD, self._serve_order)
+        peers.handle_stream(ACQUIRE_METHOD, self._handle_acquire)
+        peers.handle(REPORT_METHOD, self._handle_report)
+        peers.handle(DESCRIBE_METHOD, self._handle_describe)
+        peers.handle(ORDER_METHOD, self._handle_order)
 
     async def acquire(self, owner: NodeId, ask: GrantAsk) -> GrantGiven | Refused:
         """Return a grant when it is issued; cancellation withdraws the request."""
         program_id = ProgramId(ask.program_id)
-        self.programs.asked(owner, program_id, ask.sequence)
-        answer = await self._grants.acquire(owner, ask)
-        if not isinstance(answer, Refused):
-            self.programs.granted(program_id, WorkerId(answer.worker))
-        return answer
+        self.programs.requested(owner, program_id, ask.sequence)
+        response = await self._grants.acquire(owner, ask)
+        if not isinstance(response, Refused):
+            self.programs.granted(program_id, WorkerId(response.worker))
+        return response
 
     async def report(self, owner: NodeId, report: GrantReport) -> GrantReportAnswer:
         """Process a report, whose items are idempotent."""
-        answer = GrantReportAnswer()
+        response = GrantReportAnswer()
         for settled in report.settled:
             self._grants.settle(owner, settled)
         for withdrawn in report.withdrawn:
@@ -86,12 +86,12 @@
             self.programs.pause(owner, paused)
         for finished in report.finished:
             if self.programs.finish(finished):
-                answer.released.append(finished.program_id)
+                response.released.append(finished.program_id)
         for held in report.held:
             worker = WorkerId(held.worker)
             if not self._grants.confirm(owner, CallId(held.call_id), held.sequence, worker):
-                answer.void_calls.append(held.call_id)
-        return answer
+                response.void_calls.append(held.call_id)
+        return response
 
     async def describe(self) -> StewardedWorkers:
         """Return the state of the workers that the node holds."""
@@ -120,7 +120,7 @@
             epoch=held.epoch,
             state=self._state_of(worker),
             leaving=held.leaving,
-            granted=len(self._ledger.on_worker(worker)) + self._ledger.foreign_calls(worker),
+            granted=len(self._ledger.worker_grants(worker)) + self._ledger.foreign_calls(worker),
             releases_pending=self._retries.pending(worker),
             report_age_seconds=-1.0,
         )
@@ -133,34 +133,34 @@
             status.report_age_seconds = self._clock.monotonic() - reported_at
         return status
 
-    async def _serve_acquire(
+    async def _handle_acquire(
         self, context: PeerContext, payload: bytes
     ) -> AsyncIterator[bytes | Refused]:
         ask = GrantAsk()
-        if not _parses(ask, payload):
-            yield UNREADABLE
+        if not _decode(ask, payload):
+            yield UNDECODABLE
             return
-        answer = await self.acquire(context.sender, ask)
-        yield answer if isinstance(answer, Refused) else answer.SerializeToString()
+        response = await self.acquire(context.sender, ask)
+        yield response if isinstance(response, Refused) else response.SerializeToString()
 
-    async def _serve_report(self, context: PeerContext, payload: bytes) -> bytes | Refused:
+    async def _handle_report(self, context: PeerContext, payload: bytes) -> bytes | Refused:
         report = GrantReport()
-        if not _parses(report, payload):
-            return UNREADABLE
+        if not _decode(report, payload):
+            return UNDECODABLE
         return (await self.report(context.sender, report)).SerializeToString()
 
-    async def _serve_describe(self, context: PeerContext, payload: bytes) -> bytes | Refused:
+    async def _handle_describe(self, context: PeerContext, payload: bytes) -> bytes | Refused:
         return (await self.describe()).SerializeToString()
 
-    async def _serve_order(self, context: PeerContext, payload: bytes) -> bytes | Refused:
+    async def _handle_order(self, context: PeerContext, payload: bytes) -> bytes | Refused:
         order = WorkerOrder()
-        if not _parses(order, payload):
-            return UNREADABLE
-        answer = await self.order(order)
-        return answer if isinstance(answer, Refused) else answer.SerializeToString()
+        if not _decode(order, payload):
+            return UNDECODABLE
+        response = await self.order(order)
+        return response if isinstance(response, Refused) else response.SerializeToString()
 
 
-def _parses(message: Message, payload: bytes) -> bool:
+def _decode(message: Message, payload: bytes) -> bool:
     try:
         message.ParseFromString(payload)
     except DecodeError:
--- a/src/foxwinch/workers/coordinator_pools.py
+++ b/src/foxwinch/workers/coordinator_pools.py
@@ -97,9 +97,9 @@
 
     def serving(self, model: ModelName, class_rank: int) -> tuple[str, PoolDriver] | None:
         """Return the pool with the shortest predicted wait for a model, or None without a pool."""
-        fitting = [(name, pool) for name, pool in self._pools.items() if pool.serves(model)]
+        candidates = [(name, pool) for name, pool in self._pools.items() if pool.serves(model)]
         return min(
-            fitting, key=lambda item: item[1].predicted_wait_seconds(class_rank), default=None
+            candidates, key=lambda item: item[1].predicted_wait_seconds(class_rank), default=None
         )
 
     def models(self) -> set[ModelName]:
@@ -107,9 +107,9 @@
         reports = (held.link.report for held in self._held.values() if held.ready)
         return {model for report in reports if report is not None for model in report.models}
 
-    def hold(self, worker: WorkerId, epoch: Epoch, on_ready: Callable[[], None]) -> None:
+    def add_worker(self, worker: WorkerId, epoch: Epoch, on_ready: Callable[[], None]) -> None:
         """Start polling a worker under a new epoch; `on_ready` is called on its first report."""
-        self.let_go(worker)
+        self.drop_worker(worker)
         settings = self._settings.get(worker)
         if settings is None:
             return
@@ -117,7 +117,7 @@
             self._pools[settings.pool] = PoolDriver(
                 self._policy, self._engine, self._retries, self._clock, self._resync
             )
-        events = WorkerLinkEvents(self._reported, self._cache_changed, self._gone)
+        events = WorkerLinkEvents(self._on_report, self._cache_changed, self._on_unreachable)
         link = WorkerLink(worker, self._engine, self._clock, events)
         self._held[worker] = HeldWorker(settings, epoch, link, on_ready)
         link.start()
@@ -129,7 +129,7 @@
             held.releasing = True
             self.refresh(worker)
 
-    def let_go(self, worker: WorkerId) -> None:
+    def drop_worker(self, worker: WorkerId) -> None:
         """Drop a worker that is no longer held by this node."""
         held = self._held.pop(worker, None)
         if held is None:
@@ -167,7 +167,7 @@
     async def stop(self) -> None:
         """Drop all workers and stop the pools."""
         for worker in list(self._held):
-            self.let_go(worker)
+            self.drop_worker(worker)
         for pool in self._pools.values():
             await pool.stop()
         await asyncio.gather(*self._stopping, return_exceptions=True)
@@ -185,7 +185,7 @@
             block_tokens=BLOCK_TOKENS,
         )
 
-    def _reported(self, worker: WorkerId, report: LoadReport) -> None:
+    def _on_report(self, worker: WorkerId, report: LoadReport) -> None:
         held = self._held.get(worker)
         if held is None:
             return
@@ -200,7 +200,7 @@
         if pool is not None:
             pool.handle(event)
 
-    def _gone(self, worker: WorkerId) -> None:
+    def _on_unreachable(self, worker: WorkerId) -> None:
         """Remove an unreachable worker and its grants from the pool until it reports again."""
         held = self._held.get(worker)
         if held is not None:
--- a/src/foxwinch/workers/coordinator_programs.py
+++ b/src/foxwinch/workers/coordinator_programs.py
@@ -19,19 +19,19 @@
     def __init__(self, pools: CoordinatorPools, grants: CoordinatorGrants) -> None:
         self._pools = pools
         self._grants = grants
-        self._last_ask: LRUCache[ProgramId, tuple[NodeId, int]] = LRUCache(MAX_CACHED_PROGRAMS)
+        self._last_request: LRUCache[ProgramId, tuple[NodeId, int]] = LRUCache(MAX_CACHED_PROGRAMS)
         self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(MAX_CACHED_PROGRAMS)
         self._released: LRUCache[tuple[ProgramId, WorkerId], None] = LRUCache(MAX_CACHED_PROGRAMS)
 
-    def asked(self, owner: NodeId, program_id: ProgramId, sequence: int) -> None:
+    def requested(self, owner: NodeId, program_id: ProgramId, sequence: int) -> None:
         """Record the latest request of a program."""
-        self._last_ask[program_id] = (owner, sequence)
+        self._last_request[program_id] = (owner, sequence)
 
     def granted(self, program_id: ProgramId, worker: WorkerId) -> None:
         """Record the worker of the program's latest grant."""
         self._last_worker[program_id] = worker
 
-    def latest_on(self, worker: WorkerId) -> list[ProgramId]:
+    def recent_programs(self, worker: WorkerId) -> list[ProgramId]:
         """Return the programs whose last worker is `worker`, most recent first."""
         found = [program for program, last in self._last_worker.items() if last == worker]
         return found[::-1]
@@ -39,8 +39,8 @@
     def pause(self, owner: NodeId, paused: PausedProgram) -> None:
         """Pause a program for a tool call, unless it has made a newer request."""
         program_id = ProgramId(paused.program_id)
-        asker, sequence = self._last_ask.get(program_id, (owner, 0))
-        if asker != owner or sequence > paused.sequence:
+        last_owner, sequence = self._last_request.get(program_id, (owner, 0))
+        if last_owner != owner or sequence > paused.sequence:
             return
         for _, pool in self._pools.pools():
             pool.handle(ProgramPaused(program_id, ToolName(paused.tool)))
@@ -49,7 +49,7 @@
         """Release a program's cache, and return True once all named workers have done so."""
         program_id = ProgramId(finished.program_id)
         self._last_worker.pop(program_id, None)
-        self._last_ask.pop(program_id, None)
+        self._last_request.pop(program_id, None)
         for _, pool in self._pools.pools():  # Some pools know only sub-agents of the program.
             pool.handle(ProgramEnded(program_id))
         released = [self._release(WorkerId(w), program_id) for w in finished.workers]
@@ -64,8 +64,8 @@
         if key in self._released:
             return True
         if not self._grants.is_running(worker, program_id):
-            pool.release(worker, program_id, lambda: self._note_released(key))
+            pool.release(worker, program_id, lambda: self._mark_released(key))
         return False
 
-    def _note_released(self, key: tuple[ProgramId, WorkerId]) -> None:
+    def _mark_released(self, key: tuple[ProgramId, WorkerId]) -> None:
         self._released[key] = None
--- a/src/foxwinch/workers/coordinator_service.py
+++ b/src/foxwinch/workers/coordinator_service.py
@@ -40,19 +40,19 @@
 from foxwinch.workers.coordinator_metrics import CoordinatorMetrics
 from foxwinch.workers.coordinator_pools import CoordinatorPools
 from foxwinch.workers.engine_retries import EngineRetries
+from foxwinch.workers.event_wait import wait_for_event
 from foxwinch.workers.ports import EpochView
-from foxwinch.workers.waiting import wait_for_event
 from foxwinch.workers.worker_drains import WorkerDrains
 
 TICK_SECONDS = 0.25
 """Maximum interval between checks of members, leases and waiting calls."""
-HANDOVER_SECONDS = 5.0
+HANDOVER_TIMEOUT_SECONDS = 5.0
 """Time to wait for the claim of the next coordinator, which arrives by gossip and may be queued."""
-DIGEST_SECONDS = 2.0
-DIGEST_SECONDS_PER_MEMBER = 0.3
-"""If only queue lengths change, a digest is published at most once per `DIGEST_SECONDS` or per this
-time multiplied by the number of members, whichever is longer. More frequent digests would use up
-the gossip budget."""
+DIGEST_INTERVAL_SECONDS = 2.0
+DIGEST_INTERVAL_SECONDS_PER_MEMBER = 0.3
+"""If only queue lengths change, the interval between digests is at least `DIGEST_INTERVAL_SECONDS`
+and this time multiplied by the number of members. More frequent digests would use up the gossip
+budget."""
 
 log = EventLog("steward")
 
@@ -74,7 +74,7 @@
 
 
 class CoordinatorService:
-    """Service that runs the worker assignment of this node; `desk` handles requests of owners."""
+    """Service that runs the worker assignment of this node; `handlers` serves owner requests."""
 
     def __init__(self, ports: CoordinatorPorts, directory: CoordinatorDirectory) -> None:
         self._ports = ports
@@ -82,8 +82,8 @@
         self._ledger = GrantLedger()
         self._retries = EngineRetries(ports.clock)
         self._evacuation = CacheEvacuation(ports.engine)
-        self._wake = asyncio.Event()
-        self._drains = WorkerDrains(ports.gossip, ports.machines, ports.clock, self._wake.set)
+        self._wake_event = asyncio.Event()
+        self._drains = WorkerDrains(ports.gossip, ports.machines, ports.clock, self._wake_event.set)
         self.pools = CoordinatorPools(
             ports.engine, ports.clock, self._ledger, self._retries, self._drains, self._evacuate
         )
@@ -97,7 +97,7 @@
             self._drains,
             self._fenced,
         )
-        self.desk = CoordinatorHandlers(
+        self.handlers = CoordinatorHandlers(
             ports.engine,
             ports.clock,
             self.pools,
@@ -109,7 +109,7 @@
         self._metrics = CoordinatorMetrics(ports.registry)
         self._assignment: CoordinatorAssignment | None = None
         self._tasks = ServiceTasks("steward")
-        self._extra: tuple[Resource, ...] = ()
+        self._extra_resources: tuple[Resource, ...] = ()
         self._draining = False
         self._digest = b""
         self._digest_held = b""
@@ -122,9 +122,9 @@
             return CoordinatorState.UNASSIGNED
         return self._assignment.state(worker_resource(worker))
 
-    def hold_also(self, resource: Resource) -> None:
+    def add_resource(self, resource: Resource) -> None:
         """Add a resource other than a worker to the assignment."""
-        self._extra = (*self._extra, resource)
+        self._extra_resources = (*self._extra_resources, resource)
 
     def epoch_of(self, resource: str) -> Epoch | None:
         """Return the epoch of a resource, or None if this node is not serving it."""
@@ -137,14 +137,16 @@
     async def start(self) -> None:
         """Start handling requests and claiming workers."""
         member = self._ports.membership.this_member()
-        self._assignment = CoordinatorAssignment(self._ports.node, member.region, self._began_at())
-        self._ports.configuration.subscribe(self._configured)
+        self._assignment = CoordinatorAssignment(
+            self._ports.node, member.region, self._started_at()
+        )
+        self._ports.configuration.subscribe(self._on_configuration)
         snapshot = self._ports.configuration.current()
         if not isinstance(snapshot, Refused):
-            self._configured(snapshot)
+            self._on_configuration(snapshot)
         if self._ports.peers is not None:
-            self.desk.serve(self._ports.peers)
-        self._directory.subscribe(self._wake.set)
+            self.handlers.serve(self._ports.peers)
+        self._directory.subscribe(self._wake_event.set)
         self._drains.start()
         self._tasks.start(self._run())
 
@@ -165,12 +167,12 @@
         assert self._assignment is not None
         self._draining = True
         self._assignment.drain()
-        ends_at = self._ports.clock.monotonic() + HANDOVER_SECONDS
-        while self._assignment.held() and self._ports.clock.monotonic() < ends_at:
-            self._wake.set()
+        deadline_at = self._ports.clock.monotonic() + HANDOVER_TIMEOUT_SECONDS
+        while self._assignment.held() and self._ports.clock.monotonic() < deadline_at:
+            self._wake_event.set()
             await self._ports.clock.sleep(TICK_SECONDS)
 
-    def _began_at(self) -> float:
+    def _started_at(self) -> float:
         """Return the start time for the claim delay, which a single-node deployment skips."""
         if self._ports.peers is None:
             return float("-inf")
@@ -180,19 +182,19 @@
 
     async def _run(self) -> None:
         while True:
-            self._wake.clear()
+            self._wake_event.clear()
             self._tick()
-            await wait_for_event(self._ports.clock, self._wake, TICK_SECONDS)
+            await wait_for_event(self._ports.clock, self._wake_event, TICK_SECONDS)
 
     def _tick(self) -> None:
         assignment = cast(CoordinatorAssignment, self._assignment)
         now = self._ports.clock.monotonic()
         assignment.update_candidates(self._directory.candidates())
         assignment.update_holders(self._directory.holders())
-        assignment.update_unheard(self._directory.unheard())
+        assignment.update_missing_digests(self._directory.has_missing_digests())
         assignment.update_epochs(self._directory.epochs())
         for action in assignment.advance(now):
-            self._carry_out(action)
+            self._execute(action)
         self._finish_handovers(assignment)
         self._metrics.expired(self._grants.expire(self._is_present))
         self.pools.refresh_all()
@@ -203,19 +205,19 @@
     def _is_present(self, node: NodeId) -> bool:
         return self._directory.member(node) is not None
 
-    def _configured(self, snapshot: ConfigurationSnapshot) -> None:
+    def _on_configuration(self, snapshot: ConfigurationSnapshot) -> None:
         self.pools.configure(snapshot.document)
         assert self._assignment is not None
         workers = [
             Resource(worker_resource(worker), ZoneName(settings.zone))
             for worker, settings in self.pools.workers().items()
         ]
-        self._assignment.update_resources([*workers, *self._extra])
-        self._wake.set()
+        self._assignment.update_resources([*workers, *self._extra_resources])
+        self._wake_event.set()
 
     # --- assignment --------------------------------------------------------------------------
 
-    def _carry_out(self, action: AssignmentAction) -> None:
+    def _execute(self, action: AssignmentAction) -> None:
         log.info(type(action).__name__.lower(), node=self._ports.node, resource=action.resource)
         worker = resource_worker(action.resource)
         match action:
@@ -226,7 +228,7 @@
             case Release() if worker is not None:
                 self.pools.release(worker)
             case Lost() if worker is not None:
-                self._let_go(worker)
+                self._drop_worker(worker)
 
     async def _claim(self, resource: str) -> None:
         assignment = cast(CoordinatorAssignment, self._assignment)
@@ -236,8 +238,8 @@
             assignment.refused(resource, self._ports.clock.monotonic())
         else:
             for action in assignment.claimed(resource, claim.epoch):
-                self._carry_out(action)
-        self._wake.set()
+                self._execute(action)
+        self._wake_event.set()
 
     def _resync(self, action: Resync, worker: WorkerId | None) -> None:
         assignment = cast(CoordinatorAssignment, self._assignment)
@@ -247,35 +249,35 @@
 
         def ready() -> None:
             assignment.resynced(action.resource, action.epoch)
-            self._wake.set()
+            self._wake_event.set()
 
-        self.pools.hold(worker, action.epoch, ready)
+        self.pools.add_worker(worker, action.epoch, ready)
 
     def _fenced(self, worker: WorkerId, epoch: Epoch) -> None:
         """Drop a worker that refused an epoch of this node because a higher one exists."""
         assignment = cast(CoordinatorAssignment, self._assignment)
         for action in assignment.fenced(worker_resource(worker), Epoch(epoch + 1)):
-            self._carry_out(action)
-        self._wake.set()
+            self._execute(action)
+        self._wake_event.set()
 
     def _finish_handovers(self, assignment: CoordinatorAssignment) -> None:
         """Complete handovers without a possible successor after their grants have ended."""
-        alone = not any(c.node != self._ports.node for c in self._directory.candidates())
+        is_alone = not any(c.node != self._ports.node for c in self._directory.candidates())
         for resource, epoch in assignment.held().items():
             if assignment.state(resource) is not CoordinatorState.RELEASING:
                 continue
             worker = resource_worker(resource)
             if worker is None:
                 assignment.released(resource, epoch)
-            elif (alone or worker not in self.pools.workers()) and not self._ledger.on_worker(
-                worker
-            ):
-                self._let_go(worker)
+            elif (
+                is_alone or worker not in self.pools.workers()
+            ) and not self._ledger.worker_grants(worker):
+                self._drop_worker(worker)
                 assignment.released(resource, epoch)
 
-    def _let_go(self, worker: WorkerId) -> None:
+    def _drop_worker(self, worker: WorkerId) -> None:
         self._evacuation.cancel(worker)
-        self.pools.let_go(worker)
+        self.pools.drop_worker(worker)
 
     def _evacuate(self, worker: WorkerId) -> None:
         """Copy useful cache from a leaving worker to the other workers of its pool."""
@@ -290,7 +292,7 @@
             and not other.leaving
         ]
         log.info("worker_leaving", worker=worker, targets=len(targets))
-        self._evacuation.begin(worker, targets, self.desk.programs.latest_on(worker))
+        self._evacuation.start(worker, targets, self.handlers.programs.recent_programs(worker))
 
     # --- digest ------------------------------------------------------------------------------
 
@@ -302,7 +304,8 @@
         digest.hot_prefixes.extend(self._grants.hot_prefixes())
         payload = digest.SerializeToString(deterministic=True)
         due = (
-            held_part != self._digest_held or now - self._digest_at >= self._digest_pause_seconds()
+            held_part != self._digest_held
+            or now - self._digest_at >= self._digest_interval_seconds()
         )
         if self._digest_version and (payload == self._digest or not due):
             return
@@ -313,9 +316,9 @@
         )
         self._ports.gossip.publish(entry)
 
-    def _digest_pause_seconds(self) -> float:
+    def _digest_interval_seconds(self) -> float:
         members = len(self._ports.membership.members())
-        return max(DIGEST_SECONDS, DIGEST_SECONDS_PER_MEMBER * members)
+        return max(DIGEST_INTERVAL_SECONDS, DIGEST_INTERVAL_SECONDS_PER_MEMBER * members)
 
     def _held_resources(self, assignment: CoordinatorAssignment) -> list[HeldResource]:
         found: list[HeldResource] = []
--- a/src/foxwinch/workers/engine_retries.py
+++ b/src/foxwinch/workers/engine_retries.py
@@ -11,14 +11,14 @@
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Refused
 
-FIRST_PAUSE_SECONDS = 0.2
-MAX_PAUSE_SECONDS = 5.0
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 5.0
 """Maximum backoff, within which an engine that is available again gets pending operations."""
 
 log = EventLog("engine")
 
 
-class RetriedKind(StrEnum):
+class OperationKind(StrEnum):
     """Kind of a retried operation."""
 
     RELEASE = "release"
@@ -26,10 +26,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RetriedKey:
+class OperationKey:
     """Identity of an operation; submissions with the same key share one execution."""
 
-    kind: RetriedKind
+    kind: OperationKind
     worker: WorkerId
     subject: str
     """Program of a `RELEASE` or call of a `CANCEL`."""
@@ -43,24 +43,24 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._tasks: dict[RetriedKey, asyncio.Task[None]] = {}
-        self._when_done: dict[RetriedKey, list[Callable[[], None]]] = {}
+        self._tasks: dict[OperationKey, asyncio.Task[None]] = {}
+        self._on_done: dict[OperationKey, list[Callable[[], None]]] = {}
 
     def submit(
-        self, key: RetriedKey, operation: Operation, when_done: Callable[[], None] | None = None
+        self, key: OperationKey, operation: Operation, on_done: Callable[[], None] | None = None
     ) -> None:
-        """Retry `operation` until it succeeds, then call `when_done`.
+        """Retry `operation` until it succeeds, then call `on_done`.
 
-        If an operation with this key is pending already, only `when_done` is added to it.
+        If an operation with this key is pending already, only `on_done` is added to it.
         """
-        if when_done is not None:
-            self._when_done.setdefault(key, []).append(when_done)
+        if on_done is not None:
+            self._on_done.setdefault(key, []).append(on_done)
         if key in self._tasks:
             return
-        task = asyncio.get_running_loop().create_task(self._repeat(key, operation))
+        task = asyncio.get_running_loop().create_task(self._retry(key, operation))
         self._tasks[key] = task
 
-    def is_pending(self, key: RetriedKey) -> bool:
+    def is_pending(self, key: OperationKey) -> bool:
         """Return whether an operation is pending."""
         return key in self._tasks
 
@@ -68,22 +68,22 @@
         """Return the number of pending operations on a worker."""
         return sum(key.worker == worker for key in self._tasks)
 
-    def drop(self, key: RetriedKey) -> None:
+    def cancel(self, key: OperationKey) -> None:
         """Cancel an operation that is obsolete."""
-        self._when_done.pop(key, None)
+        self._on_done.pop(key, None)
         task = self._tasks.pop(key, None)
         if task is not None:
             task.cancel()
 
-    def drop_subject(self, kind: RetriedKind, subject: str) -> None:
+    def cancel_subject(self, kind: OperationKind, subject: str) -> None:
         """Cancel the operations on one subject on all workers."""
         for key in [k for k in self._tasks if k.kind is kind and k.subject == subject]:
-            self.drop(key)
+            self.cancel(key)
 
     def drop_worker(self, worker: WorkerId) -> None:
         """Cancel the operations on a worker that is no longer held by this coordinator."""
         for key in [key for key in self._tasks if key.worker == worker]:
-            self.drop(key)
+            self.cancel(key)
 
     async def stop(self) -> None:
         """Cancel all operations."""
@@ -91,11 +91,11 @@
         for task in tasks:
             task.cancel()
         self._tasks.clear()
-        self._when_done.clear()
+        self._on_done.clear()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _repeat(self, key: RetriedKey, operation: Operation) -> None:
-        pause = FIRST_PAUSE_SECONDS
+    async def _retry(self, key: OperationKey, operation: Operation) -> None:
+        backoff_seconds = INITIAL_BACKOFF_SECONDS
         while isinstance(refused := await operation(), Refused):
             log.debug(
                 "retrying",
@@ -104,8 +104,8 @@
                 subject=key.subject,
                 reason=refused.reason,
             )
-            await self._clock.sleep(pause * (0.5 + self._clock.uniform() / 2))
-            pause = min(2 * pause, MAX_PAUSE_SECONDS)
+            await self._clock.sleep(backoff_seconds * (0.5 + self._clock.uniform() / 2))
+            backoff_seconds = min(2 * backoff_seconds, MAX_BACKOFF_SECONDS)
         self._tasks.pop(key, None)
-        for when_done in self._when_done.pop(key, ()):
-            when_done()
+        for on_done in self._on_done.pop(key, ()):
+            on_done()
--- a/src/foxwinch/workers/epochs.py
+++ b/src/foxwinch/workers/epochs.py
@@ -11,9 +11,9 @@
 from foxwinch.workers.ports import EpochClaim
 
 EPOCHS_TABLE = "epochs"
-RAISE_SECONDS = 2.0
+RAISE_TIMEOUT_SECONDS = 2.0
 """Timeout of an increment including retries, after which the caller tries again later."""
-RACED_RETRY_SECONDS = 1.0
+CONFLICT_RETRY_SECONDS = 1.0
 log = EventLog("epochs")
 
 
@@ -31,32 +31,32 @@
         increment exceeds it.
         """
         row = RowKey(EPOCHS_TABLE, partition_of(resource), resource)
-        deadline_at = self._clock.monotonic() + RAISE_SECONDS
+        deadline_at = self._clock.monotonic() + RAISE_TIMEOUT_SECONDS
         version = 0
-        wanted = EpochRecord(epoch=1, claim=self._clock.identifier())
+        record = EpochRecord(epoch=1, claim=self._clock.identifier())
         while True:
-            answer = await self._write(row, version, wanted, deadline_at)
-            if isinstance(answer, Refused):
-                return answer
-            if isinstance(answer, Written):
+            response = await self._write(row, version, record, deadline_at)
+            if isinstance(response, Refused):
+                return response
+            if isinstance(response, Written):
                 break
-            found = answer.rows[0]
-            held = EpochRecord.FromString(found.value or b"")
-            if held.claim == wanted.claim:
+            current = response.rows[0]
+            stored = EpochRecord.FromString(current.value or b"")
+            if stored.claim == record.claim:
                 break
             if version:
                 return not_run(
-                    Reason.CONFLICT, "another node has raised the epoch", RACED_RETRY_SECONDS
+                    Reason.CONFLICT, "another node has raised the epoch", CONFLICT_RETRY_SECONDS
                 )
-            version, wanted.epoch = found.version, held.epoch + 1
-        log.info("epoch_raised", resource=resource, epoch=wanted.epoch)
-        return EpochClaim(resource, Epoch(wanted.epoch))
+            version, record.epoch = current.version, stored.epoch + 1
+        log.info("epoch_raised", resource=resource, epoch=record.epoch)
+        return EpochClaim(resource, Epoch(record.epoch))
 
     async def _write(
-        self, row: RowKey, version: int, wanted: EpochRecord, deadline_at: float
+        self, row: RowKey, version: int, record: EpochRecord, deadline_at: float
     ) -> Written | Conflict | Refused:
         condition = RowCondition(row, version)
-        write = RowWrite(row, wanted.SerializeToString())
+        write = RowWrite(row, record.SerializeToString())
 
         async def send(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (write,), timeout_seconds)
--- a/src/foxwinch/workers/grant_reports.py
+++ b/src/foxwinch/workers/grant_reports.py
@@ -22,15 +22,15 @@
 from foxwinch.workers.coordinator_messages import settled_message
 from foxwinch.workers.ports import Grant, GrantUsage
 
-ITEMS_PER_REPORT = 256
+MAX_REPORT_ITEMS = 256
 """Maximum number of items in a message; the remaining items are sent in the next one."""
 MAX_CACHED_PROGRAMS = 20_000
 """Capacity of the LRU map from programs to workers; evicted programs are released everywhere."""
-CoordinatorOf = Callable[[WorkerId], NodeId | None]
+CoordinatorLookup = Callable[[WorkerId], NodeId | None]
 
 
 @dataclass(frozen=True, slots=True)
-class _Granted:
+class _ActiveGrant:
     grant: Grant
     sequence: int
     """Sequence number of the request, because a call may be requested more than once."""
@@ -57,7 +57,7 @@
         """Return whether the message has reached its maximum number of items."""
         message = self.message
         items = len(message.settled) + len(message.paused) + len(message.finished)
-        return items + len(message.withdrawn) >= ITEMS_PER_REPORT
+        return items + len(message.withdrawn) >= MAX_REPORT_ITEMS
 
 
 class GrantReports:
@@ -65,12 +65,12 @@
 
     def __init__(self) -> None:
         self._sequence = 0
-        self._held: dict[CallId, _Granted] = {}
+        self._held: dict[CallId, _ActiveGrant] = {}
         self._settled: dict[int, tuple[Grant, GrantUsage]] = {}
         self._withdrawn: dict[int, tuple[CallId, NodeId]] = {}
         self._paused: dict[ProgramId, _Pause] = {}
         self._finished: dict[ProgramId, set[WorkerId]] = {}
-        self._adopted: set[ProgramId] = set()
+        self._taken_over: set[ProgramId] = set()
         self._workers: LRUCache[ProgramId, set[WorkerId]] = LRUCache(MAX_CACHED_PROGRAMS)
         self._last_worker: LRUCache[ProgramId, WorkerId] = LRUCache(MAX_CACHED_PROGRAMS)
 
@@ -92,21 +92,21 @@
         items = (self._settled, self._withdrawn, self._paused, self._finished)
         return sum(len(item) for item in items)
 
-    def has_news(self) -> bool:
+    def has_pending(self) -> bool:
         """Return whether there are unacknowledged items besides active grants."""
         return self.pending() > 0
 
-    def asked(self, program_id: ProgramId) -> None:
+    def drop_pause(self, program_id: ProgramId) -> None:
         """Drop an unsent pause of a program that requests its next call."""
         self._paused.pop(program_id, None)
 
     def granted(self, program_id: ProgramId, grant: Grant, sequence: int) -> None:
         """Record the grant for the request with this sequence number."""
-        self._held[grant.call_id] = _Granted(grant, sequence)
+        self._held[grant.call_id] = _ActiveGrant(grant, sequence)
         self._workers.setdefault(program_id, set()).add(grant.worker)
         self._last_worker[program_id] = grant.worker
 
-    def withdrew(self, call_id: CallId, sequence: int, coordinator: NodeId) -> None:
+    def withdraw(self, call_id: CallId, sequence: int, coordinator: NodeId) -> None:
         """Record a withdrawn request whose grant may be in flight."""
         self._withdrawn[sequence] = (call_id, coordinator)
 
@@ -126,7 +126,7 @@
 
     def adopt(self, program_id: ProgramId) -> None:
         """Record that the program ran under an earlier owner, on workers unknown to this node."""
-        self._adopted.add(program_id)
+        self._taken_over.add(program_id)
 
     def finish(self, program_id: ProgramId, all_workers: Iterable[WorkerId]) -> None:
         """Request the release of a finished program's cache on every worker that may hold it.
@@ -137,13 +137,13 @@
         self._paused.pop(program_id, None)
         self._last_worker.pop(program_id, None)
         workers = self._workers.pop(program_id, set())
-        if not workers or program_id in self._adopted:
+        if not workers or program_id in self._taken_over:
             workers = workers | set(all_workers)
-        self._adopted.discard(program_id)
+        self._taken_over.discard(program_id)
         if workers:
             self._finished.setdefault(program_id, set()).update(workers)
 
-    def forget_gone(self, workers: set[WorkerId], members: set[NodeId]) -> None:
+    def drop_unknown(self, workers: set[WorkerId], members: set[NodeId]) -> None:
         """Drop items about workers that are not configured and coordinators that have left."""
         for sequence, (grant, _) in list(self._settled.items()):
             if grant.worker not in workers:
@@ -159,15 +159,15 @@
             if not served:
                 del self._finished[program_id]
 
-    def build(self, coordinator_of: CoordinatorOf) -> list[Report]:
+    def build(self, coordinator_of: CoordinatorLookup) -> list[Report]:
         """Return one report for each coordinator with pending items or active grants."""
-        reports = _ReportSet(coordinator_of)
+        reports = _ReportBuilder(coordinator_of)
         self._build_calls(reports)
         self._build_paused(reports)
         self._build_finished(reports)
         return reports.all()
 
-    def answered(self, report: Report, answer: GrantReportAnswer) -> list[CallId]:
+    def acknowledge(self, report: Report, response: GrantReportAnswer) -> list[CallId]:
         """Drop the acknowledged items, and return the held calls whose grant is invalid."""
         for sequence in report.settled:
             self._settled.pop(sequence, None)
@@ -177,39 +177,39 @@
             pause = self._paused.get(ProgramId(message.program_id))
             if pause is not None and pause.message.sequence == message.sequence:
                 del self._paused[ProgramId(message.program_id)]
-        for name in answer.released:
-            self._released(ProgramId(name), report)
-        void = [CallId(call_id) for call_id in answer.void_calls]
-        return [call_id for call_id in void if call_id in self._held]
+        for name in response.released:
+            self._acknowledge_released(ProgramId(name), report)
+        invalid = [CallId(call_id) for call_id in response.void_calls]
+        return [call_id for call_id in invalid if call_id in self._held]
 
-    def _build_calls(self, reports: "_ReportSet") -> None:
+    def _build_calls(self, reports: "_ReportBuilder") -> None:
         for granted in self._held.values():
-            if (report := reports.of_worker(granted.grant.worker)) is not None:
+            if (report := reports.for_worker(granted.grant.worker)) is not None:
                 report.message.held.append(_held_message(granted))
         for sequence, (grant, usage) in self._settled.items():
-            if (report := reports.with_room(reports.of_worker(grant.worker))) is not None:
+            if (report := reports.unless_full(reports.for_worker(grant.worker))) is not None:
                 report.message.settled.append(settled_message(grant, usage, sequence))
                 report.settled.append(sequence)
         for sequence, (call_id, node) in self._withdrawn.items():
-            if (report := reports.with_room(reports.of_node(node))) is not None:
+            if (report := reports.unless_full(reports.for_node(node))) is not None:
                 item = WithdrawnAsk(call_id=call_id, sequence=sequence)
                 report.message.withdrawn.append(item)
                 report.withdrawn.append(sequence)
 
-    def _build_paused(self, reports: "_ReportSet") -> None:
+    def _build_paused(self, reports: "_ReportBuilder") -> None:
         for pause in self._paused.values():
-            if (report := reports.with_room(reports.of_worker(pause.worker))) is not None:
+            if (report := reports.unless_full(reports.for_worker(pause.worker))) is not None:
                 report.message.paused.append(pause.message)
 
-    def _build_finished(self, reports: "_ReportSet") -> None:
+    def _build_finished(self, reports: "_ReportBuilder") -> None:
         for program_id, workers in self._finished.items():
             for node, served in reports.by_coordinator(workers).items():
-                if (report := reports.with_room(reports.of_node(node))) is not None:
+                if (report := reports.unless_full(reports.for_node(node))) is not None:
                     item = FinishedProgram(program_id=program_id, workers=sorted(served))
                     report.message.finished.append(item)
                     report.finished[program_id] = served
 
-    def _released(self, program_id: ProgramId, report: Report) -> None:
+    def _acknowledge_released(self, program_id: ProgramId, report: Report) -> None:
         workers = self._finished.get(program_id)
         if workers is not None:
             workers -= report.finished.get(program_id, set())
@@ -217,15 +217,15 @@
                 del self._finished[program_id]
 
 
-def _held_message(granted: _Granted) -> HeldCall:
+def _held_message(granted: _ActiveGrant) -> HeldCall:
     grant = granted.grant
     return HeldCall(call_id=grant.call_id, worker=grant.worker, sequence=granted.sequence)
 
 
-class _ReportSet:
+class _ReportBuilder:
     """Reports under construction, one per coordinator."""
 
-    def __init__(self, coordinator_of: CoordinatorOf) -> None:
+    def __init__(self, coordinator_of: CoordinatorLookup) -> None:
         self._coordinator_of = coordinator_of
         self._reports: dict[NodeId, Report] = {}
 
@@ -233,16 +233,16 @@
         """Return the reports."""
         return list(self._reports.values())
 
-    def of_node(self, node: NodeId) -> Report:
+    def for_node(self, node: NodeId) -> Report:
         """Return the report to a coordinator, creating it if necessary."""
         return self._reports.setdefault(node, Report(node))
 
-    def of_worker(self, worker: WorkerId) -> Report | None:
+    def for_worker(self, worker: WorkerId) -> Report | None:
         """Return the report to the coordinator of a worker, or None if it has no coordinator."""
         node = self._coordinator_of(worker)
-        return None if node is None else self.of_node(node)
+        return None if node is None else self.for_node(node)
 
-    def with_room(self, report: Report | None) -> Report | None:
+    def unless_full(self, report: Report | None) -> Report | None:
         """Return the report, or None if it is full."""
         return None if report is None or report.is_full() else report
 
--- a/src/foxwinch/workers/orders_service.py
+++ b/src/foxwinch/workers/orders_service.py
@@ -23,15 +23,15 @@
 from foxwinch.workers.coordinator_directory import CoordinatorDirectory
 from foxwinch.workers.coordinator_service import CoordinatorService
 
-DECIDE_SECONDS = 2.0
+RECONCILE_INTERVAL_SECONDS = 2.0
 """Reconciliation period; reports lag by a second and loading takes tens of seconds."""
-OLDEST_REPORT_SECONDS = 5.0
+MAX_REPORT_AGE_SECONDS = 5.0
 """Maximum age of a report; workers with older reports are excluded as their models are unknown."""
 RETRY_SECONDS = 1.0
 """Delay before an unanswered order is resent under its token."""
-GIVE_UP_SECONDS = 300.0
+DELIVERY_TIMEOUT_SECONDS = 300.0
 """Delivery timeout, after which an order counts as failed and may be issued again."""
-UNDELIVERED = frozenset(
+DELIVERY_FAILURES = frozenset(
     {Reason.NOT_OWNER, Reason.PEER_UNREACHABLE, Reason.BACKEND_UNAVAILABLE, Reason.DRAINING}
 )
 """Refusals caused by delivery rather than by the order itself."""
@@ -70,25 +70,25 @@
         self._deliveries = ServiceTasks("order_deliveries")
         self._versions: dict[tuple[WorkerId, ModelName], str] = {}
         self._adapters: dict[WorkerId, set[tuple[ModelName, str]]] = {}
-        coordinator.hold_also(self._resource)
+        coordinator.add_resource(self._resource)
 
     async def start(self) -> None:
         """Start the reconciliation loop."""
-        self._tasks.start(self._decide_for_ever())
+        self._tasks.start(self._reconcile_loop())
 
     async def stop(self) -> None:
         """Stop issuing orders; another node takes over and reads the state of the workers."""
         await self._tasks.stop()
         await self._deliveries.stop()
 
-    async def _decide_for_ever(self) -> None:
+    async def _reconcile_loop(self) -> None:
         while True:
-            await self._follow_epoch()
+            await self._update_epoch()
             if self._reconciler is not None:
-                await self._decide(self._reconciler)
-            await self._clock.sleep(DECIDE_SECONDS)
+                await self._reconcile(self._reconciler)
+            await self._clock.sleep(RECONCILE_INTERVAL_SECONDS)
 
-    async def _follow_epoch(self) -> None:
+    async def _update_epoch(self) -> None:
         """Reset the state after an epoch change; earlier results are read from the workers."""
         epoch = self._coordinator.epoch_of(self._resource.name)
         if epoch == self._epoch:
@@ -101,13 +101,13 @@
         if epoch is not None:
             log.info("orders_epoch", epoch=epoch)
 
-    async def _decide(self, reconciler: OrderReconciler) -> None:
+    async def _reconcile(self, reconciler: OrderReconciler) -> None:
         snapshot = self._configuration.current()
         if isinstance(snapshot, Refused):
             return
         actual = await self._actual(snapshot.document)
         orders = reconciler.advance(
-            goals_of(snapshot.document),
+            model_goals(snapshot.document),
             actual,
             self._directory.queued(),
             self._clock.monotonic(),
@@ -125,13 +125,13 @@
 
     async def _actual(self, document: ClusterConfiguration) -> list[WorkerActual]:
         members = [self._directory.member(node) for node in sorted(self._directory.coordinators())]
-        asked = (self._client.describe(member) for member in members if member is not None)
-        answers = await asyncio.gather(*asked)
+        requests = (self._client.describe(member) for member in members if member is not None)
+        responses = await asyncio.gather(*requests)
         pools = {WorkerId(worker.name): worker.pool for worker in document.workers}
         found: dict[WorkerId, WorkerActual] = {}
-        for status in _statuses(answers):
+        for status in _statuses(responses):
             worker = WorkerId(status.worker)
-            if worker in pools and 0 <= status.report_age_seconds <= OLDEST_REPORT_SECONDS:
+            if worker in pools and 0 <= status.report_age_seconds <= MAX_REPORT_AGE_SECONDS:
                 found[worker] = self._worker_actual(status, pools[worker])
         return list(found.values())
 
@@ -154,16 +154,16 @@
 
     async def _deliver(self, order: Order, reconciler: OrderReconciler) -> None:
         """Resend an order under its token until it is answered or the delivery times out."""
-        deadline_at = self._clock.monotonic() + GIVE_UP_SECONDS
+        deadline_at = self._clock.monotonic() + DELIVERY_TIMEOUT_SECONDS
         succeeded = False
         while self._clock.monotonic() < deadline_at:
-            answer = await self._send(order)
-            if answer is None:
+            response = await self._send(order)
+            if response is None:
                 succeeded = True
-                self._note(order)
+                self._record_done(order)
                 break
-            if answer.run_state is RunState.NOT_RUN and answer.reason not in UNDELIVERED:
-                log.warning("order_refused", token=order.token, reason=answer.reason)
+            if response.run_state is RunState.NOT_RUN and response.reason not in DELIVERY_FAILURES:
+                log.warning("order_refused", token=order.token, reason=response.reason)
                 break
             await self._clock.sleep(RETRY_SECONDS)
         reconciler.completed(order.token, succeeded, self._clock.monotonic())
@@ -182,10 +182,10 @@
             model=order.model,
             value=order.value,
         )
-        answer = await self._client.order(member, message)
-        return answer if isinstance(answer, Refused) else None
+        response = await self._client.order(member, message)
+        return response if isinstance(response, Refused) else None
 
-    def _note(self, order: Order) -> None:
+    def _record_done(self, order: Order) -> None:
         """Record versions and adapters, which load reports do not contain."""
         log.info("order_done", token=order.token, worker=order.worker, kind=order.kind)
         adapters = self._adapters.setdefault(order.worker, set())
@@ -200,7 +200,7 @@
                 self._versions.pop((order.worker, order.model), None)
 
 
-def goals_of(document: ClusterConfiguration) -> list[ModelGoal]:
+def model_goals(document: ClusterConfiguration) -> list[ModelGoal]:
     """Return the goal states of the models in a configuration."""
     return [
         ModelGoal(
@@ -214,7 +214,7 @@
     ]
 
 
-def _statuses(answers: Iterable[StewardedWorkers | Refused]) -> Iterable[StewardedWorker]:
-    for answer in answers:
-        if not isinstance(answer, Refused):
-            yield from answer.workers
+def _statuses(responses: Iterable[StewardedWorkers | Refused]) -> Iterable[StewardedWorker]:
+    for response in responses:
+        if not isinstance(response, Refused):
+            yield from response.workers
--- a/src/foxwinch/workers/pool_driver.py
+++ b/src/foxwinch/workers/pool_driver.py
@@ -28,14 +28,14 @@
 from foxwinch.core.coordinator.scheduler import PoolScheduler
 from foxwinch.identifiers import CallId, ModelName, ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, not_run
-from foxwinch.workers.engine_retries import EngineRetries, RetriedKey, RetriedKind
+from foxwinch.workers.engine_retries import EngineRetries, OperationKey, OperationKind
 
-TRANSFER_SECONDS = 5.0
+TRANSFER_TIMEOUT_SECONDS = 5.0
 """Transfer timeout; a longer transfer costs the call more than recomputing its prefix."""
-ASK_ELSEWHERE_SECONDS = 0.1
+RETRY_AFTER_SECONDS = 0.1
 """Retry delay after this pool has lost its last worker for a model."""
 
-Answer = Dispatch | Refused
+PlacementResult = Dispatch | Refused
 
 
 class PoolDriver:
@@ -58,7 +58,7 @@
         self._retries = retries
         self._clock = clock
         self._on_resync = on_resync
-        self._waiting: dict[CallId, asyncio.Future[Answer]] = {}
+        self._waiting: dict[CallId, asyncio.Future[PlacementResult]] = {}
         self._models: dict[CallId, ModelName] = {}
         self._workers: dict[WorkerId, tuple[WorkerDescription, bool]] = {}
         self._joined: set[WorkerId] = set()
@@ -80,10 +80,10 @@
         """Return the predicted wait of a new call of a class."""
         return self.scheduler.predicted_wait_seconds(class_rank)
 
-    async def place(self, call: PoolCall) -> Answer:
+    async def place(self, call: PoolCall) -> PlacementResult:
         """Wait for the placement of a call; cancellation withdraws the call."""
         self.withdraw(call.call_id)
-        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[PlacementResult] = asyncio.get_running_loop().create_future()
         self._waiting[call.call_id] = future
         self._models[call.call_id] = call.model
         self.handle(CallArrived(call))
@@ -96,7 +96,7 @@
 
     def withdraw(self, call_id: CallId) -> None:
         """Remove a waiting or placed call."""
-        self._answer(call_id, not_run(Reason.CANCELLED, "the request was withdrawn"))
+        self._resolve(call_id, not_run(Reason.CANCELLED, "the request was withdrawn"))
         self.handle(CallWithdrawn(call_id))
 
     def set_worker(self, description: WorkerDescription, leaving: bool) -> None:
@@ -121,41 +121,41 @@
     def handle(self, event: PoolEvent) -> None:
         """Pass an event to the scheduler and execute the resulting actions."""
         for action in self.scheduler.handle(event, self._clock.monotonic()):
-            self._carry_out(action)
+            self._execute(action)
 
     async def stop(self) -> None:
         """Refuse the waiting calls and cancel the transfers."""
         for call_id in list(self._waiting):
-            self._answer(call_id, not_run(Reason.DRAINING, "the coordinator is stopping", 0.0))
+            self._resolve(call_id, not_run(Reason.DRAINING, "the coordinator is stopping", 0.0))
         tasks = list(self._transfers)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _carry_out(self, action: PoolAction) -> None:
+    def _execute(self, action: PoolAction) -> None:
         match action:
             case Dispatch():
                 self._dispatch(action)
             case RefuseCall():
-                self._answer(action.call_id, action.refused)
+                self._resolve(action.call_id, action.refused)
             case CopyPrefix():
-                self._move(action)
+                self._start_transfer(action)
             case ReleaseCache():
                 self.release(action.worker, action.program_id)
             case ResyncCache():
                 self._on_resync(action.worker)
 
     def _dispatch(self, action: Dispatch) -> None:
-        if not self._answer(action.call_id, action):
+        if not self._resolve(action.call_id, action):
             self.handle(CallWithdrawn(action.call_id))
 
-    def _answer(self, call_id: CallId, answer: Answer) -> bool:
+    def _resolve(self, call_id: CallId, result: PlacementResult) -> bool:
         """Set the result of a waiting call, and return False if the call is no longer waiting."""
         self._models.pop(call_id, None)
         future = self._waiting.pop(call_id, None)
         if future is None or future.done():
             return False
-        future.set_result(answer)
+        future.set_result(result)
         return True
 
     def _refuse_unservable(self) -> None:
@@ -163,29 +163,29 @@
         for call_id, model in list(self._models.items()):
             if not self.serves(model):
                 detail = f"this coordinator has no workers left for model {model}"
-                self._answer(call_id, not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS))
+                self._resolve(call_id, not_run(Reason.NOT_OWNER, detail, RETRY_AFTER_SECONDS))
                 self.handle(CallWithdrawn(call_id))
 
     def release(
         self,
         worker: WorkerId,
         program_id: ProgramId,
-        when_done: Callable[[], None] | None = None,
+        on_done: Callable[[], None] | None = None,
     ) -> None:
         """Release the cache of a program on a worker, retrying until it succeeds."""
 
         def done() -> None:
             self.handle(ReleaseCompleted(worker, program_id, done=True))
-            if when_done is not None:
-                when_done()
+            if on_done is not None:
+                on_done()
 
         self._retries.submit(
-            RetriedKey(RetriedKind.RELEASE, worker, program_id),
+            OperationKey(OperationKind.RELEASE, worker, program_id),
             lambda: self._engine.release(worker, program_id),
             done,
         )
 
-    def _move(self, action: CopyPrefix) -> None:
+    def _start_transfer(self, action: CopyPrefix) -> None:
         task = asyncio.get_running_loop().create_task(self._transfer(action))
         self._transfers.add(task)
         task.add_done_callback(self._transfers.discard)
@@ -193,7 +193,7 @@
     async def _transfer(self, action: CopyPrefix) -> None:
         done = False
         try:
-            async with asyncio.timeout(TRANSFER_SECONDS):
+            async with asyncio.timeout(TRANSFER_TIMEOUT_SECONDS):
                 done = await copy_cache(
                     self._engine, action.source, action.target, action.program_id
                 )
--- a/src/foxwinch/workers/worker_directory.py
+++ b/src/foxwinch/workers/worker_directory.py
@@ -14,10 +14,10 @@
 
     def follow(self, configuration: ConfigurationView) -> None:
         """Apply the workers of the current and every later configuration."""
-        configuration.subscribe(self._take)
+        configuration.subscribe(self._apply)
         snapshot = configuration.current()
         if not isinstance(snapshot, Refused):
-            self._take(snapshot)
+            self._apply(snapshot)
 
     def url_of(self, worker: WorkerId) -> str | None:
         """Return the base URL of a worker, or None if it is unknown."""
@@ -27,7 +27,7 @@
         """Return the base URLs of the workers that serve a tool, empty for an unknown tool."""
         return self._tool_urls.get(tool, ())
 
-    def _take(self, snapshot: ConfigurationSnapshot) -> None:
+    def _apply(self, snapshot: ConfigurationSnapshot) -> None:
         document = snapshot.document
         self._urls = {worker.name: worker.url for worker in document.workers}
         self._tool_urls = {
--- a/src/foxwinch/workers/worker_drains.py
+++ b/src/foxwinch/workers/worker_drains.py
@@ -15,9 +15,9 @@
 from foxwinch.storage.ports import MachinePort
 from foxwinch.workers.coordinator_directory import worker_resource
 
-LIST_SECONDS = 1.0
+LIST_INTERVAL_SECONDS = 1.0
 """Polling period of the machine list; a leaving worker gets no new calls within 3 s."""
-REFUSALS_NEEDED = 2
+REFUSAL_THRESHOLD = 2
 """Consecutive refusals of different programs that pause a worker, because a single one may be
 specific to the call."""
 REFUSAL_PAUSE_SECONDS = 3.0
@@ -55,8 +55,8 @@
         """Start polling the machine list."""
         self._gossip.subscribe(GossipKind.LEAVING, lambda entry: self._on_change())
         if self._machines is not None:
-            reading = self._read_for_ever(self._machines)
-            self._tasks.start(reading)
+            loop = self._machine_list_loop(self._machines)
+            self._tasks.start(loop)
 
     async def stop(self) -> None:
         """Stop polling."""
@@ -64,7 +64,7 @@
 
     def reason(self, worker: WorkerId) -> str | None:
         """Return why a worker gets no new calls, or None; load reports are not considered."""
-        if self._ordered(worker):
+        if self._is_drained_by_operator(worker):
             return "operator"
         if worker in self._listed:
             return "machine_list"
@@ -72,25 +72,25 @@
             return "refusals"
         return None
 
-    def refused(self, worker: WorkerId, program_id: ProgramId) -> None:
+    def record_refusal(self, worker: WorkerId, program_id: ProgramId) -> None:
         """Record that the worker refused a program's call without running it."""
         programs = self._refusing.setdefault(worker, set())
         programs.add(program_id)
-        if len(programs) >= REFUSALS_NEEDED:
+        if len(programs) >= REFUSAL_THRESHOLD:
             programs.clear()
             self._paused_until[worker] = self._clock.monotonic() + REFUSAL_PAUSE_SECONDS
             log.info("worker_paused", worker=worker, cause="refusals")
             self._on_change()
 
-    def ran(self, worker: WorkerId) -> None:
+    def record_run(self, worker: WorkerId) -> None:
         """Record that the worker has run a call."""
         self._refusing.pop(worker, None)
 
-    def _ordered(self, worker: WorkerId) -> bool:
+    def _is_drained_by_operator(self, worker: WorkerId) -> bool:
         entry = self._gossip.entries(GossipKind.LEAVING).get(worker_resource(worker))
         return entry is not None and _is_draining(entry)
 
-    async def _read_for_ever(self, machines: MachinePort) -> None:
+    async def _machine_list_loop(self, machines: MachinePort) -> None:
         while True:
             listed = await machines.machines()
             if not isinstance(listed, Refused):
@@ -99,7 +99,7 @@
                     log.info("workers_leaving", workers=",".join(sorted(leaving)))
                     self._listed = leaving
                     self._on_change()
-            await self._clock.sleep(LIST_SECONDS)
+            await self._clock.sleep(LIST_INTERVAL_SECONDS)
 
 
 def _is_draining(entry: GossipEntry) -> bool:
--- a/src/foxwinch/workers/worker_link.py
+++ b/src/foxwinch/workers/worker_link.py
@@ -11,14 +11,14 @@
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, outcome_unknown
 from foxwinch.service_tasks import ServiceTasks
-from foxwinch.workers.waiting import wait_for_event
+from foxwinch.workers.event_wait import wait_for_event
 
-POLL_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 """Polling period for load and cache events. Engine reports lag by about as much, and a worker that
 reports leaving must be detected within 3 s."""
-ANSWER_SECONDS = 1.0
+POLL_TIMEOUT_SECONDS = 1.0
 """Timeout of a poll."""
-GONE_SECONDS = 4.0
+UNREACHABLE_SECONDS = 4.0
 """Time without a response after which a worker counts as unreachable and its slots are dropped."""
 
 log = EventLog("worker")
@@ -30,7 +30,7 @@
 
     reported: Callable[[WorkerId, LoadReport], None]
     cache_changed: Callable[[CacheChanged], None]
-    gone: Callable[[WorkerId], None]
+    unreachable: Callable[[WorkerId], None]
     """Called when the worker is unreachable; `reported` follows when it is reachable again."""
 
 
@@ -47,48 +47,48 @@
         self._clock = clock
         self._events = events
         self._cache_sequence = 0
-        self._wake = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._tasks = ServiceTasks("worker_link")
 
     def start(self) -> None:
         """Start polling."""
-        self._tasks.start(self._poll_for_ever())
+        self._tasks.start(self._poll_loop())
 
     def poll_now(self) -> None:
         """Poll immediately, for example after the worker has refused a call."""
-        self._wake.set()
+        self._wake_event.set()
 
     def resync_cache(self) -> None:
         """Read the complete list of cached blocks in an immediate poll."""
         self._cache_sequence = 0
-        self._wake.set()
+        self._wake_event.set()
 
     async def stop(self) -> None:
         """Stop polling."""
         await self._tasks.stop()
 
-    async def _poll_for_ever(self) -> None:
-        silent_since = self._clock.monotonic()
-        gone = False
+    async def _poll_loop(self) -> None:
+        last_answer_at = self._clock.monotonic()
+        unreachable = False
         while True:
-            self._wake.clear()
+            self._wake_event.clear()
             report = await self._read_load()
             now = self._clock.monotonic()
             if not isinstance(report, Refused):
                 self.report, self.reported_at = report, now
-                silent_since, gone = now, False
+                last_answer_at, unreachable = now, False
                 self._events.reported(self.worker, report)
                 await self._read_cache()
-            elif not gone and now - silent_since >= GONE_SECONDS:
-                gone = True
+            elif not unreachable and now - last_answer_at >= UNREACHABLE_SECONDS:
+                unreachable = True
                 log.warning("worker_gone", worker=self.worker, reason=report.reason)
                 self._cache_sequence = 0
-                self._events.gone(self.worker)
-            await wait_for_event(self._clock, self._wake, POLL_SECONDS)
+                self._events.unreachable(self.worker)
+            await wait_for_event(self._clock, self._wake_event, POLL_INTERVAL_SECONDS)
 
     async def _read_load(self) -> LoadReport | Refused:
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(POLL_TIMEOUT_SECONDS):
                 return await self._engine.load(self.worker)
         except TimeoutError:
             return outcome_unknown(
@@ -98,7 +98,7 @@
     async def _read_cache(self) -> None:
         after = self._cache_sequence
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(POLL_TIMEOUT_SECONDS):
                 page = await self._engine.cache_events(self.worker, after)
         except TimeoutError:
             return
--- a/tests/coordinator_cluster.py
+++ b/tests/coordinator_cluster.py
@@ -103,7 +103,7 @@
             registry=CollectorRegistry(),
         )
         self.coordinator = CoordinatorService(ports, self.directory)
-        client = CoordinatorClient(name, self.coordinator.desk, self.peers)
+        client = CoordinatorClient(name, self.coordinator.handlers, self.peers)
         self.grants = GrantsService(self.directory, client, configuration, self.clock)
         self.orders = OrdersService(
             "cymru",
--- a/tests/test_cache_evacuation.py
+++ b/tests/test_cache_evacuation.py
@@ -36,11 +36,11 @@
         assert [event async for event in engine.generate("leaving", generate)]
 
 
-async def test_caches_are_found_on_the_remaining_workers_in_turn(engine):
+async def test_caches_are_distributed_to_remaining_workers(engine):
     programs = ["p1", "p2", "p3"]
     await fill(engine, programs)
     evacuation = CacheEvacuation(engine)
-    evacuation.begin("leaving", ["a", "b"], programs)
+    evacuation.start("leaving", ["a", "b"], programs)
     await asyncio.sleep(10.0)
     found = [await cached_tokens(engine, w, p) for p, w in zip(programs, "aba", strict=True)]
     assert all(found)
@@ -48,11 +48,11 @@
     await evacuation.stop()
 
 
-async def test_nothing_is_moved_without_a_target_or_once_the_worker_is_back(engine):
+async def test_no_cache_is_copied_without_target_or_after_cancellation(engine):
     await fill(engine, ["p1"])
     evacuation = CacheEvacuation(engine)
-    evacuation.begin("leaving", [], ["p1"])
-    evacuation.begin("leaving", ["a"], ["p1"])
+    evacuation.start("leaving", [], ["p1"])
+    evacuation.start("leaving", ["a"], ["p1"])
     evacuation.cancel("leaving")
     await asyncio.sleep(10.0)
     assert await cached_tokens(engine, "a", "p1") == 0
--- a/tests/test_coordinator_assignment.py
+++ b/tests/test_coordinator_assignment.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from foxwinch.core.coordinator.assignment import (
-    HANDOVER_SECONDS,
+    HANDOVER_DELAY_SECONDS,
     SETTLING_SECONDS,
     Candidate,
     Claim,
@@ -44,14 +44,14 @@
 
 
 @given(candidate_sets)
-def test_a_candidate_of_the_own_zone_goes_first(members):
+def test_candidate_in_same_zone_is_preferred(members):
     chosen = preferred_node(WORKER, members, REGION)
     near = {c.node for c in members if c.zone == WORKER.zone}
     assert chosen in (near or {c.node for c in members})
 
 
 @given(candidate_sets, node_names)
-def test_a_member_that_goes_moves_only_its_own_workers(members, gone):
+def test_removed_member_reassigns_only_its_own_workers(members, gone):
     workers = [Resource(f"worker/{i}", None) for i in range(20)]
     rest = [c for c in members if c.node != gone]
     for worker in workers:
@@ -60,11 +60,11 @@
             assert preferred_node(worker, rest, REGION) == before
 
 
-def test_no_candidate_in_the_region_means_no_coordinator():
+def test_region_without_candidates_has_no_coordinator():
     assert preferred_node(WORKER, candidates("a"), RegionName("elsewhere")) is None
 
 
-def test_nothing_is_claimed_from_a_live_holder():
+def test_live_holder_keeps_its_worker():
     assignment = CoordinatorAssignment(NodeId("a"), REGION, 0.0)
     assignment.update_resources([WORKER])
     assignment.update_candidates(candidates("a"))
@@ -74,17 +74,17 @@
     assert assignment.advance(101.0) == [Claim(WORKER.name)]
 
 
-def test_a_starting_node_waits_for_members_that_it_has_not_heard():
+def test_starting_node_waits_for_missing_digests():
     assignment = CoordinatorAssignment(NodeId("a"), REGION, 0.0)
     assignment.update_resources([WORKER])
     assignment.update_candidates(candidates("a"))
-    assignment.update_unheard(True)
+    assignment.update_missing_digests(True)
     assert assignment.advance(SETTLING_SECONDS) == []
-    assignment.update_unheard(False)
+    assignment.update_missing_digests(False)
     assert assignment.advance(SETTLING_SECONDS) == [Claim(WORKER.name)]
 
 
-def test_a_refused_claim_is_tried_again():
+def test_refused_claim_is_retried():
     assignment = CoordinatorAssignment(NodeId("a"), REGION, 0.0)
     assignment.update_resources([WORKER])
     assignment.update_candidates(candidates("a"))
@@ -94,7 +94,7 @@
     assert assignment.advance(11.0) == [Claim(WORKER.name)]
 
 
-def preferred_over_a():
+def node_preferred_over_a():
     return next(
         name
         for name in (f"n{i}" for i in range(100))
@@ -102,11 +102,11 @@
     )
 
 
-def test_a_flapping_member_moves_nothing_and_a_lasting_one_gets_the_worker():
-    assignment, better = serving("a"), preferred_over_a()
+def test_flapping_member_causes_no_handover_but_stable_one_does():
+    assignment, better = serving("a"), node_preferred_over_a()
     now = 10.0
     for _ in range(20):
-        now += HANDOVER_SECONDS * 0.6
+        now += HANDOVER_DELAY_SECONDS * 0.6
         assignment.update_candidates(candidates("a", better))
         assert assignment.advance(now) == []
         now += 0.1
@@ -114,13 +114,13 @@
         assert assignment.advance(now) == []
     assignment.update_candidates(candidates("a", better))
     assert assignment.advance(now) == []
-    assert assignment.advance(now + HANDOVER_SECONDS) == [Release(WORKER.name, Epoch(1))]
+    assert assignment.advance(now + HANDOVER_DELAY_SECONDS) == [Release(WORKER.name, Epoch(1))]
     assert assignment.held() == {WORKER.name: Epoch(1)}
     assignment.released(WORKER.name, Epoch(1))
     assert assignment.held() == {}
 
 
-def test_a_holder_that_wakes_after_a_takeover_loses_the_worker():
+def test_holder_that_resumes_after_takeover_loses_the_worker():
     assignment = serving("a")
     assignment.update_epochs({WORKER.name: Epoch(2)})
     assignment.update_holders({WORKER.name: Holder(NodeId("b"), Epoch(2))})
@@ -128,7 +128,7 @@
     assert assignment.state(WORKER.name) is CoordinatorState.UNASSIGNED
 
 
-def test_draining_hands_over_and_claims_nothing():
+def test_draining_node_releases_workers_and_claims_none():
     assignment = serving("a")
     assignment.drain()
     assert assignment.advance(11.0) == [Release(WORKER.name, Epoch(1))]
@@ -136,7 +136,7 @@
     assert assignment.advance(12.0) == []
 
 
-def test_a_worker_taken_out_of_the_configuration_is_released():
+def test_unconfigured_worker_is_released():
     assignment = serving("a")
     assignment.update_resources([])
     assert assignment.advance(11.0) == [Release(WORKER.name, Epoch(1))]
@@ -149,7 +149,7 @@
         max_size=25,
     )
 )
-def test_nodes_that_share_a_view_settle_on_one_holder_of_the_highest_epoch(steps):
+def test_nodes_with_same_view_converge_on_one_holder_with_highest_epoch(steps):
     names = [f"n{i}" for i in range(4)]
     cluster = {n: CoordinatorAssignment(NodeId(n), REGION, 0.0) for n in names}
     up, epoch, now = set(names), 0, 0.0
--- a/tests/test_coordinator_service.py
+++ b/tests/test_coordinator_service.py
@@ -19,7 +19,7 @@
     return GenerateRequest(grant.call_id, "stale", MODEL, messages, 4, 0, grant.epoch)
 
 
-def granted(cluster):
+def active_grants(cluster):
     """Return the number of active grants on all coordinators."""
     return sum(len(node.coordinator._ledger) for node in cluster.nodes.values())
 
@@ -31,10 +31,10 @@
             grant, last = await run_call(cluster, node, f"c{number}", f"p{number}")
             assert isinstance(last, GenerateFinished)
             assert grant.worker in cluster.engines
-        await until(lambda: granted(cluster) == 0)
+        await until(lambda: active_grants(cluster) == 0)
 
 
-async def test_a_program_goes_back_to_the_coordinator_of_its_prefix():
+async def test_program_returns_to_coordinator_of_its_prefix():
     async with CoordinatorCluster() as cluster:
         node = cluster.nodes["n0"]
         grants = [(await run_call(cluster, node, f"c{i}"))[0] for i in range(6)]
@@ -42,7 +42,7 @@
         assert len(coordinators) == 1
 
 
-async def test_withdrawn_requests_leave_nothing_behind():
+async def test_withdrawn_request_leaves_no_state():
     async with CoordinatorCluster(workers=1) as cluster:
         nodes = list(cluster.nodes.values())
         holding = [await nodes[0].grants.acquire(request(f"c{i}", f"p{i}")) for i in range(16)]
@@ -53,12 +53,12 @@
         waiting.cancel()
         await asyncio.sleep(0.5)
         nodes[0].grants.settle(holding[0], GrantUsage(holding[0].call_id, 1, 0, 1, False))
-        await until(lambda: granted(cluster) == 15)
+        await until(lambda: active_grants(cluster) == 15)
         follower = await nodes[2].grants.acquire(request("next", "next", 5.0))
         assert isinstance(follower, Grant)
 
 
-async def test_a_request_is_refused_at_its_deadline_as_not_run():
+async def test_request_is_refused_as_not_run_at_deadline():
     async with CoordinatorCluster(workers=1) as cluster:
         node = cluster.nodes["n0"]
         for i in range(16):
@@ -68,7 +68,7 @@
         assert (refused.reason, refused.run_state) == (Reason.DEADLINE, "not_run")
 
 
-async def test_parallel_sub_agents_share_the_step_of_their_root_across_nodes():
+async def test_parallel_sub_agents_share_step_of_root_across_nodes():
     async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         owner = next(node for node in cluster.nodes.values() if node.name != name)
@@ -89,7 +89,7 @@
             owner.grants.settle(await asked, GrantUsage((await asked).call_id, 1, 0, 1, False))
         for grant in held[3:]:
             owner.grants.settle(grant, GrantUsage(grant.call_id, 1, 0, 1, False))
-        await until(lambda: granted(cluster) == 0)
+        await until(lambda: active_grants(cluster) == 0)
         ended = ("t/root~a", "t/newcomer", "t/root~b", "t/root", *(f"p{i}" for i in range(16)))
         for program in ended:
             owner.grants.finish(program)
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("workers", [1, 2])
-async def test_a_call_that_has_failed_at_a_coordinators_only_worker_is_granted_again(workers):
+async def test_call_that_failed_on_only_worker_is_granted_again(workers):
     async with CoordinatorCluster(nodes=workers, workers=workers) as cluster:
         node = cluster.nodes["n0"]
         used = []
@@ -110,7 +110,7 @@
         assert len(set(used[:2])) == workers
 
 
-async def test_a_coordinator_killed_with_waiting_requests_is_replaced():
+async def test_coordinator_killed_with_waiting_requests_is_replaced():
     async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         owner = next(node for node in cluster.nodes.values() if node.name != name)
@@ -125,17 +125,17 @@
         assert isinstance(await waiting, Grant)
 
 
-async def test_grants_of_a_killed_owner_are_taken_back():
+async def test_grants_of_killed_owner_are_revoked():
     async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         owner = next(node for node in cluster.nodes.values() if node.name != name)
         for i in range(16):
             await owner.grants.acquire(request(f"c{i}", f"p{i}"))
         await cluster.kill(owner.name)
-        await until(lambda: granted(cluster) == 0, 5.0)
+        await until(lambda: active_grants(cluster) == 0, 5.0)
 
 
-async def test_a_paused_coordinator_that_wakes_is_fenced():
+async def test_paused_coordinator_is_fenced_after_resuming():
     async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         old = cluster.nodes[name]
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("source", LEAVING)
-async def test_a_leaving_worker_gets_no_new_work_within_three_seconds(source):
+async def test_leaving_worker_gets_no_new_calls_within_three_seconds(source):
     async with CoordinatorCluster(nodes=3, workers=2) as cluster:
         leaving = "llm-1"
         LEAVING[source](cluster, leaving)
@@ -185,7 +185,7 @@
             node.grants.settle(grant, GrantUsage(grant.call_id, 1, 0, 1, False))
 
 
-async def test_memory_of_finished_programs_is_released_also_by_the_next_coordinator():
+async def test_next_coordinator_releases_cache_of_finished_programs():
     async with CoordinatorCluster(workers=1) as cluster:
         (name,) = set(cluster.serving().values())
         owner = next(node for node in cluster.nodes.values() if node.name != name)
@@ -203,7 +203,7 @@
         await until(lambda: owner.grants._reports.pending() == 0)
 
 
-async def test_a_lost_answer_to_a_release_is_settled_by_releasing_again():
+async def test_release_with_lost_response_is_retried():
     async with CoordinatorCluster(workers=1) as cluster:
         owner = cluster.nodes["n0"]
         await run_call(cluster, owner, "c1", "p1")
@@ -213,7 +213,7 @@
         assert cluster.engines["llm-1"].released["p1"] >= 1
 
 
-async def test_a_worker_that_is_gone_frees_its_places_and_serves_again_when_back():
+async def test_unreachable_worker_frees_slots_and_serves_again_after_return():
     async with CoordinatorCluster(nodes=1, workers=1) as cluster:
         node = cluster.nodes["n0"]
         lost = [await node.grants.acquire(request(f"c{i}", f"p{i}")) for i in range(16)]
@@ -228,7 +228,7 @@
         assert isinstance(await node.grants.acquire(request("back", "b")), Grant)
 
 
-async def test_a_planned_stop_hands_every_worker_over():
+async def test_planned_stop_hands_over_every_worker():
     async with CoordinatorCluster() as cluster:
         leaving = cluster.nodes["n1"]
         grant = await leaving.grants.acquire(request("running", "r"))
@@ -237,10 +237,10 @@
         await until(lambda: set(cluster.serving()) == set(cluster.engines))
         leaving.grants.settle(grant, GrantUsage("running", 1, 0, 1, False))
         await leaving.grants.drain()
-        await until(lambda: granted(cluster) == 0)
+        await until(lambda: active_grants(cluster) == 0)
 
 
-async def test_a_coordinator_that_a_worker_refuses_as_old_gives_it_up_and_claims_anew():
+async def test_coordinator_fenced_by_worker_drops_and_reclaims_it():
     async with CoordinatorCluster(nodes=1, workers=1) as cluster:
         node = cluster.nodes["n0"]
         old = await node.grants.acquire(request("c1"))
@@ -253,7 +253,7 @@
         assert new.epoch > old.epoch + 1
 
 
-async def test_the_next_owner_releases_what_an_earlier_owner_used():
+async def test_next_owner_releases_cache_used_by_earlier_owner():
     async with CoordinatorCluster(workers=2) as cluster:
         first, second = cluster.nodes["n0"], cluster.nodes["n1"]
         await run_call(cluster, first, "c1", "p1")
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -25,14 +25,14 @@
     return ModelGoal(model, version, frozenset(adapters), minimum, POOL)
 
 
-def test_below_its_minimum_a_model_is_loaded_at_once_on_the_coldest_worker():
+def test_model_below_minimum_is_loaded_immediately_on_least_loaded_worker():
     reconciler = OrderReconciler(Epoch(1), POLICY)
     workers = [worker("a", 9.0, ()), worker("b", 1.0, ()), worker("c", 5.0)]
     orders = reconciler.advance([goal()], workers, {}, 0.0)
     assert [(o.worker, o.kind) for o in orders] == [("b", OrderKind.LOAD)]
 
 
-def test_a_new_version_waits_for_the_minimum_of_other_workers():
+def test_version_update_keeps_minimum_of_serving_workers():
     reconciler = OrderReconciler(Epoch(1), POLICY)
     workers = [worker("a"), worker("b"), worker("c")]
     want = [goal(minimum=2, version="2")]
@@ -41,21 +41,21 @@
     assert reconciler.advance(want, workers, {}, 10.0) == []
 
 
-def test_with_all_workers_needed_no_version_is_changed():
+def test_version_is_not_updated_if_all_workers_are_needed():
     reconciler = OrderReconciler(Epoch(1), POLICY)
     workers = [worker("a"), worker("b")]
     for now in range(0, 60, 3):
         assert reconciler.advance([goal(2, "2")], workers, {}, float(now)) == []
 
 
-def test_a_difference_that_does_not_last_gives_no_order():
+def test_transient_difference_causes_no_order():
     reconciler = OrderReconciler(Epoch(1), POLICY)
     for now in range(20):
         adapters = ["a"] if now % 2 else []
         assert reconciler.advance([goal(1, "1", adapters)], [worker("w")], {}, float(now)) == []
 
 
-def test_a_failed_order_is_not_repeated_at_once():
+def test_failed_order_is_retried_after_backoff():
     reconciler = OrderReconciler(Epoch(1), POLICY)
     workers = [worker("a", models=())]
     (order,) = reconciler.advance([goal(1)], workers, {}, 0.0)
@@ -65,7 +65,7 @@
     assert again.token != order.token
 
 
-def test_pressure_on_a_model_gives_it_one_more_worker():
+def test_overloaded_model_gets_additional_worker():
     other = ModelName("other")
     goals = [goal(1), goal(1, model=other)]
     workers = [worker("a"), worker("b", models=(other,)), worker("c", 3.0, models=(other,))]
@@ -75,7 +75,7 @@
     assert (order.worker, order.kind, order.model) == ("b", OrderKind.LOAD, CHAT)
 
 
-def test_a_model_outside_the_configuration_is_unloaded():
+def test_unconfigured_model_is_unloaded():
     reconciler = OrderReconciler(Epoch(1), POLICY)
     workers = [worker("a", models=(CHAT, ModelName("old")))]
     reconciler.advance([goal(1)], workers, {}, 0.0)
@@ -108,7 +108,7 @@
     minimum=st.integers(0, 3),
     answers=st.lists(st.tuples(st.booleans(), st.floats(0.1, 6.0)), max_size=20),
 )
-def test_the_goal_is_reached_within_rate_and_minimum(loads, present, minimum, answers):
+def test_goal_is_reached_within_load_rate_and_minimum(loads, present, minimum, answers):
     workers = {
         f"w{i}": worker(f"w{i}", load, (CHAT,) if i < present else ())
         for i, load in enumerate(loads)
--- a/tests/test_pool_scheduler.py
+++ b/tests/test_pool_scheduler.py
@@ -173,14 +173,14 @@
         )
 
     @invariant()
-    def capacity_holds(self):
+    def capacity_is_not_exceeded(self):
         for name in self.joined:
             held = self.pool.placed_calls(WorkerId(name))
             ordinary = [c for c in held if c in self.asked and self.asked[c].class_rank > 0]
             assert len(ordinary) <= 2
 
     @invariant()
-    def nothing_is_forgotten(self):
+    def no_call_is_lost(self):
         open_calls = len(self.asked) - len(self.running) - len(self.copying)
         assert self.pool.waiting_calls == open_calls
 
@@ -189,7 +189,7 @@
 TestPoolInvariants.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-def test_nobody_starves_behind_a_stream_of_newcomers() -> None:
+def test_waiting_call_is_not_starved_by_new_calls() -> None:
     pool = scheduler("a", slots=1)
     policy = pool.policy
     bound = policy.class_step_seconds * 2
@@ -206,7 +206,7 @@
         running = dispatched[0].call_id
 
 
-def test_cached_prefix_draws_a_call_and_a_lost_event_is_mended_by_a_resync() -> None:
+def test_cached_prefix_attracts_call_and_resync_corrects_lost_event() -> None:
     pool = scheduler("a", "b")
     hashes = tuple(range(100, 150))
     page = CacheChanged(WorkerId("b"), (BlockChange("stored", hashes),), gap=True)
@@ -223,7 +223,7 @@
     assert dispatch.expected_cached_tokens == 0
 
 
-def test_prefix_is_copied_when_its_worker_is_full() -> None:
+def test_prefix_is_copied_if_its_worker_is_full() -> None:
     pool = scheduler("a", "b", slots=1)
     hashes = tuple(range(100, 150))
     pool.handle(CacheChanged(WorkerId("a"), (BlockChange("stored", hashes),), False), 0.0)
@@ -236,7 +236,7 @@
     assert of_kind(answered, Dispatch)[0].expected_cached_tokens == 3200
 
 
-def test_cache_of_an_ended_program_is_released_until_that_succeeds() -> None:
+def test_cache_release_of_ended_program_is_retried_until_it_succeeds() -> None:
     pool = scheduler("a")
     pool.handle(CallArrived(call("x", "p")), 0.0)
     pool.handle(CallFinished(CallId("x"), 640, 0, 10), 1.0)
@@ -247,7 +247,7 @@
     assert pool.handle(ReleaseCompleted(WorkerId("a"), ProgramId("p"), True), 4.0) == []
 
 
-def test_answer_that_ends_after_its_program_is_released_too() -> None:
+def test_cache_of_call_that_outlives_its_program_is_released() -> None:
     pool = scheduler("a")
     pool.handle(CallArrived(call("x", "p")), 0.0)
     pool.handle(ProgramEnded(ProgramId("p")), 1.0)
@@ -255,14 +255,14 @@
     assert late == [ReleaseCache(WorkerId("a"), ProgramId("p"))]
 
 
-def test_urgent_call_goes_at_once_to_a_full_worker() -> None:
+def test_urgent_call_is_dispatched_to_full_worker() -> None:
     pool = scheduler("a", slots=1)
     pool.handle(CallArrived(call("x")), 0.0)
     (dispatch,) = of_kind(pool.handle(CallArrived(call("u", rank=0)), 0.1), Dispatch)
     assert dispatch.priority == 0
 
 
-def test_overload_refuses_new_programs_of_the_least_urgent_class_first() -> None:
+def test_overload_rejects_least_urgent_class_first() -> None:
     pool = scheduler("a", slots=1)
     refused: dict[int, int] = {}
     for index in range(60):
@@ -275,7 +275,7 @@
     assert not of_kind(pool.handle(CallArrived(known), 0.0), RefuseCall)
 
 
-def test_time_lets_a_call_take_another_place_than_the_one_it_waited_for() -> None:
+def test_waiting_call_falls_back_to_another_slot_over_time() -> None:
     pool = scheduler("a", "b", slots=1)
     pool.handle(CallArrived(call("x")), 0.0)
     pool.handle(WorkerLeaving(WorkerId("b")), 0.0)
