--- a/src/foxwinch/core/coordinator/reasons.py
+++ b/src/foxwinch/core/coordinator/reasons.py
@@ -15,6 +15,6 @@
         source = placement.source.description.worker
         details += f", {placement.copied_blocks} blocks copied from {source}"
     return (
-        f"waited {waited:.2f} s for a place; {worker.description.worker} had the least predicted"
+        f"waited {waited:.2f} s for a slot; {worker.description.worker} had the lowest predicted"
         f" cost {placement.cost_seconds:.2f} s: {details}, {len(worker.placed)} other calls on it"
     )
--- a/tests/coordinator_cluster.py
+++ b/tests/coordinator_cluster.py
@@ -32,9 +32,9 @@
 
 def document(workers):
     """Return the example configuration with only its first `workers` engine workers."""
-    whole = check(ClusterConfiguration, read_toml(CLEDWYN), str(CLEDWYN))
-    engines = [w for w in whole.workers if w.pool == "llm-pool"][:workers]
-    return whole.model_copy(update={"workers": tuple(engines)})
+    full_document = check(ClusterConfiguration, read_toml(CLEDWYN), str(CLEDWYN))
+    engines = [w for w in full_document.workers if w.pool == "llm-pool"][:workers]
+    return full_document.model_copy(update={"workers": tuple(engines)})
 
 
 class Views:
@@ -196,7 +196,7 @@
         for entry in node.views.missed:
             node.views.arrive(entry)
 
-    def held_memory(self):
+    def cached_programs(self):
         """Return the programs with cache on any engine."""
         return {p for engine in self.engines.values() for p in engine._prefixes}
 
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -119,7 +119,7 @@
 
     program = first.query("programs", "show", "ward-discharge/plan", key=KEY)["program"]
     for call in program["calls"]:
-        pattern = rf"waited \d+\.\d\d s for a place; {call['worker']} had the least predicted cost"
+        pattern = rf"waited \d+\.\d\d s for a slot; {call['worker']} had the lowest predicted cost"
         assert re.match(pattern, call["reason"]), call
     assert len(program["calls"]) == 3
     owner = next(n for n in listed if n["node"] == program["summary"]["node"])
--- a/tests/test_coordinator_assignment.py
+++ b/tests/test_coordinator_assignment.py
@@ -46,17 +46,17 @@
 @given(candidate_sets)
 def test_candidate_in_same_zone_is_preferred(members):
     chosen = preferred_node(WORKER, members, REGION)
-    near = {c.node for c in members if c.zone == WORKER.zone}
-    assert chosen in (near or {c.node for c in members})
+    same_zone = {c.node for c in members if c.zone == WORKER.zone}
+    assert chosen in (same_zone or {c.node for c in members})
 
 
 @given(candidate_sets, node_names)
-def test_removed_member_reassigns_only_its_own_workers(members, gone):
+def test_removed_member_reassigns_only_its_own_workers(members, removed):
     workers = [Resource(f"worker/{i}", None) for i in range(20)]
-    rest = [c for c in members if c.node != gone]
+    rest = [c for c in members if c.node != removed]
     for worker in workers:
         before = preferred_node(worker, members, REGION)
-        if before != gone and rest:
+        if before != removed and rest:
             assert preferred_node(worker, rest, REGION) == before
 
 
--- a/tests/test_coordinator_service.py
+++ b/tests/test_coordinator_service.py
@@ -159,7 +159,7 @@
         assert len([n for n in cluster.nodes.values() if n.coordinator.pools.held()]) == 1
 
 
-LEAVING = {
+LEAVING_SOURCES = {
     "operator": lambda cluster, worker: cluster.nodes["n0"].views.publish(
         drain_entry(cluster.nodes["n0"].views, worker, True)
     ),
@@ -172,11 +172,11 @@
 }
 
 
-@pytest.mark.parametrize("source", LEAVING)
+@pytest.mark.parametrize("source", LEAVING_SOURCES)
 async def test_leaving_worker_gets_no_new_calls_within_three_seconds(source):
     async with CoordinatorCluster(nodes=3, workers=2) as cluster:
         leaving = "llm-1"
-        LEAVING[source](cluster, leaving)
+        LEAVING_SOURCES[source](cluster, leaving)
         await asyncio.sleep(3.0)
         for number in range(20):
             node = cluster.nodes[f"n{number % 3}"]
@@ -195,11 +195,11 @@
         engine.gate.faults = EngineFaults(down=True)
         owner.grants.finish("p1")
         await asyncio.sleep(2.0)
-        assert cluster.held_memory() == {"p1", "p2"}
+        assert cluster.cached_programs() == {"p1", "p2"}
         await cluster.kill(name)
         await asyncio.sleep(8.0)
         engine.gate.faults = EngineFaults()
-        await until(lambda: cluster.held_memory() == {"p2"})
+        await until(lambda: cluster.cached_programs() == {"p2"})
         await until(lambda: owner.grants._reports.pending() == 0)
 
 
@@ -258,11 +258,11 @@
         first, second = cluster.nodes["n0"], cluster.nodes["n1"]
         await run_call(cluster, first, "c1", "p1")
         (used,) = [n for n, engine in cluster.engines.items() if engine.holds("p1")]
-        away = cluster.engines.pop(used)
+        unavailable_engine = cluster.engines.pop(used)
         await asyncio.sleep(8.0)
         await run_call(cluster, second, "c2", "p1")
-        cluster.engines[used] = away
+        cluster.engines[used] = unavailable_engine
         assert all(engine.holds("p1") for engine in cluster.engines.values())
         second.grants.adopt("p1")
         second.grants.finish("p1")
-        await until(lambda: cluster.held_memory() == set())
+        await until(lambda: cluster.cached_programs() == set())
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -35,10 +35,10 @@
 def test_version_update_keeps_minimum_of_serving_workers():
     reconciler = OrderReconciler(Epoch(1), POLICY)
     workers = [worker("a"), worker("b"), worker("c")]
-    want = [goal(minimum=2, version="2")]
-    assert reconciler.advance(want, workers, {}, 0.0) == []
-    assert len(reconciler.advance(want, workers, {}, 3.0)) == 1
-    assert reconciler.advance(want, workers, {}, 10.0) == []
+    target = [goal(minimum=2, version="2")]
+    assert reconciler.advance(target, workers, {}, 0.0) == []
+    assert len(reconciler.advance(target, workers, {}, 3.0)) == 1
+    assert reconciler.advance(target, workers, {}, 10.0) == []
 
 
 def test_version_is_not_updated_if_all_workers_are_needed():
@@ -113,10 +113,10 @@
         f"w{i}": worker(f"w{i}", load, (CHAT,) if i < present else ())
         for i, load in enumerate(loads)
     }
-    want = goal(min(minimum, len(workers) - 1), "2", ["adapter"])
+    target = goal(min(minimum, len(workers) - 1), "2", ["adapter"])
     reconciler = OrderReconciler(Epoch(7), POLICY)
     now, due, last_load = 0.0, {}, -10.0
-    script = iter(answers)
+    scripted_outcomes = iter(answers)
     for _ in range(600):
         now += 0.5
         for token in [t for t, at in due.items() if at[0] <= now]:
@@ -125,8 +125,8 @@
             if succeeded:
                 workers[order.worker] = apply(workers[order.worker], order)
         before = reconciler.serving(CHAT, workers.values())
-        for order in reconciler.advance([want], workers.values(), {}, now):
-            succeeded, seconds = next(script, (True, 0.4))
+        for order in reconciler.advance([target], workers.values(), {}, now):
+            succeeded, seconds = next(scripted_outcomes, (True, 0.4))
             due[order.token] = (now + seconds, succeeded)
             if order.kind in READS_WEIGHTS:
                 assert now - last_load >= POLICY.load_interval_seconds
@@ -134,7 +134,7 @@
         loading = [o for o in reconciler.in_flight() if o.kind in READS_WEIGHTS]
         assert len(loading) <= POLICY.loads_in_flight
         after = reconciler.serving(CHAT, workers.values())
-        assert after >= min(before, want.minimum_workers)
+        assert after >= min(before, target.minimum_workers)
     for actual in workers.values():
         assert actual.models == {CHAT}
         assert actual.versions[CHAT] == "2"
