--- a/src/foxwinch/core/coordinator/scheduler.py
+++ b/src/foxwinch/core/coordinator/scheduler.py
@@ -1,16 +1,16 @@
-"""The scheduler of one pool of workers: pure, exact about what it dispatched itself.
+"""Scheduler of one worker pool, free of I/O and with exact knowledge of the calls it dispatched.
 
-To use it, feed each event with the time and carry out the actions returned, in order:
+Pass each event with the current time to `handle` and execute the returned actions in order:
 
     scheduler = PoolScheduler(policy_for(configuration.objective))
     actions = scheduler.handle(WorkerJoined(WorkerDescription(...)), now)
-    actions = scheduler.handle(CallArrived(call), now)   # perhaps [Dispatch(...)], perhaps []
-    actions = scheduler.handle(CallFinished(...), now)   # perhaps [Dispatch(...)] of a waiting call
+    actions = scheduler.handle(CallArrived(call), now)   # [Dispatch(...)] or []
+    actions = scheduler.handle(CallFinished(...), now)   # [Dispatch(...)] of a waiting call or []
 
-`now` must never go back. Nothing needs a timer: call `handle(Tick(), now)` about once a
-second so that calls that waited for a better place take another. Every arrived call is answered
-by exactly one `Dispatch` or `RefuseCall`, unless it is withdrawn first. `ReleaseCache` is asked
-again after each `ReleaseCompleted(done=False)` until it succeeds or the worker leaves.
+`now` must be monotonic. The scheduler has no timer: call `handle(Tick(), now)` about once per
+second so that calls waiting for a preferred worker can fall back to another one. Every call gets
+exactly one `Dispatch` or `RefuseCall` unless it is withdrawn first. `ReleaseCache` is repeated
+after each `ReleaseCompleted(done=False)` until it succeeds or the worker leaves.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
     ReleaseCache,
     ResyncCache,
 )
-from foxwinch.core.coordinator.admission import refusal
+from foxwinch.core.coordinator.admission import check_admission
 from foxwinch.core.coordinator.cache_index import CacheIndex
 from foxwinch.core.coordinator.calls import PoolCall
 from foxwinch.core.coordinator.estimates import PREFILL_TOKEN_SECONDS, Estimates
@@ -54,17 +54,16 @@
 from foxwinch.identifiers import CallId, WorkerId
 
 PREFILL_SHARE_SECONDS = 0.00007
-"""Each prefilled token's share of the fixed part of a step: 18 ms over 256 tokens."""
+"""Share of the fixed step time per prefilled token: 18 ms over 256 tokens."""
 
-NO_PLACE_FREED = (CacheChanged, ProgramPaused, ProgramEnded, ReleaseCompleted, LoadReported)
-"""Events after which no waiting call can get a place that it could not get before."""
+NON_FREEING_EVENTS = (CacheChanged, ProgramPaused, ProgramEnded, ReleaseCompleted, LoadReported)
+"""Events that cannot make a slot available to a waiting call."""
 
 
 class PoolScheduler:
-    """Decides for one pool."""
+    """State machine that schedules the calls of one pool."""
 
     def __init__(self, policy: PolicySettings) -> None:
-        """Start without workers."""
         self.policy = policy
         self.estimates = Estimates()
         self._workers: dict[WorkerId, WorkerState] = {}
@@ -80,21 +79,21 @@
             CallFailed: self._call_failed,
             ProgramPaused: self._program_paused,
             ProgramEnded: self._program_ended,
-            ReleaseCompleted: self._release_answered,
-            TransferCompleted: self._transfer_answered,
+            ReleaseCompleted: self._release_completed,
+            TransferCompleted: self._transfer_completed,
             CacheChanged: self._cache_changed,
             WorkerJoined: self._worker_joined,
             WorkerLeaving: self._worker_leaving,
             WorkerLeft: self._worker_left,
             LoadReported: self._load_reported,
             PolicyChanged: self._policy_changed,
-            Tick: self._time_passed,
+            Tick: self._tick,
         }
 
     def handle(self, event: PoolEvent, now: float) -> list[PoolAction]:
-        """Take in an event and return what is to be done, in order."""
+        """Process an event and return the resulting actions in order."""
         actions = self._handlers[type(event)](event, now)
-        if len(self._waiting) > 0 and not isinstance(event, NO_PLACE_FREED):
+        if len(self._waiting) > 0 and not isinstance(event, NON_FREEING_EVENTS):
             actions += self._place_waiting(now)
         return actions
 
@@ -104,18 +103,18 @@
         return len(self._waiting)
 
     def placed_calls(self, worker: WorkerId) -> tuple[CallId, ...]:
-        """Return the calls that hold a place on a worker."""
+        """Return the calls that occupy a slot on a worker."""
         state = self._workers.get(worker)
         return tuple(state.placed) if state else ()
 
     def explain(self, call_id: CallId) -> str:
-        """Say why a call waits or went where it did; empty for an unknown call."""
+        """Return why a call waits or why it was placed on its worker, or "" if it is unknown."""
         placed = self._placed.get(call_id)
         if placed is not None:
             return placed.reason
         for position, waiting in enumerate(self._waiting):
             if waiting.call.call_id == call_id:
-                return f"waits for a place; {position} calls go before it"
+                return f"waits for a slot; {position} calls are ahead of it"
         return ""
 
     # --- calls -------------------------------------------------------------------------------
@@ -129,9 +128,9 @@
         refused = self._admit(call, now)
         if refused is not None:
             return [refused]
-        program = self._programs.ensure(call.program_id)
+        program = self._programs.get_or_create(call.program_id)
         program.hashes = call.prefix_hashes
-        tree = self._programs.ensure(call.tree)
+        tree = self._programs.get_or_create(call.tree)
         if tree.active_calls == 0:
             tree.step_began_at_seconds = now
         tree.active_calls += 1
@@ -143,7 +142,7 @@
     def order_key(
         self, call: PoolCall, tree: ProgramState, expected_seconds: float, now: float
     ) -> float:
-        """Return a call's place in the order; an experiment may order otherwise."""
+        """Return the sort key of a call, which experiments may override."""
         return order_key(self.policy, call, now, tree.step_began_at_seconds, expected_seconds)
 
     def _admit(self, call: PoolCall, now: float) -> RefuseCall | None:
@@ -151,51 +150,51 @@
         if known or not self.policy.features.admission:
             return None
         wait = self.predicted_wait_seconds(call.class_rank)
-        refused = refusal(self.policy, call, self._lowest_rank, wait, now)
+        refused = check_admission(self.policy, call, self._lowest_rank, wait, now)
         return RefuseCall(call.call_id, refused) if refused else None
 
     def predicted_wait_seconds(self, class_rank: int) -> float:
-        """Return how long a newcomer of a class would wait behind calls as urgent or more."""
+        """Return the predicted wait of a new call behind calls of the same or higher urgency."""
         slots = sum(w.description.slots for w in self._workers.values() if not w.leaving)
         return self._waiting.expected_seconds(class_rank) / max(slots, 1)
 
     def _call_withdrawn(self, event: CallWithdrawn, now: float) -> list[PoolAction]:
         waiting = self._waiting.remove(event.call_id)
         if waiting is not None:
-            self._tree_call_over(waiting.call)
+            self._end_tree_call(waiting.call)
             return []
-        return self._vacate(event.call_id)
+        return self._free_slot(event.call_id)
 
     def _call_finished(self, event: CallFinished, now: float) -> list[PoolAction]:
         placed = self._placed.get(event.call_id)
         if placed is None:
             return []
         call = placed.call
-        dispatched = placed.dispatched_at_seconds or placed.placed_at_seconds
+        dispatched_at = placed.dispatched_at_seconds or placed.placed_at_seconds
         uncached = event.prompt_tokens - event.cached_tokens
         self.estimates.observe_answer(call.class_name, event.completion_tokens)
-        self.estimates.observe_call(now - dispatched, uncached, event.completion_tokens)
+        self.estimates.observe_call(now - dispatched_at, uncached, event.completion_tokens)
         placed.worker.index.use(call.prefix_hashes, call.program_id, now)
-        return self._vacate(event.call_id)
+        return self._free_slot(event.call_id)
 
     def _call_failed(self, event: CallFailed, now: float) -> list[PoolAction]:
-        return self._vacate(event.call_id)
+        return self._free_slot(event.call_id)
 
-    def _vacate(self, call_id: CallId) -> list[PoolAction]:
-        """Free a call's place; a program that has ended meanwhile is released once more."""
+    def _free_slot(self, call_id: CallId) -> list[PoolAction]:
+        """Free the slot of a call and release its cache again if its program has ended."""
         placed = self._placed.pop(call_id, None)
         if placed is None:
             return []
-        placed.worker.leave(placed)
-        self._tree_call_over(placed.call)
+        placed.worker.remove_call(placed)
+        self._end_tree_call(placed.call)
         program_id = placed.call.program_id
-        gone = self._programs.get(program_id) is None
+        has_ended = self._programs.get(program_id) is None
         worker = placed.worker.description.worker
-        if gone and self.policy.features.release_ended and worker in self._workers:
+        if has_ended and self.policy.features.release_ended and worker in self._workers:
             return [ReleaseCache(worker, program_id)]
         return []
 
-    def _tree_call_over(self, call: PoolCall) -> None:
+    def _end_tree_call(self, call: PoolCall) -> None:
         tree = self._programs.get(call.tree)
         if tree is not None:
             tree.active_calls = max(0, tree.active_calls - 1)
@@ -203,7 +202,7 @@
     # --- programs ----------------------------------------------------------------------------
 
     def _program_paused(self, event: ProgramPaused, now: float) -> list[PoolAction]:
-        """Keep the cache: dropping it for long pauses was measured to bring nothing."""
+        """Keep the cache, because measurements showed no gain from dropping it in long pauses."""
         return []
 
     def _program_ended(self, event: ProgramEnded, now: float) -> list[PoolAction]:
@@ -215,12 +214,12 @@
 
     def _release(self, worker: WorkerId, program: ProgramState) -> ReleaseCache:
         program.workers.pop(worker, None)
-        self._workers[worker].index.forget_program(program.hashes, program.program_id)
+        self._workers[worker].index.remove_program(program.hashes, program.program_id)
         return ReleaseCache(worker, program.program_id)
 
-    def _release_answered(self, event: ReleaseCompleted, now: float) -> list[PoolAction]:
-        back = self._programs.get(event.program_id) is not None
-        if event.done or back or event.worker not in self._workers:
+    def _release_completed(self, event: ReleaseCompleted, now: float) -> list[PoolAction]:
+        is_active = self._programs.get(event.program_id) is not None
+        if event.done or is_active or event.worker not in self._workers:
             return []
         return [ReleaseCache(event.worker, event.program_id)]
 
@@ -245,11 +244,11 @@
     def _worker_left(self, event: WorkerLeft, now: float) -> list[PoolAction]:
         state = self._workers.pop(event.worker, None)
         for call_id in list(state.placed) if state else []:
-            self._vacate(call_id)
+            self._free_slot(call_id)
         return []
 
     def _load_reported(self, event: LoadReported, now: float) -> list[PoolAction]:
-        """Load is known exactly from what was dispatched; a lagging report changes nothing."""
+        """Ignore the lagging report, because the dispatched calls are known exactly."""
         return []
 
     def _cache_changed(self, event: CacheChanged, now: float) -> list[PoolAction]:
@@ -263,16 +262,16 @@
         self.policy = event.policy
         return []
 
-    def _time_passed(self, event: Tick, now: float) -> list[PoolAction]:
+    def _tick(self, event: Tick, now: float) -> list[PoolAction]:
         return []
 
-    # --- placing -----------------------------------------------------------------------------
+    # --- placement ---------------------------------------------------------------------------
 
     def _place_waiting(self, now: float) -> list[PoolAction]:
-        """Give places to waiting calls in order, as far as `scan_limit` allows."""
+        """Assign slots to waiting calls in order, examining at most `scan_limit` calls."""
         actions: list[PoolAction] = []
         for waiting in self._waiting.first(self.policy.scan_limit):
-            if not self._may_have_place(waiting):
+            if not self._may_have_slot(waiting):
                 break
             placement = choose_worker(
                 self._workers.values(),
@@ -286,7 +285,7 @@
                 actions += self._place(waiting, placement, now)
         return actions
 
-    def _may_have_place(self, waiting: WaitingCall) -> bool:
+    def _may_have_slot(self, waiting: WaitingCall) -> bool:
         if waiting.call.class_rank == 0 and self.policy.features.preemption:
             return True
         return any(w.free_slots > 0 and not w.leaving for w in self._workers.values())
@@ -297,7 +296,7 @@
         cached = placement.cached_blocks * worker.description.block_tokens
         uncached = max(0, call.prompt_tokens - cached)
         seconds = self.estimates.call_seconds(call.class_name, uncached, call.output_tokens)
-        answer = self.estimates.answer_tokens(call.class_name, call.output_tokens)
+        expected_answer_tokens = self.estimates.answer_tokens(call.class_name, call.output_tokens)
         placed = PlacedCall(
             call=call,
             worker=worker,
@@ -305,32 +304,34 @@
             arrived_at_seconds=waiting.arrived_at_seconds,
             expected_cached_tokens=cached,
             expected_end_seconds=now + seconds,
-            private_blocks=private_blocks(call, worker.description.block_tokens, answer),
+            private_blocks=private_blocks(
+                call, worker.description.block_tokens, expected_answer_tokens
+            ),
             reason=placement_reason(waiting, placement, cached, now),
             copied_blocks=placement.copied_blocks,
         )
         self._placed[call.call_id] = placed
-        worker.place(placed)
+        worker.add_call(placed)
         program = self._programs.get(call.program_id)
         if program is not None:
             program.workers[worker.description.worker] = None
         if placement.source is not None:
-            return [self._copy(placed, placement)]
+            return [self._copy_prefix(placed, placement)]
         return self._dispatch(placed, now)
 
-    def _copy(self, placed: PlacedCall, placement: Placement) -> PoolAction:
+    def _copy_prefix(self, placed: PlacedCall, placement: Placement) -> PoolAction:
         assert placement.source is not None
         hashes = placed.call.prefix_hashes[: placement.cached_blocks]
-        holder = placement.source.index.program_of(hashes[-1])
+        source_program_id = placement.source.index.last_program(hashes[-1])
         return CopyPrefix(
             placed.call.call_id,
-            holder or placed.call.program_id,
+            source_program_id or placed.call.program_id,
             placement.source.description.worker,
             placed.worker.description.worker,
             hashes,
         )
 
-    def _transfer_answered(self, event: TransferCompleted, now: float) -> list[PoolAction]:
+    def _transfer_completed(self, event: TransferCompleted, now: float) -> list[PoolAction]:
         placed = self._placed.get(event.call_id)
         if placed is None or placed.dispatched_at_seconds is not None:
             return []
@@ -345,8 +346,8 @@
         placed.dispatched_at_seconds = now
         call, worker = placed.call, placed.worker
         uncached = max(0, call.prompt_tokens - placed.expected_cached_tokens)
-        work = uncached * (PREFILL_TOKEN_SECONDS + PREFILL_SHARE_SECONDS)
-        worker.prefill_until_seconds = max(now, worker.prefill_until_seconds) + work
+        prefill_seconds = uncached * (PREFILL_TOKEN_SECONDS + PREFILL_SHARE_SECONDS)
+        worker.prefill_until_seconds = max(now, worker.prefill_until_seconds) + prefill_seconds
         worker.index.use(call.prefix_hashes, call.program_id, now)
         dispatch = Dispatch(
             call.call_id,
@@ -356,13 +357,13 @@
             now - placed.arrived_at_seconds,
             placed.reason,
         )
-        return [dispatch, *self._release_elsewhere(placed)]
+        return [dispatch, *self._release_previous_workers(placed)]
 
-    def _release_elsewhere(self, placed: PlacedCall) -> list[PoolAction]:
-        """Free what other workers hold of a program that now runs here: it will not go back."""
+    def _release_previous_workers(self, placed: PlacedCall) -> list[PoolAction]:
+        """Release the cache of a program on its previous workers, where it will not run again."""
         program = self._programs.get(placed.call.program_id)
         if program is None or not self.policy.features.release_moved:
             return []
-        here = placed.worker.description.worker
-        others = [w for w in program.workers if w != here and w in self._workers]
-        return [self._release(worker, program) for worker in others]
+        current = placed.worker.description.worker
+        previous = [w for w in program.workers if w != current and w in self._workers]
+        return [self._release(worker, program) for worker in previous]
--- a/src/foxwinch/workers/coordinator_client.py
+++ b/src/foxwinch/workers/coordinator_client.py
@@ -1,4 +1,4 @@
-"""Asks coordinators: the one of this node directly, the others over the kept streams."""
+"""Client of coordinators, which calls the local one directly and the others over peer streams."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -28,21 +28,22 @@
 )
 
 REPORT_DEADLINE_SECONDS = 2.0
-"""A report is repeated anyway; waiting longer would only delay the repetition."""
+"""Deadline of a report; a longer one would only delay the retry."""
 ORDER_DEADLINE_SECONDS = 120.0
-"""Loading a large model within the weight store's rate takes up to a minute or two."""
-Answer = TypeVar("Answer", bound=Message)
+"""Deadline of an order; loading a large model at the weight store's rate takes one to two
+minutes."""
+Response = TypeVar("Response", bound=Message)
 
 
 class CoordinatorEndpoint(Protocol):
-    """What a coordinator answers; implemented by the coordinator of this node."""
+    """Requests that a coordinator handles, implemented by the coordinator of this node."""
 
     async def acquire(self, owner: NodeId, ask: GrantAsk) -> GrantGiven | Refused:
-        """Wait for a grant; cancelling withdraws the request."""
+        """Return a grant when it is issued; cancellation withdraws the request."""
         ...
 
     async def report(self, owner: NodeId, report: GrantReport) -> GrantReportAnswer:
-        """Take a report in."""
+        """Process a report."""
         ...
 
     async def describe(self) -> StewardedWorkers:
@@ -50,35 +51,37 @@
         ...
 
     async def order(self, order: WorkerOrder) -> WorkerOrderDone | Refused:
-        """Carry out a model order."""
+        """Execute a model order."""
         ...
 
 
 class CoordinatorClient:
-    """Calls any coordinator by its member entry."""
+    """Client of any coordinator, addressed by its member entry."""
 
     def __init__(self, node: NodeId, local: CoordinatorEndpoint, peers: PeerPort | None) -> None:
-        """Reach `local` directly; `peers` is None in a node without fellow nodes."""
+        """Call `local` for this node; `peers` is None in a single-node deployment."""
         self._node = node
         self._local = local
         self._peers = peers
 
     async def acquire(self, coordinator: Member, ask: GrantAsk) -> GrantGiven | Refused:
-        """Wait for a grant; cancelling withdraws the request."""
+        """Return a grant when it is issued; cancellation withdraws the request."""
         if coordinator.node == self._node:
             return await self._local.acquire(self._node, ask)
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
-        answers = self._peers.stream(
+        responses = self._peers.stream(
             coordinator.address, ACQUIRE_METHOD, ask.SerializeToString(), ask.remaining_seconds
         )
-        async with aclosing(cast(AsyncGenerator[bytes | Refused, None], answers)) as stream:
-            async for answer in stream:
-                return _parsed(GrantGiven(), answer)
-        return outcome_unknown(Reason.PEER_UNREACHABLE, "the steward ended without an answer")
+        async with aclosing(cast(AsyncGenerator[bytes | Refused, None], responses)) as stream:
+            async for response in stream:
+                return _decoded(GrantGiven(), response)
+        return outcome_unknown(
+            Reason.PEER_UNREACHABLE, "the coordinator closed the stream without a response"
+        )
 
     async def report(self, coordinator: Member, report: GrantReport) -> GrantReportAnswer | Refused:
-        """Deliver a report; a refusal leaves open whether it arrived."""
+        """Deliver a report; after a refusal it may still have arrived."""
         if coordinator.node == self._node:
             return await self._local.report(self._node, report)
         return await self._call(
@@ -86,7 +89,7 @@
         )
 
     async def describe(self, coordinator: Member) -> StewardedWorkers | Refused:
-        """Read the state of the coordinator's workers."""
+        """Return the state of the coordinator's workers."""
         if coordinator.node == self._node:
             return await self._local.describe()
         return await self._call(
@@ -98,7 +101,7 @@
         )
 
     async def order(self, coordinator: Member, order: WorkerOrder) -> WorkerOrderDone | Refused:
-        """Have a model order carried out."""
+        """Send a model order to a coordinator and wait for its execution."""
         if coordinator.node == self._node:
             return await self._local.order(order)
         return await self._call(
@@ -106,21 +109,26 @@
         )
 
     async def _call(
-        self, coordinator: Member, method: str, request: Message, answer: Answer, deadline: float
-    ) -> Answer | Refused:
+        self,
+        coordinator: Member,
+        method: str,
+        request: Message,
+        response: Response,
+        deadline: float,
+    ) -> Response | Refused:
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
         payload = await self._peers.call(
             coordinator.address, method, request.SerializeToString(), deadline
         )
-        return _parsed(answer, payload)
+        return _decoded(response, payload)
 
 
-def _parsed(answer: Answer, payload: bytes | Refused) -> Answer | Refused:
+def _decoded(response: Response, payload: bytes | Refused) -> Response | Refused:
     if isinstance(payload, Refused):
         return payload
     try:
-        answer.ParseFromString(payload)
+        response.ParseFromString(payload)
     except DecodeError:
-        return outcome_unknown(Reason.INTERNAL, "a steward sent an answer that cannot be read")
-    return answer
+        return outcome_unknown(Reason.INTERNAL, "a coordinator response could not be decoded")
+    return response
--- a/src/foxwinch/workers/coordinator_service.py
+++ b/src/foxwinch/workers/coordinator_service.py
@@ -1,4 +1,4 @@
-"""The coordinator of a node: claims workers, reads them, gives grants, and hands them over."""
+"""Coordinator of a node, which claims and polls workers, issues grants and hands workers over."""
 
 import asyncio
 from dataclasses import dataclass
@@ -40,26 +40,26 @@
 from foxwinch.workers.coordinator_metrics import CoordinatorMetrics
 from foxwinch.workers.coordinator_pools import CoordinatorPools
 from foxwinch.workers.engine_retries import EngineRetries
+from foxwinch.workers.event_wait import wait_for_event
 from foxwinch.workers.ports import EpochView
-from foxwinch.workers.waiting import wait_for_event
 from foxwinch.workers.worker_drains import WorkerDrains
 
 TICK_SECONDS = 0.25
-"""Period of looking at members, leases and waiting calls when nothing wakes the service."""
-HANDOVER_SECONDS = 5.0
-"""For word of the next coordinator's claim, which comes by gossip and may stand behind much
-else."""
-DIGEST_SECONDS = 2.0
-DIGEST_SECONDS_PER_MEMBER = 0.3
-"""While only queue lengths change a digest is spread at most once in the longer of these, the
-latter times the members: with more the gossip budget would be spent on them."""
+"""Maximum interval between checks of members, leases and waiting calls."""
+HANDOVER_TIMEOUT_SECONDS = 5.0
+"""Time to wait for the claim of the next coordinator, which arrives by gossip and may be queued."""
+DIGEST_INTERVAL_SECONDS = 2.0
+DIGEST_INTERVAL_SECONDS_PER_MEMBER = 0.3
+"""If only queue lengths change, the interval between digests is at least `DIGEST_INTERVAL_SECONDS`
+and this time multiplied by the number of members. More frequent digests would use up the gossip
+budget."""
 
 log = EventLog("steward")
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorPorts:
-    """What the coordinator needs of its node."""
+    """Dependencies of a coordinator on its node."""
 
     node: NodeId
     clock: Clock
@@ -74,17 +74,16 @@
 
 
 class CoordinatorService:
-    """Runs the assignment of this node; `desk` answers owners."""
+    """Service that runs the worker assignment of this node; `handlers` serves owner requests."""
 
     def __init__(self, ports: CoordinatorPorts, directory: CoordinatorDirectory) -> None:
-        """Build the parts; nothing runs before `start`."""
         self._ports = ports
         self._directory = directory
         self._ledger = GrantLedger()
         self._retries = EngineRetries(ports.clock)
         self._evacuation = CacheEvacuation(ports.engine)
-        self._wake = asyncio.Event()
-        self._drains = WorkerDrains(ports.gossip, ports.machines, ports.clock, self._wake.set)
+        self._wake_event = asyncio.Event()
+        self._drains = WorkerDrains(ports.gossip, ports.machines, ports.clock, self._wake_event.set)
         self.pools = CoordinatorPools(
             ports.engine, ports.clock, self._ledger, self._retries, self._drains, self._evacuate
         )
@@ -98,7 +97,7 @@
             self._drains,
             self._fenced,
         )
-        self.desk = CoordinatorHandlers(
+        self.handlers = CoordinatorHandlers(
             ports.engine,
             ports.clock,
             self.pools,
@@ -110,7 +109,7 @@
         self._metrics = CoordinatorMetrics(ports.registry)
         self._assignment: CoordinatorAssignment | None = None
         self._tasks = ServiceTasks("steward")
-        self._extra: tuple[Resource, ...] = ()
+        self._extra_resources: tuple[Resource, ...] = ()
         self._draining = False
         self._digest = b""
         self._digest_held = b""
@@ -118,17 +117,17 @@
         self._digest_at = float("-inf")
 
     def state_of(self, worker: WorkerId) -> CoordinatorState:
-        """Return what this node is to a worker."""
+        """Return the state of a worker on this node."""
         if self._assignment is None:
             return CoordinatorState.UNASSIGNED
         return self._assignment.state(worker_resource(worker))
 
-    def hold_also(self, resource: Resource) -> None:
-        """Assign a further resource that is not a worker among the nodes."""
-        self._extra = (*self._extra, resource)
+    def add_resource(self, resource: Resource) -> None:
+        """Add a resource other than a worker to the assignment."""
+        self._extra_resources = (*self._extra_resources, resource)
 
     def epoch_of(self, resource: str) -> Epoch | None:
-        """Return the epoch of a resource that this node serves, or None."""
+        """Return the epoch of a resource, or None if this node is not serving it."""
         if self._assignment is None or self._draining:
             return None
         if self._assignment.state(resource) is not CoordinatorState.SERVING:
@@ -136,21 +135,23 @@
         return self._assignment.held().get(resource)
 
     async def start(self) -> None:
-        """Serve fellow nodes and begin to claim."""
+        """Start handling requests and claiming workers."""
         member = self._ports.membership.this_member()
-        self._assignment = CoordinatorAssignment(self._ports.node, member.region, self._began_at())
-        self._ports.configuration.subscribe(self._configured)
+        self._assignment = CoordinatorAssignment(
+            self._ports.node, member.region, self._started_at()
+        )
+        self._ports.configuration.subscribe(self._on_configuration)
         snapshot = self._ports.configuration.current()
         if not isinstance(snapshot, Refused):
-            self._configured(snapshot)
+            self._on_configuration(snapshot)
         if self._ports.peers is not None:
-            self.desk.serve(self._ports.peers)
-        self._directory.subscribe(self._wake.set)
+            self.handlers.serve(self._ports.peers)
+        self._directory.subscribe(self._wake_event.set)
         self._drains.start()
         self._tasks.start(self._run())
 
     async def stop(self) -> None:
-        """Stop everything; the epochs stay until another node raises them."""
+        """Stop all parts; the epochs stay valid until another node raises them."""
         await self._tasks.stop()
         await self._drains.stop()
         await self._evacuation.stop()
@@ -158,42 +159,42 @@
         await self._retries.stop()
 
     async def drain(self) -> None:
-        """Release every worker; returns when others hold them, or after a bound.
+        """Release every worker and wait for other nodes to claim them, with a timeout.
 
-        A worker that nobody is known to have claimed by then is claimed once this node has left:
-        by then nothing is granted here any more, and calls that run on the worker run on.
+        A worker without a known claim at the timeout is claimed after this node has left. This node
+        issues no more grants for it, and calls running on the worker continue.
         """
         assert self._assignment is not None
         self._draining = True
         self._assignment.drain()
-        ends_at = self._ports.clock.monotonic() + HANDOVER_SECONDS
-        while self._assignment.held() and self._ports.clock.monotonic() < ends_at:
-            self._wake.set()
+        deadline_at = self._ports.clock.monotonic() + HANDOVER_TIMEOUT_SECONDS
+        while self._assignment.held() and self._ports.clock.monotonic() < deadline_at:
+            self._wake_event.set()
             await self._ports.clock.sleep(TICK_SECONDS)
 
-    def _began_at(self) -> float:
-        """A node without fellow nodes has nobody to hear of before it claims."""
+    def _started_at(self) -> float:
+        """Return the start time for the claim delay, which a single-node deployment skips."""
         if self._ports.peers is None:
             return float("-inf")
         return self._ports.clock.monotonic()
 
-    # --- the loop ----------------------------------------------------------------------------
+    # --- main loop ---------------------------------------------------------------------------
 
     async def _run(self) -> None:
         while True:
-            self._wake.clear()
+            self._wake_event.clear()
             self._tick()
-            await wait_for_event(self._ports.clock, self._wake, TICK_SECONDS)
+            await wait_for_event(self._ports.clock, self._wake_event, TICK_SECONDS)
 
     def _tick(self) -> None:
         assignment = cast(CoordinatorAssignment, self._assignment)
         now = self._ports.clock.monotonic()
         assignment.update_candidates(self._directory.candidates())
         assignment.update_holders(self._directory.holders())
-        assignment.update_unheard(self._directory.unheard())
+        assignment.update_missing_digests(self._directory.has_missing_digests())
         assignment.update_epochs(self._directory.epochs())
         for action in assignment.advance(now):
-            self._carry_out(action)
+            self._execute(action)
         self._finish_handovers(assignment)
         self._metrics.expired(self._grants.expire(self._is_present))
         self.pools.refresh_all()
@@ -204,19 +205,19 @@
     def _is_present(self, node: NodeId) -> bool:
         return self._directory.member(node) is not None
 
-    def _configured(self, snapshot: ConfigurationSnapshot) -> None:
+    def _on_configuration(self, snapshot: ConfigurationSnapshot) -> None:
         self.pools.configure(snapshot.document)
         assert self._assignment is not None
         workers = [
             Resource(worker_resource(worker), ZoneName(settings.zone))
             for worker, settings in self.pools.workers().items()
         ]
-        self._assignment.update_resources([*workers, *self._extra])
-        self._wake.set()
+        self._assignment.update_resources([*workers, *self._extra_resources])
+        self._wake_event.set()
 
     # --- assignment --------------------------------------------------------------------------
 
-    def _carry_out(self, action: AssignmentAction) -> None:
+    def _execute(self, action: AssignmentAction) -> None:
         log.info(type(action).__name__.lower(), node=self._ports.node, resource=action.resource)
         worker = resource_worker(action.resource)
         match action:
@@ -227,7 +228,7 @@
             case Release() if worker is not None:
                 self.pools.release(worker)
             case Lost() if worker is not None:
-                self._let_go(worker)
+                self._drop_worker(worker)
 
     async def _claim(self, resource: str) -> None:
         assignment = cast(CoordinatorAssignment, self._assignment)
@@ -237,8 +238,8 @@
             assignment.refused(resource, self._ports.clock.monotonic())
         else:
             for action in assignment.claimed(resource, claim.epoch):
-                self._carry_out(action)
-        self._wake.set()
+                self._execute(action)
+        self._wake_event.set()
 
     def _resync(self, action: Resync, worker: WorkerId | None) -> None:
         assignment = cast(CoordinatorAssignment, self._assignment)
@@ -248,38 +249,38 @@
 
         def ready() -> None:
             assignment.resynced(action.resource, action.epoch)
-            self._wake.set()
+            self._wake_event.set()
 
-        self.pools.hold(worker, action.epoch, ready)
+        self.pools.add_worker(worker, action.epoch, ready)
 
     def _fenced(self, worker: WorkerId, epoch: Epoch) -> None:
-        """A worker has refused an epoch of this node: somebody holds a higher one."""
+        """Drop a worker that refused an epoch of this node because a higher one exists."""
         assignment = cast(CoordinatorAssignment, self._assignment)
         for action in assignment.fenced(worker_resource(worker), Epoch(epoch + 1)):
-            self._carry_out(action)
-        self._wake.set()
+            self._execute(action)
+        self._wake_event.set()
 
     def _finish_handovers(self, assignment: CoordinatorAssignment) -> None:
-        """End a handover that no other node will take up, once its grants are over."""
-        alone = not any(c.node != self._ports.node for c in self._directory.candidates())
+        """Complete handovers without a possible successor after their grants have ended."""
+        is_alone = not any(c.node != self._ports.node for c in self._directory.candidates())
         for resource, epoch in assignment.held().items():
             if assignment.state(resource) is not CoordinatorState.RELEASING:
                 continue
             worker = resource_worker(resource)
             if worker is None:
                 assignment.released(resource, epoch)
-            elif (alone or worker not in self.pools.workers()) and not self._ledger.on_worker(
-                worker
-            ):
-                self._let_go(worker)
+            elif (
+                is_alone or worker not in self.pools.workers()
+            ) and not self._ledger.worker_grants(worker):
+                self._drop_worker(worker)
                 assignment.released(resource, epoch)
 
-    def _let_go(self, worker: WorkerId) -> None:
+    def _drop_worker(self, worker: WorkerId) -> None:
         self._evacuation.cancel(worker)
-        self.pools.let_go(worker)
+        self.pools.drop_worker(worker)
 
     def _evacuate(self, worker: WorkerId) -> None:
-        """Move useful cache off a worker that begins to leave, to its pool's other workers."""
+        """Copy useful cache from a leaving worker to the other workers of its pool."""
         held = self.pools.held()
         pool_name = held[worker].settings.pool
         targets = [
@@ -291,19 +292,20 @@
             and not other.leaving
         ]
         log.info("worker_leaving", worker=worker, targets=len(targets))
-        self._evacuation.begin(worker, targets, self.desk.programs.latest_on(worker))
+        self._evacuation.start(worker, targets, self.handlers.programs.recent_programs(worker))
 
-    # --- the digest --------------------------------------------------------------------------
+    # --- digest ------------------------------------------------------------------------------
 
     def _publish(self, assignment: CoordinatorAssignment, now: float) -> None:
-        """Spread what has changed: who holds what at once, queue lengths at a slower pace."""
+        """Publish a changed digest, immediately for held resources and rate-limited otherwise."""
         digest = StewardDigest(draining=self._draining, held=self._held_resources(assignment))
         held_part = digest.SerializeToString(deterministic=True)
         digest.queues.extend(self._queues())
         digest.hot_prefixes.extend(self._grants.hot_prefixes())
         payload = digest.SerializeToString(deterministic=True)
         due = (
-            held_part != self._digest_held or now - self._digest_at >= self._digest_pause_seconds()
+            held_part != self._digest_held
+            or now - self._digest_at >= self._digest_interval_seconds()
         )
         if self._digest_version and (payload == self._digest or not due):
             return
@@ -314,9 +316,9 @@
         )
         self._ports.gossip.publish(entry)
 
-    def _digest_pause_seconds(self) -> float:
+    def _digest_interval_seconds(self) -> float:
         members = len(self._ports.membership.members())
-        return max(DIGEST_SECONDS, DIGEST_SECONDS_PER_MEMBER * members)
+        return max(DIGEST_INTERVAL_SECONDS, DIGEST_INTERVAL_SECONDS_PER_MEMBER * members)
 
     def _held_resources(self, assignment: CoordinatorAssignment) -> list[HeldResource]:
         found: list[HeldResource] = []
--- a/src/foxwinch/workers/engine_retries.py
+++ b/src/foxwinch/workers/engine_retries.py
@@ -1,4 +1,4 @@
-"""Orders to engines that must succeed in the end: repeated until done or without object."""
+"""Engine operations that must eventually succeed, retried until done or obsolete."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,89 +11,91 @@
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Refused
 
-FIRST_PAUSE_SECONDS = 0.2
-MAX_PAUSE_SECONDS = 5.0
-"""An engine that is back is told what it missed within this time."""
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 5.0
+"""Maximum backoff, within which an engine that is available again gets pending operations."""
 
 log = EventLog("engine")
 
 
-class RetriedKind(StrEnum):
-    """What is repeated."""
+class OperationKind(StrEnum):
+    """Kind of a retried operation."""
 
     RELEASE = "release"
     CANCEL = "cancel"
 
 
 @dataclass(frozen=True, slots=True)
-class RetriedKey:
-    """Identifies one matter: a second order about it joins the first."""
+class OperationKey:
+    """Identity of an operation; submissions with the same key share one execution."""
 
-    kind: RetriedKind
+    kind: OperationKind
     worker: WorkerId
     subject: str
-    """A program for `RELEASE`, a call for `CANCEL`."""
+    """Program of a `RELEASE` or call of a `CANCEL`."""
 
 
 Operation = Callable[[], Awaitable[Completed | Refused]]
 
 
 class EngineRetries:
-    """Runs operations until the engine answers `Completed`; waits with full jitter in between."""
+    """Runs operations until the engine answers `Completed`, with jittered exponential backoff."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with nothing to do."""
         self._clock = clock
-        self._tasks: dict[RetriedKey, asyncio.Task[None]] = {}
-        self._when_done: dict[RetriedKey, list[Callable[[], None]]] = {}
+        self._tasks: dict[OperationKey, asyncio.Task[None]] = {}
+        self._on_done: dict[OperationKey, list[Callable[[], None]]] = {}
 
     def submit(
-        self, key: RetriedKey, operation: Operation, when_done: Callable[[], None] | None = None
+        self, key: OperationKey, operation: Operation, on_done: Callable[[], None] | None = None
     ) -> None:
-        """Repeat `operation` until done; one that is being done already is only waited for."""
-        if when_done is not None:
-            self._when_done.setdefault(key, []).append(when_done)
+        """Retry `operation` until it succeeds, then call `on_done`.
+
+        If an operation with this key is pending already, only `on_done` is added to it.
+        """
+        if on_done is not None:
+            self._on_done.setdefault(key, []).append(on_done)
         if key in self._tasks:
             return
-        task = asyncio.get_running_loop().create_task(self._repeat(key, operation))
+        task = asyncio.get_running_loop().create_task(self._retry(key, operation))
         self._tasks[key] = task
 
-    def is_pending(self, key: RetriedKey) -> bool:
-        """Tell whether an operation is not done yet."""
+    def is_pending(self, key: OperationKey) -> bool:
+        """Return whether an operation is pending."""
         return key in self._tasks
 
     def pending(self, worker: WorkerId) -> int:
-        """Count the operations on a worker that are not done yet."""
+        """Return the number of pending operations on a worker."""
         return sum(key.worker == worker for key in self._tasks)
 
-    def drop(self, key: RetriedKey) -> None:
-        """Give up one operation that has become wrong."""
-        self._when_done.pop(key, None)
+    def cancel(self, key: OperationKey) -> None:
+        """Cancel an operation that is obsolete."""
+        self._on_done.pop(key, None)
         task = self._tasks.pop(key, None)
         if task is not None:
             task.cancel()
 
-    def drop_subject(self, kind: RetriedKind, subject: str) -> None:
-        """Give up operations on one subject at every worker."""
+    def cancel_subject(self, kind: OperationKind, subject: str) -> None:
+        """Cancel the operations on one subject on all workers."""
         for key in [k for k in self._tasks if k.kind is kind and k.subject == subject]:
-            self.drop(key)
+            self.cancel(key)
 
     def drop_worker(self, worker: WorkerId) -> None:
-        """Give up what concerns a worker that is gone, or is another coordinator's now."""
+        """Cancel the operations on a worker that is no longer held by this coordinator."""
         for key in [key for key in self._tasks if key.worker == worker]:
-            self.drop(key)
+            self.cancel(key)
 
     async def stop(self) -> None:
-        """Stop repeating."""
+        """Cancel all operations."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
         self._tasks.clear()
-        self._when_done.clear()
+        self._on_done.clear()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _repeat(self, key: RetriedKey, operation: Operation) -> None:
-        pause = FIRST_PAUSE_SECONDS
+    async def _retry(self, key: OperationKey, operation: Operation) -> None:
+        backoff_seconds = INITIAL_BACKOFF_SECONDS
         while isinstance(refused := await operation(), Refused):
             log.debug(
                 "retrying",
@@ -102,8 +104,8 @@
                 subject=key.subject,
                 reason=refused.reason,
             )
-            await self._clock.sleep(pause * (0.5 + self._clock.uniform() / 2))
-            pause = min(2 * pause, MAX_PAUSE_SECONDS)
+            await self._clock.sleep(backoff_seconds * (0.5 + self._clock.uniform() / 2))
+            backoff_seconds = min(2 * backoff_seconds, MAX_BACKOFF_SECONDS)
         self._tasks.pop(key, None)
-        for when_done in self._when_done.pop(key, ()):
-            when_done()
+        for on_done in self._on_done.pop(key, ()):
+            on_done()
--- a/src/foxwinch/workers/pool_driver.py
+++ b/src/foxwinch/workers/pool_driver.py
@@ -1,4 +1,4 @@
-"""Drives the scheduler of one pool: feeds it events and carries its actions out."""
+"""Driver of a pool's scheduler, which passes events to it and executes its actions."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -28,18 +28,18 @@
 from foxwinch.core.coordinator.scheduler import PoolScheduler
 from foxwinch.identifiers import CallId, ModelName, ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, not_run
-from foxwinch.workers.engine_retries import EngineRetries, RetriedKey, RetriedKind
+from foxwinch.workers.engine_retries import EngineRetries, OperationKey, OperationKind
 
-TRANSFER_SECONDS = 5.0
-"""A transfer that takes longer costs the call more than computing its prefix again."""
-ASK_ELSEWHERE_SECONDS = 0.1
-"""When to ask again after this pool has lost its last worker of a model."""
+TRANSFER_TIMEOUT_SECONDS = 5.0
+"""Transfer timeout; a longer transfer costs the call more than recomputing its prefix."""
+RETRY_AFTER_SECONDS = 0.1
+"""Retry delay after this pool has lost its last worker for a model."""
 
-Answer = Dispatch | Refused
+PlacementResult = Dispatch | Refused
 
 
 class PoolDriver:
-    """One pool's scheduler and the calls that wait for it."""
+    """Scheduler of one pool together with its waiting calls."""
 
     def __init__(
         self,
@@ -49,38 +49,41 @@
         clock: Clock,
         on_resync: Callable[[WorkerId], None],
     ) -> None:
-        """Start without workers; `on_resync` is told of workers whose cache must be read anew."""
+        """Create a pool without workers.
+
+        `on_resync` is called with each worker whose complete cache state must be read.
+        """
         self.scheduler = PoolScheduler(policy)
         self._engine = engine
         self._retries = retries
         self._clock = clock
         self._on_resync = on_resync
-        self._waiting: dict[CallId, asyncio.Future[Answer]] = {}
+        self._waiting: dict[CallId, asyncio.Future[PlacementResult]] = {}
         self._models: dict[CallId, ModelName] = {}
         self._workers: dict[WorkerId, tuple[WorkerDescription, bool]] = {}
         self._joined: set[WorkerId] = set()
-        """Workers that the scheduler knows; one that was leaving from the start never joins."""
+        """Workers known to the scheduler; a worker that was leaving from the start never joins."""
         self._transfers: set[asyncio.Task[None]] = set()
 
     def serves(self, model: ModelName, excluded: Collection[WorkerId] = ()) -> bool:
-        """Tell whether a worker here, not one of `excluded`, may be given calls of a model."""
+        """Return whether a worker outside `excluded` accepts calls for a model."""
         return any(
             model in description.models and not leaving and worker not in excluded
             for worker, (description, leaving) in self._workers.items()
         )
 
     def queued(self, model: ModelName) -> int:
-        """Count the waiting calls of a model."""
+        """Return the number of waiting calls for a model."""
         return sum(waiting == model for waiting in self._models.values())
 
     def predicted_wait_seconds(self, class_rank: int) -> float:
-        """Return how long a newcomer of a class would wait."""
+        """Return the predicted wait of a new call of a class."""
         return self.scheduler.predicted_wait_seconds(class_rank)
 
-    async def place(self, call: PoolCall) -> Answer:
-        """Wait for a place; cancelling withdraws the call."""
+    async def place(self, call: PoolCall) -> PlacementResult:
+        """Wait for the placement of a call; cancellation withdraws the call."""
         self.withdraw(call.call_id)
-        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[PlacementResult] = asyncio.get_running_loop().create_future()
         self._waiting[call.call_id] = future
         self._models[call.call_id] = call.model
         self.handle(CallArrived(call))
@@ -92,12 +95,12 @@
             raise
 
     def withdraw(self, call_id: CallId) -> None:
-        """Take a call out, waiting or placed."""
-        self._answer(call_id, not_run(Reason.CANCELLED, "the request was withdrawn"))
+        """Remove a waiting or placed call."""
+        self._resolve(call_id, not_run(Reason.CANCELLED, "the request was withdrawn"))
         self.handle(CallWithdrawn(call_id))
 
     def set_worker(self, description: WorkerDescription, leaving: bool) -> None:
-        """Add a worker or replace what is known of it."""
+        """Add a worker or replace its description."""
         if self._workers.get(description.worker) == (description, leaving):
             return
         self._workers[description.worker] = (description, leaving)
@@ -109,80 +112,80 @@
         self._refuse_unservable()
 
     def remove_worker(self, worker: WorkerId) -> None:
-        """Forget a worker that is gone or another coordinator's."""
+        """Remove a worker that is unavailable or has another coordinator."""
         if self._workers.pop(worker, None) is not None:
             self._joined.discard(worker)
             self.handle(WorkerLeft(worker))
             self._refuse_unservable()
 
     def handle(self, event: PoolEvent) -> None:
-        """Feed an event and carry out what is decided."""
+        """Pass an event to the scheduler and execute the resulting actions."""
         for action in self.scheduler.handle(event, self._clock.monotonic()):
-            self._carry_out(action)
+            self._execute(action)
 
     async def stop(self) -> None:
-        """Refuse what waits and stop transfers."""
+        """Refuse the waiting calls and cancel the transfers."""
         for call_id in list(self._waiting):
-            self._answer(call_id, not_run(Reason.DRAINING, "the steward stops", 0.0))
+            self._resolve(call_id, not_run(Reason.DRAINING, "the coordinator is stopping", 0.0))
         tasks = list(self._transfers)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _carry_out(self, action: PoolAction) -> None:
+    def _execute(self, action: PoolAction) -> None:
         match action:
             case Dispatch():
                 self._dispatch(action)
             case RefuseCall():
-                self._answer(action.call_id, action.refused)
+                self._resolve(action.call_id, action.refused)
             case CopyPrefix():
-                self._move(action)
+                self._start_transfer(action)
             case ReleaseCache():
                 self.release(action.worker, action.program_id)
             case ResyncCache():
                 self._on_resync(action.worker)
 
     def _dispatch(self, action: Dispatch) -> None:
-        if not self._answer(action.call_id, action):
+        if not self._resolve(action.call_id, action):
             self.handle(CallWithdrawn(action.call_id))
 
-    def _answer(self, call_id: CallId, answer: Answer) -> bool:
-        """Answer a waiting call; False when nobody waits any more."""
+    def _resolve(self, call_id: CallId, result: PlacementResult) -> bool:
+        """Set the result of a waiting call, and return False if the call is no longer waiting."""
         self._models.pop(call_id, None)
         future = self._waiting.pop(call_id, None)
         if future is None or future.done():
             return False
-        future.set_result(answer)
+        future.set_result(result)
         return True
 
     def _refuse_unservable(self) -> None:
-        """Send calls elsewhere whose model no worker here serves any more."""
+        """Refuse waiting calls for models without a worker, so that they try other coordinators."""
         for call_id, model in list(self._models.items()):
             if not self.serves(model):
-                detail = f"no worker of model {model} is left at this steward"
-                self._answer(call_id, not_run(Reason.NOT_OWNER, detail, ASK_ELSEWHERE_SECONDS))
+                detail = f"this coordinator has no workers left for model {model}"
+                self._resolve(call_id, not_run(Reason.NOT_OWNER, detail, RETRY_AFTER_SECONDS))
                 self.handle(CallWithdrawn(call_id))
 
     def release(
         self,
         worker: WorkerId,
         program_id: ProgramId,
-        when_done: Callable[[], None] | None = None,
+        on_done: Callable[[], None] | None = None,
     ) -> None:
-        """Have a worker free what it holds for a program, until it has."""
+        """Release the cache of a program on a worker, retrying until it succeeds."""
 
         def done() -> None:
             self.handle(ReleaseCompleted(worker, program_id, done=True))
-            if when_done is not None:
-                when_done()
+            if on_done is not None:
+                on_done()
 
         self._retries.submit(
-            RetriedKey(RetriedKind.RELEASE, worker, program_id),
+            OperationKey(OperationKind.RELEASE, worker, program_id),
             lambda: self._engine.release(worker, program_id),
             done,
         )
 
-    def _move(self, action: CopyPrefix) -> None:
+    def _start_transfer(self, action: CopyPrefix) -> None:
         task = asyncio.get_running_loop().create_task(self._transfer(action))
         self._transfers.add(task)
         task.add_done_callback(self._transfers.discard)
@@ -190,7 +193,7 @@
     async def _transfer(self, action: CopyPrefix) -> None:
         done = False
         try:
-            async with asyncio.timeout(TRANSFER_SECONDS):
+            async with asyncio.timeout(TRANSFER_TIMEOUT_SECONDS):
                 done = await copy_cache(
                     self._engine, action.source, action.target, action.program_id
                 )
@@ -202,7 +205,7 @@
 async def copy_cache(
     engine: EnginePort, source: WorkerId, target: WorkerId, program_id: ProgramId
 ) -> bool:
-    """Copy a program's cache between workers; False when either side refused."""
+    """Copy a program's cache between workers, and return False if either worker refused."""
     data = await engine.export_cache(source, program_id)
     if isinstance(data, Refused):
         return False
