--- a/src/foxwinch/configuration/__init__.py
+++ b/src/foxwinch/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The cluster configuration at one node: stored, spread and changed."""
+"""Storage, replication and changes of the cluster configuration at one node."""
--- a/src/foxwinch/configuration/local.py
+++ b/src/foxwinch/configuration/local.py
@@ -1,4 +1,4 @@
-"""A configuration without a store to change it in, for one node without fellow nodes."""
+"""Static configuration for a single node without a store."""
 
 from collections.abc import Callable
 
@@ -9,17 +9,17 @@
 
 
 class LocalConfiguration:
-    """A configuration that never changes."""
+    """Implements `foxwinch.configuration.ports.ConfigurationView` for a fixed document."""
 
     REVISION = Revision(1)
 
     def __init__(self, document: ClusterConfiguration) -> None:
-        """Hold `document` as revision 1."""
+        """Serve `document` as revision 1."""
         self._snapshot = ConfigurationSnapshot(self.REVISION, document)
 
     def current(self) -> ConfigurationSnapshot | Refused:
-        """Return the snapshot."""
+        """Return the fixed snapshot."""
         return self._snapshot
 
     def subscribe(self, listener: Callable[[ConfigurationSnapshot], None]) -> None:
-        """Accept a listener that will never be called."""
+        """Ignore the listener, since the configuration never changes."""
--- a/src/foxwinch/configuration/messages.py
+++ b/src/foxwinch/configuration/messages.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration as gossip entries and as answers to fellow nodes."""
+"""Encoding of configuration changes as gossip entries and as answers to peers."""
 
 from foxwinch._generated.configuration_pb2 import ConfigurationChange
 from foxwinch.core.configuration.change import Change, encode
@@ -6,16 +6,16 @@
 from foxwinch.identifiers import Revision
 
 GOSSIP_SLOTS = 8
-"""The newest differences stay in gossip, so that a quick row of changes needs no fetching."""
+"""Number of newest deltas kept in gossip, so that rapid successive changes need no fetch."""
 GOSSIP_BODY_BYTES = 480
-"""Larger differences are announced by revision only and fetched over TCP: a change of one tenant
-takes about 200 bytes, and several entries share a datagram of one MTU."""
+"""Larger deltas are announced by revision only and fetched over TCP. A change of one tenant takes
+about 200 bytes, and several entries share a datagram of one MTU."""
 ENTRIES_COMPRESSED_MAXIMUM = 16
-"""Differences with more entries are not even tried: they never fit."""
+"""Deltas with more entries are not encoded for gossip because they never fit."""
 
 
 def gossip_entry(change: Change) -> GossipEntry:
-    """Return the entry that spreads a change, or only its revision when it is too large."""
+    """Return the gossip entry of a change, with only the revision if the change is too large."""
     message = ConfigurationChange(revision=change.revision)
     if len(change.delta.puts) + len(change.delta.deletes) <= ENTRIES_COMPRESSED_MAXIMUM:
         whole = encode(change)
@@ -26,10 +26,9 @@
 
 
 class ChangeEncoder:
-    """Encodes changes for fellow nodes; the newest whole document is encoded once."""
+    """Encodes changes for peers and caches the encoding of the newest full document."""
 
     def __init__(self) -> None:
-        """Keep nothing yet."""
         self._whole: ConfigurationChange | None = None
 
     def encode(self, change: Change) -> ConfigurationChange:
--- a/src/foxwinch/configuration/metrics.py
+++ b/src/foxwinch/configuration/metrics.py
@@ -1,13 +1,13 @@
-"""Metrics of the configuration at one node."""
+"""Prometheus metrics of the configuration at one node."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 
 class ConfigurationMetrics:
-    """Revisions held and heard of, refusals and failed reads."""
+    """Held and highest known revision, stale refusals and failed table reads."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
-        """Register in `registry`."""
+        """Register the metrics with `registry`."""
         self.held = Gauge(
             "foxwinch_configuration_held_revision", "Revision held", registry=registry
         )
--- a/src/foxwinch/configuration/ports.py
+++ b/src/foxwinch/configuration/ports.py
@@ -1,4 +1,4 @@
-"""What other parts of a node ask of its configuration."""
+"""Interface of the configuration for the other components of a node."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,17 +11,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSnapshot:
-    """A cluster configuration and the revision it was accepted under."""
+    """A cluster configuration with its revision."""
 
     revision: Revision
     document: ClusterConfiguration
 
 
 class ConfigurationView(Protocol):
-    """The configuration in force at this node; never moves to an older revision."""
+    """The configuration in effect at this node, which never reverts to an older revision."""
 
     def current(self) -> ConfigurationSnapshot | Refused:
-        """Return the snapshot, or `STALE_CONFIGURATION` when a newer one is known but not held."""
+        """Return the snapshot, or `STALE_CONFIGURATION` if a newer revision is known."""
         ...
 
     def subscribe(self, listener: Callable[[ConfigurationSnapshot], None]) -> None:
--- a/src/foxwinch/configuration/service.py
+++ b/src/foxwinch/configuration/service.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this node: polling, gossip, fetching, and operators' changes."""
+"""Configuration service of a node: polling, gossip, fetching and operators' changes."""
 
 import asyncio
 import contextlib
@@ -48,18 +48,19 @@
 FETCH_METHOD = "configuration.fetch"
 FETCH_SECONDS = 2.0
 POLL_SECONDS = 2.0
-"""A change accepted elsewhere is seen by each zone within this, gossip or no gossip: under half of
-the 5 s within which it must be in force."""
+"""Time within which each zone sees an accepted change even without gossip. It is under half of the
+5 s within which a change must be in effect."""
 START_PEERS = 3
-"""Fellow nodes that a starting node asks for the newest revision while the table is down."""
+"""Peers that a starting node asks for the newest revision while the table is unavailable."""
 START_WAIT_SECONDS = 3.0
-"""The parts that start later find a configuration, unless table and fellow nodes are all away."""
+"""Bound on the wait for a configuration at the start, which services that start later need. It is
+reached only if neither the table nor any peer is available."""
 RETRY_BACKOFF = Backoff(base_seconds=0.1, cap_seconds=2.0)
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationServicePorts:
-    """What the service needs of the node."""
+    """Dependencies of the service."""
 
     clock: Clock
     records: RecordStore
@@ -69,7 +70,7 @@
 
 
 class ConfigurationService:
-    """See `foxwinch.configuration.ports.ConfigurationView`; started before anything is served."""
+    """Implements `foxwinch.configuration.ports.ConfigurationView`; starts before other services."""
 
     def __init__(
         self,
@@ -77,7 +78,7 @@
         registry: CollectorRegistry,
         initial: ClusterConfiguration | None = None,
     ) -> None:
-        """Use `ports`; `initial` is proposed when the table holds no configuration yet."""
+        """Create the service; `initial` is proposed if the table holds no configuration."""
         self._ports = ports
         self._initial = initial
         self._store = ConfigurationStore(ports.records)
@@ -92,7 +93,7 @@
         self._encoder = ChangeEncoder()
 
     async def start(self) -> None:
-        """Look for the newest revision; returns when it is held, or after a bound without it."""
+        """Start to follow the configuration; return once it is served or the wait has expired."""
         self._ports.peer.handle(FETCH_METHOD, self._serve_fetch)
         self._ports.peer.handle(STATUS_METHOD, self._serve_status)
         self._ports.gossip.subscribe(GossipKind.CONFIGURATION, self._on_gossip)
@@ -105,11 +106,11 @@
                 await self._ready.wait()
 
     async def stop(self) -> None:
-        """Stop looking; what is held stays served until the process ends."""
+        """Stop following the configuration; the held revision is still served."""
         await self._tasks.stop()
 
     def current(self) -> ConfigurationSnapshot | Refused:
-        """Return the newest snapshot, or `STALE_CONFIGURATION` when a newer one is known."""
+        """Return the snapshot, or `STALE_CONFIGURATION` if a newer revision is known."""
         held = self._replica.serve()
         if isinstance(held, Refused):
             self._metrics.refusals.inc()
@@ -118,13 +119,13 @@
         return self._snapshot
 
     def subscribe(self, listener: Callable[[ConfigurationSnapshot], None]) -> None:
-        """Call `listener` with every newer snapshot, and at once with the one held."""
+        """Call `listener` with the held snapshot, if any, and with every newer one."""
         self._listeners.append(listener)
         if self._snapshot is not None:
             listener(self._snapshot)
 
     async def apply(self, command: ApplyConfiguration) -> ChangeAccepted | Refused:
-        """Carry out an operator's change; see `foxwinch.commands.apply_configuration`."""
+        """Apply an operator's change; see `foxwinch.commands.apply_configuration`."""
         ports = ApplyPorts(self._ports.clock, self._store, self._load)
         outcome = await apply_configuration(ports, command)
         if isinstance(outcome, Refused):
@@ -139,7 +140,7 @@
         return accepted
 
     def status(self) -> ConfigurationStatus:
-        """Return the revisions held and heard of at this node."""
+        """Return the held and the highest known revision of this node."""
         return ConfigurationStatus(
             held_revision=self._replica.held_revision,
             heard_revision=self._replica.heard_revision,
@@ -147,7 +148,7 @@
         )
 
     async def revisions_at_nodes(self) -> Sequence[NodeRevision]:
-        """Ask every member which revision it holds."""
+        """Query every member for the revision that it holds."""
         return await revisions_at_nodes(self._ports.membership, self._ports.peer, self.status())
 
     # --- reading ---------------------------------------------------------------------------
@@ -168,7 +169,7 @@
             await self._ports.clock.sleep(max(wait, 0.02))
 
     async def _poll(self) -> bool:
-        """Read the head, or ask fellow nodes while the table is down; False: try again soon."""
+        """Read the head, or ask peers if the table is unavailable; return False to retry soon."""
         head = await self._store.head()
         if isinstance(head, Refused):
             self._metrics.table_failures.inc()
@@ -181,7 +182,7 @@
         return self._replica.is_started and self._replica.held is not None
 
     async def _catch_up(self, head: StoredHead) -> None:
-        """Read a difference from the table, but a whole document rather from a fellow node."""
+        """Read missing deltas from the table; a full document is fetched from a peer instead."""
         self._replica.hear(head.revision, authority=True)
         if self._replica.held is not None:
             await self._load(head)
@@ -194,7 +195,7 @@
             await self.apply(ApplyConfiguration(token, Revision(0), self._initial))
 
     async def _ask_fellow_nodes(self) -> None:
-        """Learn the newest revision from fellow nodes, as an authority in the table's place."""
+        """Learn the newest revision from peers, the authority while the table is unavailable."""
         members = self._choose_members(START_PEERS)
         answers = await asyncio.gather(*(self._fetch_from(member) for member in members))
         if any(answers) and self._replica.heard_revision > 0:
@@ -219,7 +220,7 @@
             self._ready.set()
 
     async def _fetch(self, attempt: int) -> None:
-        """Try one fellow node, then the table; the table only now and then, it is rate-limited."""
+        """Fetch from one peer, and on every second attempt from the rate-limited table."""
         members = self._choose_members(1)
         for member in members:
             await self._fetch_from(member)
@@ -240,7 +241,7 @@
         return self._replica.held
 
     async def _fetch_from(self, member: Member) -> bool:
-        """Ask one fellow node for what is missing here; True when it answered."""
+        """Fetch missing changes from one peer; return whether it answered."""
         request = FetchConfigurationRequest(held_revision=self._replica.held_revision)
         answer = await self._ports.peer.call(
             member.address, FETCH_METHOD, request.SerializeToString(), FETCH_SECONDS
@@ -257,7 +258,7 @@
         return True
 
     def _choose_members(self, count: int) -> list[Member]:
-        """Choose live fellow nodes at random, those of this zone first."""
+        """Choose live peers at random, preferring those in this zone."""
         this = self._ports.membership.this_member()
         usable = (MemberState.ALIVE, MemberState.LEAVING)
         ranked = sorted(
@@ -281,7 +282,7 @@
         )
         return is_poller(Candidate(this.node, this.zone), alive)
 
-    # --- receiving and spreading ------------------------------------------------------------
+    # --- receiving and gossiping ------------------------------------------------------------
 
     def _on_gossip(self, entry: GossipEntry) -> None:
         try:
@@ -323,7 +324,7 @@
             self._tasks.keep(self._prune(held.revision))
 
     def _publish(self, before: Revision) -> None:
-        """Spread what is new here; entries that the gossip has already are ignored there."""
+        """Gossip the newly held changes; entries that gossip already holds are ignored."""
         for change in self._replica.changes_after(before)[-GOSSIP_SLOTS:]:
             self._ports.gossip.publish(gossip_entry(change))
 
@@ -332,13 +333,13 @@
         if outcome is not None:
             self._log.warning("prune_failed", detail=outcome.detail)
 
-    # --- fellow nodes -----------------------------------------------------------------------
+    # --- requests from peers ----------------------------------------------------------------
 
     async def _serve_fetch(self, context: PeerContext, payload: bytes) -> bytes | Refused:
         try:
             request = FetchConfigurationRequest.FromString(payload)
         except DecodeError:
-            return not_run(Reason.INVALID_REQUEST, "unreadable request")
+            return not_run(Reason.INVALID_REQUEST, "malformed FetchConfigurationRequest")
         asked = Revision(request.held_revision)
         self._replica.hear(asked)
         if self._replica.is_behind:
--- a/src/foxwinch/configuration/store.py
+++ b/src/foxwinch/configuration/store.py
@@ -1,8 +1,8 @@
-"""The configuration's rows in the shared store, all in one partition.
+"""Rows of the configuration in the shared store, all in one partition.
 
-`head` names the newest revision. `revision/N` holds revision N as the difference from N-1,
-`snapshot/N` now and then the whole document. Bodies too large for a row are in `body/N-TOKEN/I`,
-written before the row that refers to them.
+`head` names the newest revision. `revision/N` holds revision N as a delta from N-1, and
+`snapshot/N`, written at intervals, holds the full document. Bodies too large for a row are stored
+in `body/N-TOKEN/I` before the row that refers to them.
 """
 
 from dataclasses import dataclass
@@ -32,22 +32,23 @@
 SNAPSHOT = "snapshot/"
 BODY = "body/"
 AFTER_SLASH = "0"
-"""The character after a slash: in place of it, it ends the range of keys with a prefix."""
+"""The character after the slash, which replaces it to form the end of a prefix's key range."""
 AFTER_KEY = "\x01"
 ROW_BODY_BYTES = 32 * 1024
-"""Larger bodies are cut into rows of this size; stores commonly bound rows at 64 KiB."""
+"""Larger bodies are split into rows of this size; stores commonly limit rows to 64 KiB."""
 ROWS_PER_TRANSACTION = 8
 SNAPSHOT_REVISIONS = 64
-"""A node that was away reads one whole document and at most so many differences."""
+"""Interval of snapshots in revisions. A node that is behind reads one full document and at most
+this many deltas."""
 STORE_SECONDS = 3.0
-"""The store answers in tens of milliseconds; past this it counts as down."""
+"""Timeout of a store operation; the store normally answers in tens of milliseconds."""
 KEPT_REVISIONS = 512
-"""Revisions kept in the store; a lost answer can be settled by its token for so long."""
+"""Number of revisions kept in the store, for which a lost answer can be resolved by its token."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredHead:
-    """The head row; revision 0 stands for a store without a configuration."""
+    """The head row; revision 0 means that the store holds no configuration."""
 
     revision: Revision
     snapshot: Revision
@@ -55,14 +56,13 @@
 
 
 class ConfigurationStore:
-    """Reads and writes the rows; every failure is a `Refused`."""
+    """Reads and writes the configuration rows; every failure is returned as a `Refused`."""
 
     def __init__(self, store: RecordStore) -> None:
-        """Keep the rows in `store`."""
         self._store = store
 
     async def head(self) -> StoredHead | Refused:
-        """Read the head."""
+        """Read the head row."""
         row = await self._read(HEAD_KEY)
         if isinstance(row, Refused):
             return row
@@ -76,7 +76,7 @@
         )
 
     async def token_of(self, revision: Revision) -> str | Refused | None:
-        """Read the token of the change that made a revision; None when the row is gone."""
+        """Read the token of the change that created a revision; return None if its row is gone."""
         row = await self._read(_revision_key(revision))
         if isinstance(row, Refused):
             return row
@@ -86,7 +86,7 @@
         return message if isinstance(message, Refused) else message.token
 
     async def changes_after(self, held: Revision, head: StoredHead) -> list[Change] | Refused:
-        """Read what brings a node from `held` to the head: whole first where that is nearer."""
+        """Read the changes from `held` to the head, starting with a snapshot that is newer."""
         changes: list[Change] = []
         start = held
         if held < head.snapshot:
@@ -113,7 +113,7 @@
     async def commit(
         self, change: Change, whole: Change | None, head: StoredHead
     ) -> Written | Conflict | Refused:
-        """Make `change` the head if the head is still `head`; `whole` also makes a snapshot."""
+        """Commit `change` if the head is still `head`; `whole` is also stored as a snapshot."""
         revision_row = await self._store_body(change)
         if isinstance(revision_row, Refused):
             return revision_row
@@ -133,7 +133,7 @@
         return await self._store.transact((condition,), tuple(writes), STORE_SECONDS)
 
     async def prune(self, head: Revision) -> Refused | None:
-        """Delete rows that nobody needs: older than the kept revisions."""
+        """Delete the rows of revisions older than the `KEPT_REVISIONS` newest ones."""
         oldest = max(head - KEPT_REVISIONS, 0)
         for section in (REVISION, SNAPSHOT, BODY):
             read = await self._range(section, f"{section}{oldest:012d}")
@@ -145,7 +145,7 @@
         return None
 
     async def _store_body(self, change: Change) -> ConfigurationChange | Refused:
-        """Write a large body in rows of its own; return the row that refers to them."""
+        """Write a large body to separate rows and return the row that refers to them."""
         message = encode(change)
         part = _part(message)
         body = message.body
@@ -179,7 +179,9 @@
             return read
         pieces = [row.value or b"" for row in read.rows]
         if len(pieces) != message.chunk_count:
-            return _damaged(f"revision {message.revision} lacks rows of its body")
+            return _damaged(
+                f"revision {message.revision} has {len(pieces)} of {message.chunk_count} body rows"
+            )
         return b"".join(pieces)
 
     async def _read(self, key: str) -> StoredRow | Refused | None:
@@ -192,7 +194,7 @@
         return await self._store.read(_row(first), end, STORE_SECONDS)
 
     async def _transact(self, writes: list[RowWrite]) -> Refused | None:
-        """Write rows that nobody changes at the same time."""
+        """Write rows that have no concurrent writers, in several transactions."""
         for index in range(0, len(writes), ROWS_PER_TRANSACTION):
             batch = tuple(writes[index : index + ROWS_PER_TRANSACTION])
             outcome = await self._store.transact((), batch, STORE_SECONDS)
--- a/src/foxwinch/core/configuration/__init__.py
+++ b/src/foxwinch/core/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Revisions of the cluster configuration and their spread."""
+"""Revisions of the cluster configuration and their replication."""
--- a/src/foxwinch/core/configuration/change.py
+++ b/src/foxwinch/core/configuration/change.py
@@ -1,4 +1,4 @@
-"""One revision of the configuration in the form that is stored and sent, and how it was settled."""
+"""Encoding of one configuration revision, and the resolution of changes with a lost answer."""
 
 import zlib
 from dataclasses import dataclass
@@ -12,48 +12,48 @@
 from foxwinch.identifiers import Revision
 
 BODY_BYTES_MAXIMUM = 64 * 1024 * 1024
-"""Bound on a decompressed body: 30 times the document of 7,800 tenants."""
+"""Maximum size of a decompressed body, 30 times the size of a document with 7,800 tenants."""
 DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A revision as the difference from `base`, or whole with base 0."""
+    """A revision as a delta from `base`, or as a full document if `base` is 0."""
 
     revision: Revision
     base: Revision
     token: str
-    """Token of the operator's change, by which a lost answer is settled."""
+    """Idempotency token of the operator's change, used to resolve a lost answer."""
     digest: int
-    """Digest of the whole document at `revision`."""
+    """Digest of the full document at `revision`."""
     delta: Delta
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeAccepted:
-    """An operator's change is in force under `revision`."""
+    """An operator's change is in effect as `revision`."""
 
     revision: Revision
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRejected:
-    """Another change has taken the revision; the newest one known is `newer`."""
+    """Another change took the revision number; the newest known revision is `newer`."""
 
     newer: Revision
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeUndecided:
-    """The table does not show the change yet, but it may still take effect."""
+    """The table does not contain the change, but the change may still take effect."""
 
 
 def settle(
     token: str, revision: Revision, head: Revision, stored_token: str | None
 ) -> ChangeAccepted | ChangeRejected | ChangeUndecided:
-    """Say what became of a change whose answer was lost, from what the table shows.
+    """Return the outcome of a change whose answer was lost, according to the table.
 
-    `stored_token` is the token found under `revision`, or None when that row is gone or absent.
+    `stored_token` is the token stored for `revision`, or None if that row is absent or pruned.
     """
     if stored_token == token:
         return ChangeAccepted(revision)
@@ -63,14 +63,14 @@
 
 
 def encode_body(delta: Delta) -> bytes:
-    """Serialize and compress a difference."""
+    """Serialize and compress a delta."""
     puts = [ConfigurationEntry(key=key, json=text) for key, text in sorted(delta.puts.items())]
     body = ConfigurationBody(puts=puts, deletes=delta.deletes)
     return zlib.compress(body.SerializeToString(deterministic=True), 6)
 
 
 def encode(change: Change) -> ConfigurationChange:
-    """Return the message of a change with its body inside."""
+    """Return the message of a change, including its body."""
     return ConfigurationChange(
         revision=change.revision,
         base_revision=change.base,
@@ -81,7 +81,7 @@
 
 
 def decode(message: ConfigurationChange) -> Change | Unreadable:
-    """Read a message whose body is inside."""
+    """Decode a message that includes its body."""
     try:
         unpacker = zlib.decompressobj()
         data = unpacker.decompress(message.body, BODY_BYTES_MAXIMUM)
@@ -89,7 +89,7 @@
     except Exception as error:
         return Unreadable(f"revision {message.revision}: {error}")
     if not unpacker.eof:
-        return Unreadable(f"revision {message.revision}: body is cut or too large")
+        return Unreadable(f"revision {message.revision}: body is truncated or too large")
     return Change(
         Revision(message.revision),
         Revision(message.base_revision),
--- a/src/foxwinch/core/configuration/document.py
+++ b/src/foxwinch/core/configuration/document.py
@@ -1,7 +1,7 @@
-"""A configuration document as a set of small entries, so that a change travels as a difference.
+"""A configuration document as a set of small entries, so that a change can be sent as a delta.
 
-An entry is one tenant, one worker and so on, or one plain field of the document, each as canonical
-JSON. Order inside a section has no meaning: documents are rebuilt in the order of the names.
+An entry is one item of a section, such as a tenant or a worker, or one scalar field of the
+document, as canonical JSON. Sections are unordered; documents are rebuilt sorted by item name.
 """
 
 import json
@@ -34,13 +34,13 @@
     "templates": TemplateSettings,
 }
 FIELD_SECTION = "document"
-"""Section of the entries that hold one plain field of the document each."""
+"""Section of the entries that hold one scalar field of the document each."""
 DIGEST_BITS = 128
 
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """Entries to put and to delete."""
+    """Entries to insert or replace, and keys to delete."""
 
     puts: Mapping[str, str]
     deletes: tuple[str, ...] = ()
@@ -48,21 +48,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreadable:
-    """A document that this version of the software cannot take, and why."""
+    """A document that this version of the software cannot parse or validate."""
 
     problem: str
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentState:
-    """A checked document with its entries and their digest."""
+    """A validated document with its entries and their digest."""
 
     entries: Mapping[str, str]
     digest: int
     document: ClusterConfiguration
 
     def apply(self, delta: Delta) -> "DocumentState | Unreadable":
-        """Return the state after a difference; only changed entries are parsed again."""
+        """Return the state after a delta; only changed entries are parsed."""
         entries = dict(self.entries)
         digest = self.digest
         for key in (*delta.deletes, *delta.puts):
@@ -83,7 +83,7 @@
 
 
 def entries_of(document: ClusterConfiguration) -> dict[str, str]:
-    """Split a document into its entries."""
+    """Return the entries of a document."""
     entries: dict[str, str] = {}
     for field, value in document.model_dump(mode="json").items():
         if field in SECTIONS:
@@ -94,7 +94,7 @@
 
 
 def state_of(entries: Mapping[str, str]) -> DocumentState | Unreadable:
-    """Build and check a whole document from its entries."""
+    """Build and validate a full document from its entries."""
     document = _parse(entries)
     if isinstance(document, Unreadable):
         return document
@@ -103,7 +103,7 @@
 
 
 def difference(old: Mapping[str, str], new: Mapping[str, str]) -> Delta:
-    """Return what turns `old` into `new`."""
+    """Return the delta that turns `old` into `new`."""
     puts = {key: text for key, text in new.items() if old.get(key) != text}
     return Delta(puts, tuple(sorted(key for key in old if key not in new)))
 
@@ -113,7 +113,7 @@
 
 
 def _entry_digest(key: str, text: str) -> int:
-    """Digest of one entry; the digest of a document is their sum, so that it follows a change."""
+    """Return the digest of one entry; a document's digest is the sum, which allows deltas."""
     return xxhash.xxh3_128_intdigest(f"{key}\0{text}".encode())
 
 
@@ -135,7 +135,7 @@
 def _change_sections(
     document: ClusterConfiguration, delta: Delta
 ) -> ClusterConfiguration | Unreadable:
-    """Change entries of sections; references were checked when the change was accepted."""
+    """Apply a delta to sections; references were validated when the change was accepted."""
     update: dict[str, tuple[Any, ...]] = {}
     for section in sorted(_sections(delta)):
         items = {item.name: item for item in getattr(document, section)}
@@ -166,7 +166,7 @@
 
 
 def _validate(model: type[StrictModel], values: Any) -> Any:
-    """Check values, leaving out fields that a newer version of the software may have added."""
+    """Validate values, ignoring unknown fields, which a newer software version may have added."""
     try:
         return model.model_validate(values)
     except ValidationError as error:
--- a/src/foxwinch/core/configuration/pollers.py
+++ b/src/foxwinch/core/configuration/pollers.py
@@ -1,4 +1,4 @@
-"""Which nodes of a zone read the head of the configuration from the table."""
+"""Selection of the nodes of a zone that poll the configuration head in the table."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from foxwinch.identifiers import NodeId, ZoneName
 
 POLLERS_PER_ZONE = 2
-"""Two, so that one may pause or die without the zone losing sight of the table."""
+"""Two, so that the zone still polls the table while one of them is paused or dead."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,9 +20,9 @@
 
 
 def is_poller(this: Candidate, candidates: Iterable[Candidate]) -> bool:
-    """Tell whether `this` is among the pollers of its zone, by rendezvous hashing.
+    """Return whether rendezvous hashing selects `this` as a poller of its zone.
 
-    Nodes may disagree for a moment about who is alive: then a few more or fewer of them poll.
+    Nodes may briefly disagree on which nodes are alive; a few more or fewer of them then poll.
     """
     ahead = 0
     weight = _weight(this)
--- a/src/foxwinch/core/configuration/replica.py
+++ b/src/foxwinch/core/configuration/replica.py
@@ -1,7 +1,7 @@
-"""The configuration at one node: what it holds, what it has heard of, what it may serve.
+"""Configuration replica of one node: the held revision, the newest known one and what to serve.
 
-Invariants: the held revision never goes down; nothing is served below the highest revision heard
-of; nothing is served before an authority (the table or fellow nodes) has named the newest one.
+Invariants: the held revision never decreases; no revision below the highest known one is served;
+nothing is served before an authority (the table or peers) has reported the newest revision.
 """
 
 from collections import OrderedDict
@@ -19,27 +19,26 @@
 
 NO_REVISION = Revision(0)
 PENDING_MAXIMUM = 128
-"""Changes kept that arrived before the one they build on."""
+"""Maximum number of changes buffered until the change that they build on arrives."""
 RECENT_MAXIMUM = 128
-"""Changes kept for fellow nodes that are behind."""
+"""Maximum number of changes kept for peers that are behind."""
 RECENT_BYTES_MAXIMUM = 1024 * 1024
 STALE_RETRY_SECONDS = 0.5
-"""A missing difference is fetched within two gossip rounds."""
+"""Retry hint for stale refusals; a missing delta is fetched within two gossip rounds."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeldConfiguration:
-    """The document that this node holds."""
+    """A document held by this node, with its revision."""
 
     revision: Revision
     state: DocumentState
 
 
 class ConfigurationReplica:
-    """Holds the newest configuration that could be put together; see the module's invariants."""
+    """Holds the newest configuration that could be assembled; see the module's invariants."""
 
     def __init__(self) -> None:
-        """Hold and know nothing."""
         self._held: HeldConfiguration | None = None
         self._heard = NO_REVISION
         self._authority_heard = False
@@ -49,36 +48,36 @@
 
     @property
     def held(self) -> HeldConfiguration | None:
-        """The newest document held, which may be older than what was heard of."""
+        """The newest document held, which may be older than the newest known revision."""
         return self._held
 
     @property
     def held_revision(self) -> Revision:
-        """Revision held, or 0."""
+        """The held revision, or 0."""
         return self._held.revision if self._held else NO_REVISION
 
     @property
     def heard_revision(self) -> Revision:
-        """The highest revision heard of, or 0."""
+        """The highest known revision, or 0."""
         return self._heard
 
     @property
     def is_behind(self) -> bool:
-        """True when a newer revision is known than is held."""
+        """Whether a revision newer than the held one is known."""
         return self._heard > self.held_revision
 
     @property
     def is_started(self) -> bool:
-        """True once an authority has named the newest revision since this process began."""
+        """Whether an authority has reported the newest revision since this process started."""
         return self._authority_heard
 
     def hear(self, revision: Revision, authority: bool = False) -> None:
-        """Take note of a revision; `authority` says that the newest one was asked for."""
+        """Record that a revision exists; `authority` marks the answer to a query for the newest."""
         self._heard = max(self._heard, revision)
         self._authority_heard = self._authority_heard or authority
 
     def receive(self, change: Change) -> Unreadable | None:
-        """Take a change; returns why it could not be used, if it could not."""
+        """Apply or buffer a change; return the reason if it is unusable."""
         self.hear(change.revision)
         if change.revision <= self.held_revision:
             return None
@@ -91,17 +90,17 @@
         return problem
 
     def serve(self) -> HeldConfiguration | Refused:
-        """Return what may be served, or why nothing may."""
+        """Return the configuration to serve, or a refusal if it is missing or stale."""
         if not self._authority_heard or self._held is None:
-            detail = "the node has not yet learnt which configuration is in force"
+            detail = "the node has not yet determined the newest configuration revision"
             return not_run(Reason.STALE_CONFIGURATION, detail, STALE_RETRY_SECONDS)
         if self.is_behind:
-            detail = f"revision {self._heard} is in force, this node holds {self._held.revision}"
+            detail = f"revision {self._heard} is in effect, this node holds {self._held.revision}"
             return not_run(Reason.STALE_CONFIGURATION, detail, STALE_RETRY_SECONDS)
         return self._held
 
     def changes_after(self, revision: Revision) -> list[Change]:
-        """Return what brings a node from `revision` to the held one: differences, else whole."""
+        """Return the changes from `revision` to the held one, as deltas or as a full document."""
         if self._held is None or revision >= self._held.revision:
             return []
         found: list[Change] = []
@@ -128,7 +127,7 @@
         if isinstance(state, Unreadable):
             return state
         if state.digest != change.digest:
-            return Unreadable(f"revision {change.revision}: the digest does not match")
+            return Unreadable(f"revision {change.revision}: digest mismatch")
         self._held = HeldConfiguration(change.revision, state)
         self._remember(change)
         return None
@@ -149,7 +148,7 @@
             del self._pending[max(self._pending)]
 
     def _remember(self, change: Change) -> None:
-        """Keep the change for others; a whole document is rebuilt from the state when needed."""
+        """Keep the change for peers; a full document is rebuilt from the state when needed."""
         if change.base == NO_REVISION:
             change = Change(change.revision, NO_REVISION, change.token, change.digest, Delta({}))
         self._recent[change.revision] = change
--- a/src/foxwinch/core/limits/__init__.py
+++ b/src/foxwinch/core/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Shared rate limits, retry budgets, circuits and backoff."""
+"""Shared rate limits, retry budgets, circuit breakers and backoff."""
--- a/src/foxwinch/core/limits/circuit.py
+++ b/src/foxwinch/core/limits/circuit.py
@@ -1,7 +1,7 @@
-"""Circuit state of one back end: closed, open, half open.
+"""Circuit breaker of one back end: closed, open or half open.
 
-An open circuit sends nothing for a time with jitter; then a single call tries whether the back end
-works again. Time and random numbers are given from outside.
+An open circuit breaker rejects calls for a jittered time, then admits a single trial call to check
+whether the back end has recovered. The caller supplies time and random numbers.
 """
 
 from collections import deque
@@ -11,19 +11,19 @@
 from foxwinch.core.limits.backoff import Backoff
 
 WINDOW_SECONDS = 10.0
-"""Over which failures are counted."""
+"""Sliding window over which failures are counted."""
 CALLS_MINIMUM = 5
-"""Fewer calls in the window say nothing about the back end."""
+"""Minimum number of calls in the window needed to judge the back end."""
 FAILURE_FRACTION = 0.5
 OPEN_BACKOFF = Backoff(base_seconds=1.0, cap_seconds=4.0)
 OPEN_SECONDS_MINIMUM = 0.5
-"""Full jitter alone could reopen at once."""
+"""Lower bound of the open time, since full jitter alone could yield almost no wait."""
 TRIAL_SECONDS = 30.0
-"""A trial call that is not settled within this counts as forgotten, and another one may try."""
+"""Time after which a trial call without a result counts as lost and another is admitted."""
 
 
 class CircuitState(StrEnum):
-    """What may be sent to the back end."""
+    """State of a circuit breaker."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -37,10 +37,9 @@
 
 
 class Circuit:
-    """Circuit of one back end; callers ask before each call and tell how it went."""
+    """Circuit breaker of one back end; callers check it before each call and report the result."""
 
     def __init__(self) -> None:
-        """Start closed."""
         self._state = CircuitState.CLOSED
         self._observed: deque[_Observed] = deque()
         self._openings = 0
@@ -54,7 +53,7 @@
         return self._state
 
     def try_call(self, now: float) -> bool:
-        """Tell whether a call may be sent; when half open, one call at a time."""
+        """Return whether a call may be sent; a half-open breaker admits one call at a time."""
         state = self.state(now)
         if state is CircuitState.CLOSED:
             return True
@@ -66,21 +65,21 @@
         return True
 
     def wait_seconds(self, now: float) -> float:
-        """Return when to come back; 0 when a call may be sent."""
+        """Return the time to wait before the next attempt; 0 if a call may be sent now."""
         state = self.state(now)
         if state is CircuitState.OPEN:
             return self._open_until - now
         return OPEN_SECONDS_MINIMUM if self._trial_at is not None else 0.0
 
     def succeeded(self, now: float) -> None:
-        """Take note of a call that the back end answered, also with a refusal of its own."""
+        """Record a call that the back end answered, even if with an error response."""
         if self.state(now) is CircuitState.HALF_OPEN:
             self._state, self._openings, self._trial_at = CircuitState.CLOSED, 0, None
             self._observed.clear()
         self._observe(False, now)
 
     def failed(self, now: float, random_number: float) -> None:
-        """Take note of a call that the back end did not answer."""
+        """Record a call that the back end did not answer."""
         state = self.state(now)
         self._observe(True, now)
         if state is CircuitState.HALF_OPEN or (state is CircuitState.CLOSED and self._is_bad()):
--- a/src/foxwinch/core/limits/limiter.py
+++ b/src/foxwinch/core/limits/limiter.py
@@ -1,4 +1,4 @@
-"""Admission by rate at one node: its share of the limits of tenants and classes."""
+"""Rate limiting at one node, by its share of the limits of tenants and classes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,15 +8,16 @@
 from foxwinch.core.limits.token_bucket import TokenBucket
 
 BUCKETS_MAXIMUM = 16_384
-"""Twice the tenants and classes of the largest document; an evicted bucket was idle for long."""
+"""Twice the tenants and classes of the largest configuration, so that only buckets that have long
+been idle are evicted."""
 RESERVE_PER_RANK = 0.08
-"""Part of the burst that a class leaves to each more urgent rank: rank 0 may use all of it."""
+"""Fraction of the burst that a class reserves for each more urgent rank; rank 0 may use all."""
 RETRY_SECONDS_MAXIMUM = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """A limit across all nodes."""
+    """A rate limit shared by all nodes."""
 
     key: str
     """`tenant:NAME` or `class:NAME`."""
@@ -27,16 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Passed:
-    """All limits let the request pass and were charged."""
+    """The request is within all limits and has been charged to them."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limited:
-    """A limit does not let the request pass now; nothing was charged."""
+    """The request exceeds a limit; nothing has been charged."""
 
     key: str
     wait_seconds: float
-    """After which the share will let such a request pass, if nobody else is faster."""
+    """Time until such a request fits, unless other requests take the tokens first."""
 
 
 @dataclass(slots=True)
@@ -46,27 +47,28 @@
 
 
 class Limiter:
-    """Buckets filled at this node's share of each limit.
+    """Token buckets that refill at this node's share of each limit.
 
-    A bucket of requests holds at least one, so that the first request of an idle tenant passes at
-    any node. The bucket of tokens may go below zero by one request, whose size is an estimate.
+    The capacity of a request bucket is at least one, so that the first request of an idle tenant
+    is admitted at any node. A token bucket may go below zero by one request, whose size is an
+    estimate.
     """
 
     def __init__(self, share: Callable[[str, float], float], started_at: float) -> None:
-        """`share` returns this node's part of a key's limit at a time."""
+        """Create a limiter; `share` returns this node's fraction of a key's limit at a time."""
         self._share = share
         self._started_at = started_at
         self._buckets: LRUCache[str, _Buckets] = LRUCache(BUCKETS_MAXIMUM)
 
     def restart(self, now: float) -> None:
-        """Forget what was saved, as a node that has just started."""
+        """Discard accumulated tokens, as on a node that has just started."""
         self._started_at = now
         self._buckets.clear()
 
     def admit(
         self, limits: tuple[Limit, ...], rank: int, tokens: float, now: float
     ) -> Passed | Limited:
-        """Charge one request and its estimated tokens to every limit, or to none."""
+        """Charge one request and its estimated tokens to all limits, or to none."""
         found = [(limit, self._refreshed(limit, now)) for limit in limits]
         for limit, buckets in found:
             wait = _wait_seconds(buckets, rank, now)
@@ -78,7 +80,7 @@
         return Passed()
 
     def settle(self, limits: tuple[Limit, ...], estimated: float, used: float, now: float) -> None:
-        """Correct the estimate by what was used."""
+        """Correct the estimated tokens of a request by the actual usage."""
         for limit in limits:
             self._refreshed(limit, now).tokens.charge(used - estimated, now)
 
@@ -90,7 +92,7 @@
         token_room = max(1.0, token_rate * limit.burst_seconds)
         buckets = self._buckets.get(limit.key)
         if buckets is None:
-            # A node that has just started has saved nothing: growth counts from its start.
+            # A node that has just started has no accumulated tokens; refill counts from its start.
             buckets = _Buckets(
                 TokenBucket(request_rate, request_room, 1.0, self._started_at),
                 TokenBucket(token_rate, token_room, 1.0, self._started_at),
--- a/src/foxwinch/core/limits/retry_budget.py
+++ b/src/foxwinch/core/limits/retry_budget.py
@@ -1,6 +1,6 @@
-"""Bounds on repeats: a part of the first attempts, for each tenant and back end.
+"""Retry budgets: retries are limited to a fraction of first attempts per tenant and back end.
 
-Without a bound, every layer that repeats multiplies the load of a back end that is in trouble.
+Without a bound, every layer that retries multiplies the load on an overloaded back end.
 """
 
 from dataclasses import dataclass
@@ -10,35 +10,35 @@
 from foxwinch.identifiers import TenantName, WorkerId
 
 RETRY_RATIO = 0.1
-"""Repeats for each first attempt, in the long run."""
+"""Retries per first attempt in the long run."""
 RETRY_BURST = 5.0
-"""Repeats saved up; a quiet pair may repeat so many calls at once."""
+"""Retries that an idle pair of tenant and back end may make at once."""
 PAIRS_MAXIMUM = 8_192
 
 
 @dataclass(frozen=True, slots=True)
 class RetryKey:
-    """A tenant at a back end."""
+    """A pair of tenant and back end."""
 
     tenant: TenantName
     worker: WorkerId
 
 
 class RetryBudget:
-    """Repeats allowed to each pair of tenant and back end."""
+    """Retry allowance of each pair of tenant and back end."""
 
     def __init__(self, ratio: float = RETRY_RATIO, burst: float = RETRY_BURST) -> None:
-        """Allow `ratio` repeats for each first attempt, and up to `burst` at once."""
+        """Allow `ratio` retries per first attempt and up to `burst` at once."""
         self._ratio = ratio
         self._burst = burst
         self._saved: LRUCache[RetryKey, float] = LRUCache(PAIRS_MAXIMUM)
 
     def first_attempt(self, key: RetryKey) -> None:
-        """Count a first attempt."""
+        """Record a first attempt, which adds to the allowance."""
         self._saved[key] = min(self._burst, self._saved.get(key, self._burst) + self._ratio)
 
     def try_repeat(self, key: RetryKey) -> bool:
-        """Take one repeat from the budget; False: answer with the failure at once."""
+        """Take one retry from the budget; return False if the call must not be retried."""
         saved = self._saved.get(key, self._burst)
         if saved < 1.0:
             return False
--- a/src/foxwinch/core/limits/shares.py
+++ b/src/foxwinch/core/limits/shares.py
@@ -1,14 +1,16 @@
-"""Which part of each limit this node may use, from the demand that all nodes tell.
-
-The share of node i is w_i / (w_1 + ... + w_n), where w is the told demand plus a small prior that
-is the same for every node. For itself a node takes the lowest demand that it told during the last
-`SPREAD_SECONDS`, for the others the newest that it knows. A raise is thus used only when everybody
-knows it, a cut at once. While digests arrive within that time, whatever a node counts for another
-one is at least what that one uses, and so the shares of all nodes add up to no more than one.
-
-The weight of a dead node goes to the others after `LEASE_SECONDS`, and only at nodes that see a
-majority of those seen during `BASELINE_SECONDS`. The others are cut off: their shares may fall and
-not rise. A node that was cut off, or paused for longer than its lease, starts again like a new one.
+"""Share of each limit that this node may use, computed from the demand published by all nodes.
+
+The share of node i is w_i / (w_1 + ... + w_n), where w is the published demand plus a small prior
+that is the same for every node. For itself a node uses the lowest demand that it published during
+the last `SPREAD_SECONDS`, and for the others the newest that it has received. An increase thus
+takes effect only once all nodes know of it, and a decrease immediately. While digests arrive within
+that time, the demand that a node counts for another one is at least what that node uses, so the
+shares of all nodes add up to at most one.
+
+The weight of a dead node passes to the others after `LEASE_SECONDS`, and only at nodes that see a
+majority of those seen during `BASELINE_SECONDS`. The remaining nodes are cut off: their shares may
+decrease but not increase. A node that was cut off, or paused for longer than its lease, restarts
+like a new one.
 """
 
 from collections import deque
@@ -19,15 +21,15 @@
 from foxwinch.identifiers import NodeId
 
 PRIOR_WEIGHT = 0.1
-"""Sum of the priors of all nodes: an idle tenant finds 1/n everywhere at once, and a tenant that is
-busy at one node only gets 91% or more of its limit there."""
+"""Sum of the priors of all nodes. The share of an idle tenant is 1/n at every node, and a tenant
+that is busy at one node only gets at least 91% of its limit there."""
 SPREAD_SECONDS = 4.0
-"""Within which a digest is taken to reach every node of the region."""
+"""Time within which a digest is assumed to reach every node of the region."""
 LEASE_SECONDS = 10.0
-"""For which a share stays with a node that is not heard of, and with one that does not update."""
+"""Time for which a share stays reserved for a silent node and valid at a node without updates."""
 BASELINE_SECONDS = 600.0
-"""Nodes seen alive during so long make up the whole that a majority is counted of: longer than a
-zone is usually cut off, shorter than a fleet takes to be replaced."""
+"""Nodes seen alive within this time form the set of which a majority is required. It is longer than
+a zone is usually partitioned and shorter than a rolling replacement of the cluster takes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,24 +40,22 @@
 
 @dataclass(slots=True)
 class _Other:
-    """What is known of another node."""
-
     digest: UsageDigest
     seen_at: float
-    """When it was last seen alive."""
+    """Time at which the node was last seen alive."""
 
 
 class ShareTable:
-    """Shares of this node; `update` is called about once a second."""
+    """Limit shares of this node; `update` must be called about once a second."""
 
     def __init__(self, this_node: NodeId, now: float) -> None:
-        """Start as the only node known."""
+        """Create a table in which this node is the only one."""
         self._this = this_node
         self._own: deque[_Told] = deque()
         self._others: dict[NodeId, _Other] = {}
         self._counted: set[NodeId] = set()
         self._totals: dict[int, float] = {}
-        """Demand of the other counted nodes by key."""
+        """Demand of the other counted nodes by hashed key."""
         self._updated_at = now
         self._cut_off = False
         self._frozen: dict[int, float] = {}
@@ -63,20 +63,20 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """True while this node sees no majority of the nodes seen lately."""
+        """Whether this node sees no majority of the nodes seen during `BASELINE_SECONDS`."""
         return self._cut_off
 
     @property
     def node_count(self) -> int:
-        """Nodes among which limits are shared, this one included."""
+        """Number of nodes that share the limits, including this one."""
         return len(self._counted) + 1
 
     def tell_own(self, digest: UsageDigest, now: float) -> None:
-        """Take note of the digest that this node publishes now."""
+        """Record the digest that this node publishes now."""
         self._own.append(_Told(now, digest))
 
     def tell(self, node: NodeId, digest: UsageDigest, now: float) -> None:
-        """Take note of a digest of another node that arrived now."""
+        """Record a digest received from another node."""
         other = self._others.get(node)
         if other is None:
             self._others[node] = _Other(digest, now)
@@ -87,13 +87,14 @@
         other.digest = digest
 
     def forget(self, node: NodeId) -> None:
-        """Drop a node that left in an orderly way or was replaced: it no longer admits."""
+        """Drop a node that has left or was replaced and therefore admits no more requests."""
         self._others.pop(node, None)
 
     def update(self, alive: Iterable[NodeId], now: float) -> bool:
-        """Work the totals out anew from the nodes that are seen alive now.
+        """Recompute the totals from the nodes that are alive now.
 
-        True: this node starts again after a pause or a cut; its demand must be told anew.
+        Return True if this node restarts after a pause or a partition and must publish its demand
+        again.
         """
         current = set(alive) - {self._this}
         for node in current:
@@ -115,7 +116,7 @@
         return restarts
 
     def _count(self, now: float) -> None:
-        """Sum up the demand of those nodes whose lease runs, of all while cut off."""
+        """Sum the demand of the nodes whose lease is valid, or of all nodes while cut off."""
         oldest = float("-inf") if self._cut_off else now - LEASE_SECONDS
         self._counted = {n for n, other in self._others.items() if other.seen_at >= oldest}
         self._totals = {}
@@ -123,14 +124,14 @@
             self._add(self._others[node].digest, 1.0)
 
     def share(self, name: int, now: float) -> float:
-        """Return this node's part of a limit, from 0 to 1; 0 when the lease has lapsed."""
+        """Return this node's share of a limit, from 0 to 1; 0 if its lease has expired."""
         if now - self._updated_at > LEASE_SECONDS:
             return 0.0
         share = self._fresh_share(name, now)
         return min(share, self.highest_share(name))
 
     def highest_share(self, name: int) -> float:
-        """Return what the share may rise to: 1, or while cut off the share before the cut."""
+        """Return the upper bound of the share: 1, or the share before the partition if cut off."""
         return self._frozen.get(name, self._frozen_idle) if self._cut_off else 1.0
 
     def _fresh_share(self, name: int, now: float) -> float:
@@ -139,13 +140,13 @@
         return (own + PRIOR_WEIGHT / self.node_count) / (own + others + PRIOR_WEIGHT)
 
     def _lowest_own(self, name: int, now: float) -> float:
-        """Return the lowest demand told of a key during the time of a spread."""
+        """Return the lowest demand published for a key during the last `SPREAD_SECONDS`."""
         if not self._own or self._own[0].at > now - SPREAD_SECONDS:
             return 0.0
         return min(told.digest.demand.get(name, 0.0) for told in self._own)
 
     def _freeze(self, now: float) -> None:
-        """Keep the shares of the last update as the highest that this node may use."""
+        """Save the shares of the last update as upper bounds."""
         names = set(self._totals).union(*(told.digest.demand for told in self._own))
         self._frozen = {name: self._fresh_share(name, now) for name in names}
         self._frozen_idle = 1.0 / self.node_count
--- a/src/foxwinch/core/limits/token_bucket.py
+++ b/src/foxwinch/core/limits/token_bucket.py
@@ -1,28 +1,28 @@
-"""A token bucket over a time that is given: the arithmetic of every rate limit.
+"""Token bucket without a clock of its own, used by every rate limit.
 
-The balance may go below zero by `reserve` and `charge`, so that work whose size is known only
-afterwards is paid for later.
+`reserve` and `charge` may take the balance below zero, so that work whose size is known only
+afterwards can be charged later.
 """
 
 from dataclasses import dataclass
 
 BALANCE_TOLERANCE = 1e-9
-"""Tokens; repeated additions of fractions must not refuse a whole token."""
+"""Tolerance in tokens, so that rounding of accumulated fractions does not withhold a token."""
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that grow at a rate up to a capacity; times are seconds on a monotonic clock."""
+    """A bucket that refills at a rate up to a capacity; times are monotonic seconds."""
 
     rate_per_second: float
     capacity: float
     balance: float
-    """Tokens at `updated_at_seconds`; below zero while more was reserved than had grown."""
+    """Tokens at `updated_at_seconds`; negative while more is reserved than has been refilled."""
     updated_at_seconds: float
 
     @classmethod
     def full(cls, rate_per_second: float, capacity: float, now: float) -> "TokenBucket":
-        """Return a bucket that starts full."""
+        """Return a full bucket."""
         return cls(rate_per_second, capacity, capacity, now)
 
     def available(self, now: float) -> float:
@@ -31,7 +31,7 @@
         return self.balance
 
     def try_take(self, amount: float, now: float) -> bool:
-        """Take `amount` if it is there; otherwise take nothing."""
+        """Take `amount` if it is available, otherwise nothing; return whether it was taken."""
         self._grow(now)
         if self.balance + BALANCE_TOLERANCE < amount:
             return False
@@ -39,7 +39,7 @@
         return True
 
     def wait_seconds(self, amount: float, now: float) -> float:
-        """Return the time until `amount` is there; infinite when the bucket never holds it."""
+        """Return the time until `amount` is available; infinite if it never will be."""
         self._grow(now)
         missing = amount - self.balance
         if missing <= BALANCE_TOLERANCE:
@@ -49,7 +49,7 @@
         return missing / self.rate_per_second
 
     def reserve(self, amount: float, now: float) -> float:
-        """Take `amount` in any case and return how long to wait before it may be used."""
+        """Take `amount` unconditionally and return the seconds to wait before using it."""
         self._grow(now)
         self.balance -= amount
         if self.balance >= -BALANCE_TOLERANCE:
@@ -59,17 +59,17 @@
         return -self.balance / self.rate_per_second
 
     def charge(self, amount: float, now: float) -> None:
-        """Take `amount` even below zero; a negative amount gives tokens back."""
+        """Take `amount`, below zero if necessary; a negative amount returns tokens."""
         self._grow(now)
         self.balance = min(self.capacity, self.balance - amount)
 
     def hold_for(self, seconds: float, now: float) -> None:
-        """Let nothing pass for `seconds`, as a server's Retry-After asks for."""
+        """Make no tokens available for `seconds`, as requested by a Retry-After header."""
         self._grow(now)
         self.balance = min(self.balance, -seconds * self.rate_per_second)
 
     def change_rate(self, rate_per_second: float, capacity: float, now: float) -> None:
-        """Go on at another rate from `now`."""
+        """Change the rate and capacity as of `now`."""
         self._grow(now)
         self.rate_per_second = rate_per_second
         self.capacity = capacity
--- a/src/foxwinch/core/limits/usage.py
+++ b/src/foxwinch/core/limits/usage.py
@@ -1,7 +1,7 @@
-"""Demand of tenants and classes at one node, and the digest in which it is told to the others.
+"""Demand of tenants and classes at one node, and the digest that publishes it to other nodes.
 
-Demand is offered load as a fraction of the limit: 1 means that this node alone is offered the whole
-limit. Refused requests count, so that a share grows where it is too small.
+Demand is offered load as a fraction of the limit: 1 means that this node alone receives load equal
+to the limit. Rejected requests count, so that a share that is too small grows.
 """
 
 import math
@@ -14,25 +14,26 @@
 from foxwinch._generated.limits_pb2 import UsageDigestMessage
 
 DIGEST_ENTRIES = 64
-"""The keys with the highest demand are told: 5 bytes each, so that a digest has 330 bytes."""
+"""Number of keys in a digest, those with the highest demand. Each takes 5 bytes, so a digest takes
+330 bytes."""
 DEMAND_MAXIMUM = 1.0
-"""More than the whole limit cannot be given, so more is not asked for."""
+"""Demand is capped at the whole limit, since a node cannot get more."""
 DEMAND_MINIMUM = 2.0**-12
 STEPS_PER_DOUBLING = 8
-"""Resolution of a told demand: 9%."""
+"""Resolution of a published demand, here 9%."""
 ROUNDING = 1.0 + 1e-9
-"""A demand that is exactly on a step stays on it."""
+"""Factor that keeps a demand that is exactly on a step from being rounded down."""
 AVERAGE_SECONDS = 3.0
-"""Time constant of the average: shorter than the burst, longer than a turn of a program."""
+"""Time constant of the moving average: shorter than the burst, longer than a program's turn."""
 
 
 def key_hash(key: str) -> int:
-    """Return the 32-bit name of a key in digests; two keys that collide share their demand."""
+    """Return the 32-bit hash that names a key in digests; colliding keys share their demand."""
     return xxhash.xxh32_intdigest(key.encode())
 
 
 def quantize(demand: float) -> int:
-    """Return the step of a demand, from 1 to 97; 0 stands for none."""
+    """Return the quantization step of a demand, from 1 to 97, or 0 for no demand."""
     if demand < DEMAND_MINIMUM:
         return 0
     bounded = min(demand, DEMAND_MAXIMUM)
@@ -40,7 +41,7 @@
 
 
 def demand_of_step(step: int) -> float:
-    """Return the demand that a step stands for."""
+    """Return the demand that a quantization step represents."""
     if step <= 0:
         return 0.0
     return min(DEMAND_MAXIMUM, DEMAND_MINIMUM * math.exp2((step - 1) / STEPS_PER_DOUBLING))
@@ -48,26 +49,25 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageDigest:
-    """Demand by hashed key, as told to the other nodes."""
+    """Demand by hashed key, as published to the other nodes."""
 
     demand: Mapping[int, float] = field(default_factory=dict)
 
 
 class DemandMeter:
-    """Averages the demand of each key over time."""
+    """Exponential moving average of the demand of each key."""
 
     def __init__(self, now: float) -> None:
-        """Start without demand."""
         self._pending: dict[str, float] = {}
         self._average: dict[str, float] = {}
         self._at = now
 
     def add(self, key: str, seconds_of_limit: float) -> None:
-        """Count offered work, as the time that it takes at the whole limit."""
+        """Add offered load, expressed as the seconds that it takes at the full limit."""
         self._pending[key] = self._pending.get(key, 0.0) + seconds_of_limit
 
     def advance(self, now: float) -> None:
-        """Bring the averages to `now`."""
+        """Update the averages to `now`."""
         elapsed = now - self._at
         if elapsed <= 0:
             return
@@ -81,21 +81,21 @@
         self._average, self._pending, self._at = averages, {}, now
 
     def digest(self) -> UsageDigest:
-        """Return the highest demands in the steps in which they are told."""
+        """Return the highest demands, quantized."""
         ranked = sorted(self._average.items(), key=lambda item: (-item[1], item[0]))
         told = {key_hash(key): quantize(demand) for key, demand in ranked[:DIGEST_ENTRIES]}
         return UsageDigest({name: demand_of_step(step) for name, step in told.items() if step})
 
 
 def encode(digest: UsageDigest) -> bytes:
-    """Serialize a digest whose demands are on the scale of the steps."""
+    """Serialize a digest of quantized demands."""
     keys = sorted(digest.demand)
     steps = bytes(quantize(digest.demand[key] * ROUNDING) for key in keys)
     return UsageDigestMessage(keys=keys, steps=steps).SerializeToString()
 
 
 def decode(payload: bytes) -> UsageDigest | None:
-    """Read a digest; None when it cannot be read."""
+    """Decode a digest; return None if it is malformed."""
     try:
         message = UsageDigestMessage.FromString(payload)
     except DecodeError:
--- a/src/foxwinch/core/membership/__init__.py
+++ b/src/foxwinch/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there and what they say: failure detection (SWIM) and gossip inside a byte budget."""
+"""SWIM failure detection and gossip within a byte budget."""
--- a/src/foxwinch/core/membership/actions.py
+++ b/src/foxwinch/core/membership/actions.py
@@ -1,4 +1,4 @@
-"""What membership and gossip ask of their driver."""
+"""Actions that the membership engine returns to its driver, and its reported state."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send a datagram."""
+    """Send a datagram to a peer."""
 
     address: PeerAddress
     payload: bytes
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member of the region has a new state."""
+    """The state or incarnation of a member of this region has changed."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class EntryChanged:
-    """A newer entry has arrived."""
+    """A gossip entry has been added or replaced by a newer version."""
 
     entry: GossipEntry
 
@@ -34,31 +34,31 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionState:
-    """What this node knows of one region."""
+    """One region as this node sees it."""
 
     region: RegionName
     present_nodes: int
     bridges: tuple[PeerAddress, ...]
     silent_seconds: float
-    """Since the region's summary last changed here; 0 for the own region."""
+    """Time since this node last received a new summary of the region; 0 for its own region."""
     cut_off: bool
-    """Silent for so long that it cannot be reached, or this region cannot."""
+    """Whether the region has been silent long enough to count as partitioned from this one."""
 
 
 @dataclass(slots=True)
 class MembershipCounters:
-    """Totals since the start, for metrics and experiments."""
+    """Totals since the engine started, for metrics and experiments."""
 
     datagrams_sent: int = 0
     bytes_sent: int = 0
-    """With IP and UDP headers."""
+    """Includes IP and UDP headers."""
     datagrams_received: int = 0
     bytes_received: int = 0
     malformed: int = 0
     suspicions: int = 0
-    """Members that this node itself began to suspect."""
+    """Suspicions raised by this node."""
     condemnations: int = 0
-    """Members that this node itself declared dead."""
+    """Members declared dead by this node."""
     refutations: int = 0
     over_budget: int = 0
-    """Datagrams not sent because the budget was used up."""
+    """Datagrams dropped because the byte budget was exhausted."""
--- a/src/foxwinch/core/membership/detector.py
+++ b/src/foxwinch/core/membership/detector.py
@@ -1,7 +1,7 @@
-"""Failure detection: probes, indirect probes, suspicion; a node is condemned on own evidence only.
+"""SWIM failure detection: direct probes, indirect probes and suspicion.
 
-A node that another one suspects is not condemned here for it: this node probes it in its turn.
-So a refutation need not reach every member in time, only the one that suspects.
+A node declares a member dead only after its own probes have failed. A suspicion received from
+another node does not count, so a refutation needs to reach only the node that raised it.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeMember:
-    """Probe a member, directly and through the helpers, under one sequence number."""
+    """Probe a member directly and through the helpers, under one sequence number."""
 
     target: Member
     sequence: int
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectMember:
-    """A member did not answer any probe: others should know, above all the member itself."""
+    """A member has answered no probe; the suspicion is gossiped so that it can be refuted."""
 
     target: Member
 
 
 @dataclass(frozen=True, slots=True)
 class CondemnMember:
-    """A suspected member has not answered for the whole suspicion."""
+    """A suspected member has not answered within the suspicion timeout."""
 
     target: Member
 
@@ -53,10 +53,9 @@
 
 
 class FailureDetector:
-    """Probes the present members of a table in turn."""
+    """Probes the present members of a table in random round-robin order."""
 
     def __init__(self, table: MemberTable, draws: Draws, parameters: MembershipParameters) -> None:
-        """Start with the first probe at the first tick."""
         self._table = table
         self._draws = draws
         self._parameters = parameters
@@ -67,9 +66,9 @@
         self._next_probe_at_seconds = 0.0
 
     def tick(self, now: float, may_probe: bool) -> list[DetectorAction]:
-        """Judge probes without answer, and send those that are due.
+        """Expire unanswered probes and start those that are due.
 
-        Without `may_probe` (the byte budget is used up) no probe of a further member starts.
+        No probe of another member starts while `may_probe` is False (byte budget exhausted).
         """
         actions = self._judge_suspicions(now)
         actions += self._judge_probes(now)
@@ -79,7 +78,7 @@
         return actions
 
     def answered(self, sequence: int) -> NodeId | None:
-        """Take an answer; returns the node whose probe it answers, if it is still awaited."""
+        """Record an answer and return the probed node, or None if the probe is not pending."""
         probe = self._probes.get(sequence)
         if probe is None:
             return None
@@ -87,14 +86,14 @@
         return probe.target
 
     def heard_from(self, node: NodeId) -> None:
-        """A sign of life from the node itself: drop the evidence against it."""
+        """Drop pending probes and suspicion of a node from which a datagram arrived."""
         self._suspicions.pop(node, None)
         if self._probes:
             for sequence in [s for s, p in self._probes.items() if p.target == node]:
                 del self._probes[sequence]
 
     def void_evidence(self, now: float) -> None:
-        """This process was paused: silence of others in that time says nothing."""
+        """Discard failure evidence after a pause of this process, which may have missed answers."""
         self._probes.clear()
         for suspicion in self._suspicions.values():
             suspicion.condemn_at_seconds = now + self._parameters.suspicion_seconds
@@ -138,7 +137,7 @@
         return actions
 
     def _probe_next(self, now: float) -> list[DetectorAction]:
-        """Probe the next member of the turn; quicker while something is wrong."""
+        """Probe the next member, at a shorter interval while any member is suspected."""
         hurry = bool(self._suspicions)
         period = self._parameters.tick_seconds if hurry else self._parameters.probe_period_seconds
         self._next_probe_at_seconds = now + period
--- a/src/foxwinch/core/membership/digest.py
+++ b/src/foxwinch/core/membership/digest.py
@@ -1,34 +1,33 @@
-"""What a node holds, as one hash a bucket: two nodes compare it and send only what differs."""
+"""Anti-entropy digest: one hash per bucket, so that two nodes exchange only differing buckets."""
 
 import xxhash
 
 
 class DigestIndex:
-    """Keeps the exclusive-or of the hashes of a bucket's items up to date."""
+    """Maintains the XOR of the item hashes of each bucket incrementally."""
 
     def __init__(self, bucket_count: int) -> None:
-        """Start empty."""
         self.buckets = [0] * bucket_count
         self._keys: list[dict[str, int]] = [{} for _ in range(bucket_count)]
 
     def put(self, key: str, field: bytes) -> None:
-        """Hold `field` under `key`, in place of what was there."""
+        """Set the item under `key` to `field`."""
         bucket = self._bucket(key)
         new = xxhash.xxh32_intdigest(field)
         self.buckets[bucket] ^= self._keys[bucket].get(key, 0) ^ new
         self._keys[bucket][key] = new
 
     def remove(self, key: str) -> None:
-        """Hold nothing under `key`."""
+        """Remove the item under `key`, if any."""
         bucket = self._bucket(key)
         self.buckets[bucket] ^= self._keys[bucket].pop(key, 0)
 
     def differing(self, other: list[int]) -> list[int]:
-        """Return the buckets in which the other node holds something else."""
+        """Return the indices of the buckets whose hashes differ from `other`."""
         return [index for index, mine in enumerate(self.buckets) if mine != other[index]]
 
     def keys(self, bucket: int) -> list[str]:
-        """Return the keys of one bucket."""
+        """Return the keys in one bucket."""
         return list(self._keys[bucket])
 
     def _bucket(self, key: str) -> int:
--- a/src/foxwinch/core/membership/draws.py
+++ b/src/foxwinch/core/membership/draws.py
@@ -1,4 +1,4 @@
-"""A deterministic sequence of numbers for choices that should differ between nodes."""
+"""Deterministic pseudo-random numbers for choices that should differ between nodes."""
 
 from collections.abc import Sequence
 from typing import TypeVar
@@ -8,14 +8,13 @@
 
 
 class Draws:
-    """SplitMix64: the same seed gives the same choices, so that every run can be repeated."""
+    """SplitMix64 generator; the same seed gives the same sequence, so that runs are repeatable."""
 
     def __init__(self, seed: int) -> None:
-        """Start from `seed`."""
         self._state = seed & _MASK
 
     def below(self, bound: int) -> int:
-        """Return a number from 0 up to `bound`, which is positive."""
+        """Return an integer in [0, bound); `bound` must be positive."""
         self._state = (self._state + 0x9E3779B97F4A7C15) & _MASK
         mixed = self._state
         mixed = ((mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9) & _MASK
@@ -23,7 +22,7 @@
         return (mixed ^ (mixed >> 31)) % bound
 
     def pick(self, items: Sequence[Item], count: int) -> list[Item]:
-        """Return up to `count` different items in random order."""
+        """Return up to `count` distinct items in random order."""
         chosen = list(items)
         take = min(count, len(chosen))
         for index in range(take):
--- a/src/foxwinch/core/membership/engine.py
+++ b/src/foxwinch/core/membership/engine.py
@@ -1,4 +1,4 @@
-"""Membership and gossip of one node: what arrives and the time go in, actions come out."""
+"""Sans-I/O membership and gossip engine: datagrams and the time go in, actions come out."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
@@ -36,13 +36,13 @@
 from foxwinch.identifiers import NodeId, PeerAddress
 
 DATAGRAMS_WHEN_RICH = 4
-"""Datagrams of news a tick while more than half of the burst is saved up."""
+"""Gossip datagrams per tick while more than half of the burst budget is available."""
 FAREWELLS = 5
-"""Members that are told directly that this node leaves."""
+"""Members notified directly when this node leaves."""
 
 
 class MembershipEngine:
-    """Drive it by `tick` every `tick_seconds` and by `receive` for every datagram."""
+    """Membership of one node; call `tick` every `tick_seconds` and `receive` for every datagram."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         hints: Iterable[PeerAddress] = (),
         parameters: MembershipParameters | None = None,
     ) -> None:
-        """Start alone; `hints` are addresses at which other nodes may be."""
+        """Start as the only member; `hints` are addresses at which other nodes may run."""
         self._parameters = parameters or MembershipParameters()
         self._state = KnowledgeState(this, self._parameters, now)
         self._draws = Draws(seed)
@@ -70,43 +70,43 @@
 
     @property
     def counters(self) -> MembershipCounters:
-        """Totals since the start."""
+        """Totals since the engine started."""
         return self._state.counters
 
     def this_member(self) -> Member:
-        """Return this node itself."""
+        """Return this node's own record."""
         return self._state.table.this
 
     def members(self) -> list[Member]:
-        """Return every known member of the region, this node included."""
+        """Return every known member of the region, including this node."""
         return self._state.table.all()
 
     def entries(self, kind: GossipKind) -> Mapping[str, GossipEntry]:
-        """Return the entries held of a kind, by key."""
+        """Return the entries of a kind by key."""
         return self._state.store.of_kind(kind)
 
     def regions(self, now: float) -> list[RegionState]:
-        """Return what is known of every region, this one first."""
+        """Return the state of every known region, this one first."""
         return self._regions.regions(now)
 
     def is_bridge(self) -> bool:
-        """Tell whether this node speaks with other regions."""
+        """Return whether this node exchanges gossip with other regions."""
         return self.this_member() in self._regions.bridges()
 
     def is_alone(self) -> bool:
-        """Tell whether no other member of the region is known to be there."""
+        """Return whether this node knows of no other present member of the region."""
         return not self._state.table.present_others()
 
     def set_listed(self, addresses: Iterable[PeerAddress]) -> None:
-        """Replace what was heard of elsewhere (the platform's list) about where nodes are."""
+        """Replace the candidate addresses that come from the platform's machine list."""
         self._joining.set_listed(addresses)
 
     def publish(self, entry: GossipEntry, now: float) -> list[Action]:
-        """Spread an entry; raises `ValueError` for one that fits no datagram."""
+        """Gossip an entry; raise `ValueError` if it does not fit into a datagram."""
         if not 0 < len(entry.key.encode()) <= KEY_BYTES or len(entry.payload) > PAYLOAD_BYTES:
             raise ValueError(
-                f"gossip entry {entry.key!r}: {len(entry.payload)} bytes; "
-                f"allowed: {PAYLOAD_BYTES}, and {KEY_BYTES} of key"
+                f"gossip entry {entry.key!r}: payload of {len(entry.payload)} bytes; "
+                f"allowed: {PAYLOAD_BYTES} bytes, and {KEY_BYTES} bytes of key"
             )
         if entry.owner is None and entry.kind in OWNED_KINDS:
             entry = replace(entry, owner=self.this_member().node)
@@ -114,22 +114,22 @@
         return self._drain()
 
     def leave(self, now: float) -> list[Action]:
-        """Announce that this node will leave: it takes no new work but is still there."""
+        """Announce that this node is draining; it takes no new work but still answers."""
         return self._announce(MemberState.LEAVING, now)
 
     def left(self, now: float) -> list[Action]:
-        """Announce that this node is gone; call nothing afterwards."""
+        """Announce that this node has left; the engine must not be used afterwards."""
         return self._announce(MemberState.LEFT, now)
 
     def receive(self, source: PeerAddress, payload: bytes, now: float) -> list[Action]:
-        """Act on a datagram; a malformed one only counts."""
+        """Process a datagram; a malformed one is only counted."""
         self.counters.datagrams_received += 1
         self.counters.bytes_received += len(payload) + UDP_HEADER_BYTES
         self._receiver.receive(source, payload, now)
         return self._drain()
 
     def tick(self, now: float) -> list[Action]:
-        """Do what is due."""
+        """Run everything that is due at `now`."""
         if now - self._ticked_at_seconds > self._parameters.stall_seconds:
             self._detector.void_evidence(now)
         self._ticked_at_seconds = now
@@ -215,7 +215,7 @@
                 self._sender.send(address, GossipDatagram(), now, news=news)
 
     def _spread(self, now: float) -> None:
-        """Send news beyond what probes and answers carry, to the members in turn."""
+        """Send pending updates that were not piggybacked on probes or answers."""
         outbox = self._state.outbox
         outbox.enough = len(self._state.table.present_others()) + 1
         count = 2 if outbox.urgent(URGENT_RANK) else 1
@@ -230,7 +230,7 @@
             self._sender.send(member.address, GossipDatagram(), now, news=outbox)
 
     def _next_receiver(self) -> Member | None:
-        """Return the next of a random order of the others, so that few of them get news twice."""
+        """Return the next member of a random permutation, so that few receive an update twice."""
         for _ in range(2):
             while self._receivers:
                 member = self._state.table.get(self._receivers.pop())
--- a/src/foxwinch/core/membership/entry.py
+++ b/src/foxwinch/core/membership/entry.py
@@ -1,4 +1,4 @@
-"""What is gossiped besides members."""
+"""Gossip entries: versioned values that are spread along with membership records."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,7 +7,7 @@
 
 
 class GossipKind(IntEnum):
-    """What a gossip entry is about; a lower number goes first inside the byte budget."""
+    """Subject of a gossip entry; the value is its rank, and lower ranks are sent first."""
 
     LEAVING = 0
     MEMBERSHIP = 1
@@ -19,38 +19,37 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipEntry:
-    """A versioned value; of two versions under one key the higher wins everywhere."""
+    """A versioned value; the highest version under a key wins on every node."""
 
     kind: GossipKind
     key: str
     version: int
     payload: bytes
-    """Serialized protobuf of the subsystem, at most `PAYLOAD_BYTES`."""
+    """Serialized protobuf message of the publishing subsystem, at most `PAYLOAD_BYTES`."""
     owner: NodeId | None = None
-    """Node that the entry speaks of: it is dropped once that node has left or died.
+    """Node that the entry describes; the entry is dropped once that node has left or died.
 
     `GossipView.publish` fills in this node for the kinds in `OWNED_KINDS`."""
 
     @property
     def is_global(self) -> bool:
-        """Whether the entry goes to every region; the others stay inside theirs."""
+        """Whether the entry is gossiped to all regions rather than only its own."""
         return self.kind in GLOBAL_KINDS
 
 
 GLOBAL_KINDS = frozenset({GossipKind.MEMBERSHIP, GossipKind.CONFIGURATION})
 OWNED_KINDS = frozenset({GossipKind.SHARD, GossipKind.STEWARD, GossipKind.USAGE})
-"""Kinds in which a node speaks of itself; others outlive the node that published them."""
+"""Kinds that describe the publishing node; other kinds outlive the node that published them."""
 PAYLOAD_BYTES = 700
-"""Largest payload: with its key, its owner and the sender it still fits one datagram."""
+"""Largest payload that fits into one datagram together with its key, owner and sender."""
 KEY_BYTES = 120
-"""Longest key."""
 
 
 def replaces(new: GossipEntry, held: GossipEntry | None) -> bool:
-    """Tell whether an arriving entry replaces the held one.
+    """Return whether a received entry replaces the held one.
 
-    Two payloads under one version are a fault of their publishers; the greater payload wins, so
-    that at least all nodes hold the same.
+    Two payloads under one version are a publisher's fault; the greater payload wins, so that all
+    nodes still converge to the same value.
     """
     if held is None or new.version != held.version:
         return held is None or new.version > held.version
--- a/src/foxwinch/core/membership/gossip.py
+++ b/src/foxwinch/core/membership/gossip.py
@@ -1,4 +1,4 @@
-"""The gossip entries that one node holds."""
+"""Store of the gossip entries held by one node."""
 
 from collections import defaultdict
 from collections.abc import Callable, Mapping
@@ -9,10 +9,9 @@
 
 
 class EntryStore:
-    """Entries by kind and key; those of absent owners are not kept."""
+    """Entries by kind and key; entries of absent owners are dropped."""
 
     def __init__(self, parameters: MembershipParameters) -> None:
-        """Start empty."""
         self._parameters = parameters
         self._entries: defaultdict[GossipKind, dict[str, GossipEntry]] = defaultdict(dict)
         self._changed_at_seconds: dict[tuple[GossipKind, str], float] = {}
@@ -22,7 +21,7 @@
         return len(self._changed_at_seconds)
 
     def put(self, entry: GossipEntry, now: float) -> bool:
-        """Take an entry over if it is newer and there is room; tells whether it was."""
+        """Store an entry if it is newer and there is room; return whether it was stored."""
         held = self._entries[entry.kind].get(entry.key)
         if not replaces(entry, held):
             return False
@@ -33,7 +32,7 @@
         return True
 
     def get(self, kind: GossipKind, key: str) -> GossipEntry | None:
-        """Return one entry."""
+        """Return an entry, or None if it is not held."""
         return self._entries[kind].get(key)
 
     def of_kind(self, kind: GossipKind) -> Mapping[str, GossipEntry]:
@@ -41,15 +40,15 @@
         return dict(self._entries[kind])
 
     def changed_at_seconds(self, entry: GossipEntry) -> float:
-        """Return when an entry arrived here."""
+        """Return when this node last stored a new version of an entry."""
         return self._changed_at_seconds[(entry.kind, entry.key)]
 
     def drop_owned_by(self, node: NodeId) -> list[GossipEntry]:
-        """Drop and return the entries of an owner that is gone."""
+        """Drop and return the entries owned by a node."""
         return self._drop_where(lambda entry: entry.owner == node)
 
     def drop_orphans(self, is_known: Callable[[NodeId], bool], now: float) -> list[GossipEntry]:
-        """Drop and return old entries whose owner never showed up."""
+        """Drop and return old entries whose owner never appeared as a member."""
         before = now - self._parameters.unknown_owner_seconds
         return self._drop_where(
             lambda entry: (
--- a/src/foxwinch/core/membership/joining.py
+++ b/src/foxwinch/core/membership/joining.py
@@ -1,4 +1,4 @@
-"""Where to look for nodes that should be members but are not, for ever."""
+"""Continuous search for nodes that should be members of the region but are not."""
 
 from collections.abc import Iterable
 
@@ -8,13 +8,13 @@
 from foxwinch.identifiers import PeerAddress
 
 LISTED_ADDRESSES = 1_024
-"""Addresses taken from the platform's list."""
+"""Maximum number of addresses taken from the platform's machine list."""
 FIRST_TRIES = 3
-"""Addresses tried at once while alone."""
+"""Addresses tried at once while no other member is known."""
 
 
 class JoinPlan:
-    """Chooses addresses among seeds, the platform's list, former members and bridges."""
+    """Chooses join targets among seeds, the platform's list, former members and bridges."""
 
     def __init__(
         self,
@@ -23,7 +23,6 @@
         draws: Draws,
         seeds: Iterable[PeerAddress],
     ) -> None:
-        """Try the seeds first."""
         self._state = state
         self._regions = regions
         self._draws = draws
@@ -34,20 +33,20 @@
         self._elsewhere: dict[PeerAddress, None] = {}
 
     def is_elsewhere(self, address: PeerAddress) -> None:
-        """A node of another region is there: a hint for a start, but no missing member."""
+        """Record the address of a node in another region, which is not a missing member."""
         if len(self._elsewhere) < LISTED_ADDRESSES:
             self._elsewhere[address] = None
 
     def set_listed(self, addresses: Iterable[PeerAddress]) -> None:
-        """Replace the addresses of the platform's list."""
+        """Replace the addresses from the platform's machine list."""
         self._listed = tuple(addresses)[:LISTED_ADDRESSES]
 
     def news_of_region(self) -> None:
-        """This region's summary has come: its bridges are worth trying now."""
+        """Schedule a join now, because the received summary of this region names its bridges."""
         self._hurry = True
 
     def due(self, now: float) -> list[PeerAddress]:
-        """Return the addresses to send a join to now."""
+        """Return the addresses to which a join is due."""
         alone = not self._state.table.present_others()
         if now < self._next_at_seconds and not (alone and self._hurry):
             return []
--- a/src/foxwinch/core/membership/member.py
+++ b/src/foxwinch/core/membership/member.py
@@ -1,4 +1,4 @@
-"""Members, and which of two records of one member is the newer."""
+"""Member records and their precedence."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class MemberState(StrEnum):
-    """State of a node as seen by failure detection."""
+    """State of a node according to failure detection."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A node as its fellow nodes see it."""
+    """Membership record of one node."""
 
     node: NodeId
     address: PeerAddress
@@ -26,11 +26,11 @@
     region: RegionName
     state: MemberState
     incarnation: int
-    """Raised by the node itself only, to refute a suspicion or to announce that it leaves."""
+    """Incremented only by the node itself, to refute a suspicion or to announce that it leaves."""
 
     @property
     def is_present(self) -> bool:
-        """Whether the node takes part: alive, suspected or about to leave."""
+        """Whether the node is alive, suspected or leaving, and not yet dead or left."""
         return self.state not in ABSENT
 
 
@@ -45,10 +45,10 @@
 
 
 def supersedes(new: Member, held: Member) -> bool:
-    """Tell whether `new` replaces `held` (records of the same node).
+    """Return whether `new` replaces `held`, a record of the same node.
 
-    A higher incarnation wins; under the same one the state that says more. A node that has left
-    never comes back under its old identity.
+    The higher incarnation wins, and at equal incarnations the state of higher rank. A node that
+    has left never returns under its old identity.
     """
     if held.state is MemberState.LEFT:
         return False
--- a/src/foxwinch/core/membership/outbox.py
+++ b/src/foxwinch/core/membership/outbox.py
@@ -1,4 +1,4 @@
-"""News that a node passes on a few times, the most important first."""
+"""Queue of gossip updates, each retransmitted a limited number of times."""
 
 from dataclasses import dataclass
 
@@ -13,34 +13,33 @@
 
 
 class Outbox:
-    """Items waiting to be piggybacked; each leaves after its number of transmissions."""
+    """Updates waiting to be piggybacked; each is removed after its number of transmissions."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self.enough = 1_000
-        """Transmissions after which any item leaves: the number of receivers there are."""
+        """Upper bound on the transmissions of any update: the number of possible receivers."""
         self._news: dict[str, _News] = {}
         self._offered = 0
 
     def __len__(self) -> int:
-        """Return the number of items waiting."""
+        """Return the number of queued updates."""
         return len(self._news)
 
     def offer(self, key: str, rank: int, field: bytes, transmissions: int) -> None:
-        """Wait with `field`, in place of an older item under the same key."""
+        """Queue `field`, replacing an older update under the same key."""
         self._offered += 1
         self._news[key] = _News(rank, 0, transmissions, field, self._offered)
 
     def drop(self, key: str) -> None:
-        """Forget an item."""
+        """Remove the update under `key`, if any."""
         self._news.pop(key, None)
 
     def urgent(self, highest_rank: int) -> bool:
-        """Tell whether an item of at most that rank waits."""
+        """Return whether an update of at most `highest_rank` is queued."""
         return any(news.rank <= highest_rank for news in self._news.values())
 
     def take(self, room_bytes: float, highest_rank: int) -> list[bytes]:
-        """Return fields that fit the room: lowest rank first, then least often sent."""
+        """Return the fields that fit into `room_bytes`, by rank and then by times sent."""
         if not self._news or room_bytes <= 0:
             return []
         taken = []
--- a/src/foxwinch/core/membership/parameters.py
+++ b/src/foxwinch/core/membership/parameters.py
@@ -1,74 +1,78 @@
-"""Periods and bounds of membership and gossip; docs/design/membership.md weighs them."""
+"""Periods and bounds of membership and gossip; docs/design/membership.md gives the rationale."""
 
 from dataclasses import dataclass
 
 UDP_HEADER_BYTES = 28
-"""IPv4 and UDP headers, counted against the budget."""
+"""IPv4 and UDP headers, which count against the byte budget."""
 DATAGRAM_BYTES = 1_200
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipParameters:
-    """All of them, so that tests and experiments can change one."""
+    """All tunable parameters; tests and experiments override single ones."""
 
     tick_seconds: float = 0.25
-    """How often the driver calls `tick`."""
+    """Interval at which the driver calls `tick`."""
     probe_period_seconds: float = 0.5
-    """A node probes one other node per period; each is probed about once per period, and the wait
-    for the first probe of a dead node is exponential with this mean."""
+    """A node probes one other node per period. Each node is thus probed about once per period, and
+    the time until the first probe of a dead node is exponential with this mean."""
     probe_timeout_seconds: float = 0.25
-    """After that the probe is repeated and helpers are asked; a region's round trip is 6 ms."""
+    """Time after which an unanswered probe is repeated directly and through helpers; the round trip
+    within a region is 6 ms."""
     probe_failed_seconds: float = 0.75
-    """After that the target is suspected."""
+    """Time after which the target of an unanswered probe is suspected."""
     indirect_probes: int = 3
     suspicion_seconds: float = 2.5
-    """The suspecting node goes on probing for so long before it declares the target dead."""
+    """Suspicion timeout, during which the suspecting node keeps probing before it declares the
+    target dead."""
     reprobe_seconds: float = 0.5
-    """Pause between probes of a node that this node suspects."""
+    """Interval between probes of a suspected member."""
     reprobe_helpers: int = 2
     suspicions_at_once: int = 2
-    """No further member is probed while so many are suspected here: when a zone fails, the others
-    share the work, and a node that is itself cut off stays inside its budget."""
+    """Number of suspicions at which a node starts no further probes. When a zone fails, the other
+    nodes share the work, and a node that is itself partitioned stays within its budget."""
     stall_seconds: float = 1.0
-    """A gap between ticks above this was a pause of this process: its own evidence is void."""
+    """A longer gap between ticks counts as a pause of this process, whose failure evidence is then
+    discarded."""
     forget_seconds: float = 600.0
-    """Records of absent members are kept so long, so that old gossip does not revive them."""
+    """Retention of the records of absent members, so that stale gossip does not revive them."""
     unknown_owner_seconds: float = 60.0
-    """An entry whose owner never showed up as a member is dropped after that."""
+    """Age at which an entry is dropped if its owner never appeared as a member."""
     digest_period_seconds: float = 5.0
-    """Anti-entropy with one random member."""
+    """Interval of anti-entropy with one random member."""
     digest_hurry_seconds: float = 1.0
-    """The same while a quarter of the buckets differed last time: after a join or a partition."""
+    """Anti-entropy interval after a comparison in which a quarter of the buckets differed, as after
+    a join or a partition."""
     settle_seconds: float = 5.0
-    """Entries younger than this are still on their way; anti-entropy repeats only those of them
-    that every node must have."""
+    """Age below which an entry is still being gossiped. Anti-entropy repeats a younger entry only
+    if its kind is global."""
     bucket_count: int = 32
     repair_datagrams: int = 4
-    """Datagrams with which one digest is answered at most."""
+    """Maximum number of datagrams sent in answer to one digest."""
     join_period_seconds: float = 1.0
-    """While no other member of the region is known."""
+    """Interval of join attempts while no other member of the region is known."""
     rejoin_period_seconds: float = 15.0
-    """For ever after: one address that should be a member but is not, so that partitions heal."""
+    """Interval of join attempts to one missing address afterwards, so that partitions heal."""
     summary_period_seconds: float = 60.0
-    """How often a region tells the other regions that it is there."""
+    """Interval at which a region publishes its summary to the other regions."""
     summary_transmissions: int = 2
-    """Instead of `transmissions`: nothing waits for a summary, and every node of every region gets
-    those of all regions."""
+    """Overrides `transmissions` for summaries: they are not urgent, and every node receives those
+    of all regions."""
     bridges: int = 3
-    """Members of a region that speak with the other regions."""
+    """Number of members of a region that exchange gossip with other regions."""
     region_silent_seconds: float = 150.0
-    """A region whose summary has not changed for so long counts as cut off."""
+    """Time without a new summary after which a region counts as cut off."""
     budget_bytes_per_second: float = 2_000.0
-    """What a node sends in datagrams; as much arrives, so a third of the 6,000 B/s is left for
-    requests over TCP."""
+    """Rate of sent datagrams. A node receives as much as it sends, so a third of its 6,000 B/s for
+    control traffic remains for requests over TCP."""
     budget_burst_bytes: float = 32_000.0
-    """Saved up while little is sent: news that comes all at once does not wait."""
+    """Bytes that accumulate while little is sent, so that a burst of updates is not delayed."""
     budget_overdraft_bytes: float = 9_000.0
-    """What probes and answers may take beyond the budget, and urgent news half of it."""
+    """Overdraft allowed for probes and answers; urgent updates may use half of it."""
     former_addresses: int = 256
-    """Addresses of absent members that are tried again."""
+    """Number of addresses of absent members kept as join targets."""
     entries: int = 20_000
-    """Entries held at most."""
+    """Maximum number of entries held."""
     transmissions: tuple[int, ...] = (6, 6, 6, 4, 3, 3)
-    """How often a node passes on what is new to it, by kind, and no more often than there are other
-    members; digests reach the rest."""
+    """Transmissions of an update by each node, indexed by kind and bounded by the number of other
+    members. Anti-entropy reaches the remaining nodes."""
--- a/src/foxwinch/core/membership/receiver.py
+++ b/src/foxwinch/core/membership/receiver.py
@@ -1,4 +1,4 @@
-"""What a node does about a datagram."""
+"""Processing of received datagrams."""
 
 from dataclasses import replace
 
@@ -21,15 +21,15 @@
 from foxwinch.identifiers import NodeId, PeerAddress
 
 RELAYS = 256
-"""Indirect probes remembered at a time."""
+"""Maximum number of pending indirect probes relayed for other nodes."""
 JOIN_MEMBERS = 8
-"""Members named to a node that joins; digests bring the rest."""
+"""Members sent to a joining node; anti-entropy sends the rest."""
 FAR_APART_FRACTION = 0.25
-"""Above this fraction of differing buckets the next comparison comes soon."""
+"""Fraction of differing buckets above which the next anti-entropy round runs early."""
 
 
 class DatagramReceiver:
-    """Merges what a datagram carries and answers what it asks."""
+    """Merges the records of a datagram and answers its request."""
 
     def __init__(
         self,
@@ -39,7 +39,6 @@
         draws: Draws,
         joining: JoinPlan,
     ) -> None:
-        """Answer through `sender`."""
         self.far_apart = False
         """Whether the last comparison found more than a quarter of the buckets differing."""
         self._state = state
@@ -51,7 +50,7 @@
         self._next_relay = 2**32
 
     def receive(self, source: PeerAddress, payload: bytes, now: float) -> None:
-        """Act on one datagram."""
+        """Process one datagram."""
         datagram = parse_datagram(payload)
         sender = read_member(datagram.sender) if datagram is not None else None
         if datagram is None or sender is None:
@@ -70,7 +69,7 @@
         self._answer(source, sender, datagram, local, now)
 
     def _hear(self, sender: Member, now: float) -> None:
-        """Take a sign of life from the member itself."""
+        """Record direct contact with a member; any other member at its address is marked dead."""
         table = self._state.table
         previous = table.present_at(sender.address)
         if previous is not None and previous.node not in (sender.node, table.this.node):
@@ -143,7 +142,7 @@
     def _joined(self, source: PeerAddress, join: Join, local: bool, now: float) -> None:
         self.far_apart = self.far_apart or local
         if join.reply or not self._sender.has_balance(now):
-            return  # who joins tries again, here or elsewhere
+            return  # the joining node retries
         fields = []
         if local:
             members = self._draws.pick(self._state.table.present_others(), JOIN_MEMBERS)
@@ -155,7 +154,7 @@
         only_global = digest.only_global or not local
         index = self._state.global_digest if only_global else self._state.digest
         if len(digest.buckets) != len(index.buckets):
-            return  # a version with another number of buckets
+            return  # the peer runs a version with another bucket count
         differing = index.differing(list(digest.buckets))
         if not differing:
             return
@@ -178,7 +177,7 @@
         return self._state.repair_fields(self._draws.pick(keys, len(keys)), now, everything=True)
 
     def _correct(self, source: PeerAddress, sender: Member, now: float) -> None:
-        """Tell a member that speaks here although it counts as suspected or dead."""
+        """Send a live member its suspected or dead record, so that it can refute it."""
         fields = self._record_to_refute(sender)
         if fields and self._sender.has_balance(now):
             self._sender.send(source, GossipDatagram(), now, fields)
--- a/src/foxwinch/core/membership/regions.py
+++ b/src/foxwinch/core/membership/regions.py
@@ -1,4 +1,4 @@
-"""Between regions: summaries and global entries, spoken of through a few members of a region."""
+"""Region summaries and the bridges, the few members that exchange gossip between regions."""
 
 import xxhash
 from google.protobuf.message import DecodeError
@@ -13,21 +13,20 @@
 
 SUMMARY_PREFIX = "region/"
 SUMMARY_OVERDUE_PERIODS = 2.0
-"""Another bridge than the first publishes the summary once it is so late."""
+"""Summary age, in periods, at which a bridge other than the first publishes a new one."""
 
 
 class RegionDirectory:
-    """Which bridges this region has, and what is known of the other regions."""
+    """The bridges of this region and the state of the other regions."""
 
     def __init__(self, state: KnowledgeState) -> None:
-        """Read from `state`."""
         self._state = state
         self._parsed: dict[str, tuple[GossipEntry, RegionSummary]] = {}
         self._bridges: list[Member] = []
         self._bridges_of_version = -1
 
     def bridges(self) -> list[Member]:
-        """Return the members that speak for the region, of distinct zones where there are any."""
+        """Return the members that act as bridges, in distinct zones where possible."""
         if self._bridges_of_version != self._state.table.version:
             self._bridges_of_version = self._state.table.version
             self._bridges = self._choose_bridges()
@@ -44,7 +43,7 @@
         return (chosen + rest)[: self._state.parameters.bridges]
 
     def summary_due(self, bridges: list[Member], now: float) -> GossipEntry | None:
-        """Return a new summary of this region if this node has to publish one."""
+        """Return a new summary of this region if it is this node's turn to publish one."""
         this = self._state.table.this
         if this not in bridges:
             return None
@@ -59,13 +58,13 @@
         return GossipEntry(GossipKind.MEMBERSHIP, SUMMARY_PREFIX + this.region, version, payload)
 
     def own_summary_field(self) -> list[bytes]:
-        """Return the wire form of this region's summary, so that a seed elsewhere learns it."""
+        """Return the encoded summary of this region, for a join to a seed in another region."""
         region = self._state.table.this.region
         held = self._state.store.get(GossipKind.MEMBERSHIP, SUMMARY_PREFIX + region)
         return [self._state.entry_field(held)] if held is not None else []
 
     def other_bridges(self) -> list[list[PeerAddress]]:
-        """Return the bridges' addresses of each other region."""
+        """Return the bridge addresses of each other region."""
         this = self._state.table.this
         return [
             addresses
@@ -74,12 +73,12 @@
         ]
 
     def own_bridges_heard_of(self) -> list[PeerAddress]:
-        """Return where this region's bridges are according to its summary."""
+        """Return the addresses of this region's bridges according to its summary."""
         summary = self._summaries().get(self._state.table.this.region)
         return _addresses(summary) if summary is not None else []
 
     def regions(self, now: float) -> list[RegionState]:
-        """Return what is known of every region, this one first."""
+        """Return the state of every known region, this one first."""
         table = self._state.table
         own = RegionState(
             table.this.region,
--- a/src/foxwinch/core/membership/sender.py
+++ b/src/foxwinch/core/membership/sender.py
@@ -1,4 +1,4 @@
-"""Builds datagrams: what must be in them, then news, inside the byte budget."""
+"""Builds datagrams with their required fields and piggybacked updates within the byte budget."""
 
 from collections.abc import Sequence
 
@@ -14,21 +14,20 @@
 
 ALL_RANKS = max(GossipKind)
 URGENT_RANK = int(GossipKind.CONFIGURATION)
-"""News up to this rank may overdraw the budget: that a node is dead must not wait
-for the very probes that found it out."""
+"""Updates up to this rank may overdraw the budget, because the probes that detect a dead node
+must not delay the update that reports it."""
 NEWS_BYTES = 300
-"""Room for news below which no datagram is sent for news alone."""
+"""Minimum balance at which a datagram is sent for updates alone."""
 
 
 class DatagramSender:
-    """The only way out; every byte is charged to one bucket.
+    """Sends all datagrams of a node and charges every byte to one token bucket.
 
-    Probes and answers may overdraw it, since few of them are ever due, and urgent news by half
-    as much; other news and repairs wait until there is a balance.
+    Probes and answers may overdraw the bucket, since only few are due at a time, and urgent
+    updates may overdraw it by half as much. Other updates and repairs wait for a balance.
     """
 
     def __init__(self, state: KnowledgeState, now: float) -> None:
-        """Start with a full bucket."""
         self._state = state
         parameters = state.parameters
         self._overdraft = parameters.budget_overdraft_bytes / 2
@@ -37,18 +36,18 @@
         )
 
     def is_rich(self, now: float) -> bool:
-        """Tell whether more than half of the burst is saved up."""
+        """Return whether more than half of the burst budget is available."""
         return self._bucket.available(now) > self._state.parameters.budget_burst_bytes / 2
 
     def may_send_news(self, news: Outbox, now: float) -> bool:
-        """Tell whether some of the news may be sent now."""
+        """Return whether a queued update may be sent now."""
         balance = self._bucket.available(now)
         if balance >= NEWS_BYTES:
             return len(news) > 0
         return balance >= NEWS_BYTES - self._overdraft and news.urgent(URGENT_RANK)
 
     def has_balance(self, now: float) -> bool:
-        """Tell whether news and repairs may be sent."""
+        """Return whether the balance allows updates and repairs of any rank."""
         return self._bucket.available(now) >= NEWS_BYTES
 
     def send(
@@ -59,7 +58,7 @@
         fields: Sequence[bytes] = (),
         news: Outbox | None = None,
     ) -> None:
-        """Send `body` with as many of `fields`, then of the news, as fit."""
+        """Send `body` with as many of `fields`, then of the queued updates, as fit."""
         counters = self._state.counters
         balance = self._bucket.available(now)
         if balance <= -self._state.parameters.budget_overdraft_bytes:
@@ -81,7 +80,7 @@
         self._state.actions.append(SendDatagram(address, b"".join(parts)))
 
     def _news(self, news: Outbox, room: float, balance: float) -> list[bytes]:
-        """Take news into a datagram: all kinds within the balance, urgent ones beyond it."""
+        """Return updates for a datagram: any rank within the balance, urgent ones beyond it."""
         if balance > 0:
             return news.take(min(room, balance), ALL_RANKS)
         return news.take(min(room, balance + self._overdraft), URGENT_RANK)
@@ -89,7 +88,7 @@
     def send_fields(
         self, address: PeerAddress, fields: Sequence[bytes], datagrams: int, now: float
     ) -> None:
-        """Send fields in so many datagrams at most, each only while there is a balance."""
+        """Send fields in at most `datagrams` datagrams, each only while there is a balance."""
         head = len(sender_field(self._state.table.this))
         pending = list(fields)
         for _ in range(datagrams):
--- a/src/foxwinch/core/membership/state.py
+++ b/src/foxwinch/core/membership/state.py
@@ -1,4 +1,4 @@
-"""What one node knows and passes on: members and entries, their news and their digests."""
+"""Members and entries known to one node, with the update queues and digests derived from them."""
 
 from collections.abc import Iterable
 
@@ -14,40 +14,39 @@
 from foxwinch.identifiers import NodeId, PeerAddress
 
 REGION_TRANSMISSIONS = 2
-"""Other regions that a bridge tells news by itself; digests reach the rest."""
+"""Transmissions of an update by a bridge to other regions; anti-entropy reaches the rest."""
 
 ABSENCE_TRANSMISSIONS = 2
-"""Repetitions of the news that a member is gone, for each record that says otherwise."""
+"""Transmissions of an absent member's record for each stale record received of it."""
 
 
 class KnowledgeState:
-    """Merges records and keeps outboxes and digests in step with them."""
+    """Merges records and updates the outboxes and digests accordingly."""
 
     def __init__(self, this: Member, parameters: MembershipParameters, now: float) -> None:
-        """Know only this node."""
         self.parameters = parameters
         self.table = MemberTable(this)
         self.store = EntryStore(parameters)
         self.counters = MembershipCounters()
         self.outbox = Outbox()
         self.region_outbox = Outbox()
-        """News for other regions; sent by bridges only."""
+        """Updates for other regions, sent by bridges only."""
         self.digest = DigestIndex(parameters.bucket_count)
         self.global_digest = DigestIndex(parameters.bucket_count)
         self.former: dict[PeerAddress, None] = {}
-        """Addresses of members that are gone, the latest last."""
+        """Addresses of former members, most recent last."""
         self.actions: list[Action] = []
         self._fields: dict[str, bytes] = {}
         self._note_member(this)
 
     def merge_member(self, member: Member, now: float) -> bool:
-        """Take over a newer record of another member of the region."""
+        """Merge a record of a member of the region; return whether it changed another member."""
         if member.node == self.table.this.node:
             self.refute(member, now)
             return False
         held = self.table.get(member.node)
         if held is None and not member.is_present:
-            self.table.put(member, now)  # kept, so that older gossip does not bring it up
+            self.table.put(member, now)  # kept so that stale gossip does not revive it
             self._fields[_member_key(member)] = member_field(member)
             return False
         if not self.table.put(member, now):
@@ -61,7 +60,7 @@
         return True
 
     def refute(self, claim: Member, now: float) -> None:
-        """Contradict a record that says something else of this node than it says itself."""
+        """Raise this node's incarnation if a received record contradicts its own."""
         this = self.table.this
         agrees = claim.state is this.state and claim.incarnation == this.incarnation
         if agrees or claim.incarnation < this.incarnation or this.state is MemberState.LEFT:
@@ -72,12 +71,12 @@
         self.announce(this.state, claim.incarnation + 1, now)
 
     def announce(self, state: MemberState, incarnation: int, now: float) -> None:
-        """Change this node's own record and spread it."""
+        """Change this node's own record and gossip it."""
         self._note_member(self.table.set_this(state, incarnation, now))
         self.actions.append(MemberChanged(self.table.this))
 
     def merge_entry(self, entry: GossipEntry, now: float) -> bool:
-        """Take over a newer entry."""
+        """Merge a received entry; return whether it was newer."""
         if entry.owner is not None and self.table.is_absent(entry.owner):
             return False
         if not self.store.put(entry, now):
@@ -97,28 +96,28 @@
         return True
 
     def tidy(self, now: float) -> None:
-        """Forget absent members after their time, and entries that belong to nobody."""
+        """Drop expired records of absent members and entries without a known owner."""
         for member in self.table.forget_before(now - self.parameters.forget_seconds):
             self._fields.pop(_member_key(member), None)
         orphans = self.store.drop_orphans(lambda n: self.table.get(n) is not None, now)
         self._drop(orphans)
 
     def field(self, key: str) -> bytes:
-        """Return the wire form of what is held under a digest key."""
+        """Return the encoded record under a digest key."""
         return self._fields[key]
 
     def entry_field(self, entry: GossipEntry) -> bytes:
-        """Return the wire form of an entry that is held."""
+        """Return the encoded form of an entry that is held."""
         return self._fields[_entry_key(entry)]
 
     def member_field(self, node: NodeId) -> bytes | None:
-        """Return the wire form of a member's record."""
+        """Return the encoded record of a member, or None if it is unknown."""
         return self._fields.get(f"m/{node}")
 
     def repair_fields(self, keys: Iterable[str], now: float, everything: bool) -> list[bytes]:
-        """Return the fields under digest keys, most important first.
+        """Return the encoded records under digest keys, lowest rank first.
 
-        Without `everything`, entries that are still on their way by gossip are left out.
+        Entries that are still being gossiped are left out unless `everything` is True.
         """
         ranked = []
         for key in keys:
@@ -149,7 +148,7 @@
             self.digest.remove(key)
 
     def _repeat_absence(self, held: Member) -> None:
-        """Somebody still believes in a member that is gone."""
+        """Queue the record of an absent member again after a stale record of it was received."""
         rank = int(GossipKind.MEMBERSHIP)
         self.outbox.offer(_member_key(held), rank, member_field(held), ABSENCE_TRANSMISSIONS)
 
--- a/src/foxwinch/core/membership/table.py
+++ b/src/foxwinch/core/membership/table.py
@@ -1,4 +1,4 @@
-"""The members of one region as one node knows them."""
+"""Membership table of one node for its region."""
 
 from collections.abc import Iterable
 
@@ -7,28 +7,27 @@
 
 
 class MemberTable:
-    """Records of members, this node's own among them."""
+    """Member records, including this node's own."""
 
     def __init__(self, this: Member) -> None:
-        """Know only this node."""
         self.this = this
         self.version = 0
-        """Grows with every change."""
+        """Incremented on every change."""
         self._members: dict[NodeId, Member] = {this.node: this}
         self._absent_since_seconds: dict[NodeId, float] = {}
         self._at: dict[PeerAddress, NodeId] = {this.address: this.node}
         self._others: list[Member] | None = None
 
     def get(self, node: NodeId) -> Member | None:
-        """Return what is known of a node."""
+        """Return the record of a node, or None if it is unknown."""
         return self._members.get(node)
 
     def all(self) -> list[Member]:
-        """Return every known member, absent ones and this node included."""
+        """Return every known member, including absent ones and this node."""
         return list(self._members.values())
 
     def present_others(self) -> list[Member]:
-        """Return the members that take part, without this node; the list is shared."""
+        """Return the present members except this node; callers must not modify the cached list."""
         if self._others is None:
             self._others = [
                 m for m in self._members.values() if m.is_present and m.node != self.this.node
@@ -36,17 +35,17 @@
         return self._others
 
     def present_at(self, address: PeerAddress) -> Member | None:
-        """Return the present member at an address."""
+        """Return the present member at an address, if any."""
         node = self._at.get(address)
         return self._members.get(node) if node is not None else None
 
     def is_absent(self, node: NodeId) -> bool:
-        """Tell whether a node is known to have left or died."""
+        """Return whether a node is known to have left or died."""
         member = self._members.get(node)
         return member is not None and member.state in ABSENT
 
     def put(self, member: Member, now: float) -> bool:
-        """Take a record over if it is newer; tells whether it was."""
+        """Store a record if it is newer; return whether it was stored."""
         held = self._members.get(member.node)
         if held is not None and not supersedes(member, held):
             return False
@@ -61,7 +60,7 @@
         return self.this
 
     def forget_before(self, seconds: float) -> list[Member]:
-        """Drop the members absent since before that time and return them."""
+        """Drop and return the members that have been absent since before `seconds`."""
         old = [n for n, since in self._absent_since_seconds.items() if since < seconds]
         for node in old:
             del self._absent_since_seconds[node]
@@ -69,7 +68,7 @@
         return [self._members.pop(node) for node in old]
 
     def present(self) -> Iterable[Member]:
-        """Return the members that take part, this node included."""
+        """Return the present members, including this node."""
         return [self.this, *self.present_others()]
 
     def _replace(self, member: Member, now: float) -> None:
--- a/src/foxwinch/core/membership/wire.py
+++ b/src/foxwinch/core/membership/wire.py
@@ -1,4 +1,4 @@
-"""Members and entries as protobuf fields of a datagram, and back; refuses what is malformed."""
+"""Encoding and decoding of members and entries as protobuf fields of a datagram."""
 
 from google.protobuf.message import DecodeError
 
@@ -19,23 +19,23 @@
 _MEMBERS_TAG = b"\x3a"
 _ENTRIES_TAG = b"\x42"
 NAME_BYTES = 80
-"""Longest identity, zone or region name taken from a datagram."""
+"""Longest node, zone or region name accepted in a datagram."""
 HIGHEST_NUMBER = 2**63 - 1
-"""Highest incarnation or version taken from a datagram."""
+"""Highest incarnation or version accepted in a datagram."""
 
 
 def sender_field(member: Member) -> bytes:
-    """Return a member as the `sender` field."""
+    """Return a member encoded as the `sender` field."""
     return _field(_SENDER_TAG, member_record(member).SerializeToString())
 
 
 def member_field(member: Member) -> bytes:
-    """Return a member as one of the `members`."""
+    """Return a member encoded as an element of the `members` field."""
     return _field(_MEMBERS_TAG, member_record(member).SerializeToString())
 
 
 def entry_field(entry: GossipEntry) -> bytes:
-    """Return an entry as one of the `entries`."""
+    """Return an entry encoded as an element of the `entries` field."""
     record = GossipRecord(
         kind=int(entry.kind),
         key=entry.key,
@@ -47,7 +47,7 @@
 
 
 def parse_datagram(payload: bytes) -> GossipDatagram | None:
-    """Return the datagram, or None when it is malformed."""
+    """Return the decoded datagram, or None if it is malformed."""
     if len(payload) > DATAGRAM_BYTES:
         return None
     try:
@@ -71,7 +71,7 @@
 
 
 def read_member(record: MemberRecord) -> Member | None:
-    """Return the member, or None when the record makes no sense to this version."""
+    """Return the member, or None if the record is invalid or unknown to this version."""
     names = (record.node, record.zone, record.region, record.host)
     if not all(0 < len(name) <= NAME_BYTES for name in names):
         return None
@@ -90,7 +90,7 @@
 
 
 def read_entry(record: GossipRecord) -> GossipEntry | None:
-    """Return the entry, or None when its kind is unknown to this version or it is too large."""
+    """Return the entry, or None if it is too large or its kind is unknown to this version."""
     if record.kind not in GossipKind._value2member_map_ or record.version > HIGHEST_NUMBER:
         return None
     if not 0 < len(record.key) <= KEY_BYTES or len(record.payload) > PAYLOAD_BYTES:
--- a/src/foxwinch/limits/__init__.py
+++ b/src/foxwinch/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of tenants and classes, leased between nodes."""
+"""Rate limits of tenants and classes, divided among the nodes by leased shares."""
--- a/src/foxwinch/limits/ports.py
+++ b/src/foxwinch/limits/ports.py
@@ -1,4 +1,4 @@
-"""What other parts of a node ask of the limits of tenants and classes."""
+"""Interface of the rate limits for the other components of a node."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The tenant's limits allow the call."""
+    """A call that has been admitted and charged to its limits."""
 
     tenant: TenantName
     estimated_tokens: int
 
 
 class LimitView(Protocol):
-    """Limits of tenants and classes across all nodes."""
+    """Cluster-wide rate limits of tenants and classes."""
 
     def admit(
         self, tenant: TenantName, class_name: ClassName, estimated_tokens: int
     ) -> Admitted | Refused:
-        """Take one request and its estimated tokens from the tenant's share, or refuse."""
+        """Charge one request and its estimated tokens to this node's shares, or refuse it."""
         ...
 
     def settle(self, admitted: Admitted, used_tokens: int) -> None:
-        """Correct the estimate by what was used."""
+        """Correct the estimated tokens of an admitted call by the actual usage."""
         ...
--- a/src/foxwinch/limits/service.py
+++ b/src/foxwinch/limits/service.py
@@ -1,4 +1,4 @@
-"""Limits of tenants and classes across all nodes, without a call on the way of a request."""
+"""Cluster-wide rate limits of tenants and classes, enforced without a remote call per request."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -22,22 +22,22 @@
 
 UPDATE_SECONDS = 1.0
 DIGEST_BYTES_PER_SECOND = 1_500.0
-"""Usage digests of all nodes of a region together, as each node receives them: a quarter of the
-6 KB/s that a node has for control. The interval between digests grows with the nodes."""
+"""Rate at which a node receives the usage digests of its region: a quarter of the 6 KB/s that a
+node has for control traffic. The interval between digests grows with the number of nodes."""
 DIGEST_BYTES = 400
-"""A full digest with its gossip entry."""
+"""Size of a full digest including its gossip entry."""
 REFRESH_SECONDS = 60.0
-"""An unchanged digest is told again after so long, for nodes that joined since."""
+"""Interval at which an unchanged digest is republished for nodes that have joined since."""
 CLASS_BURST_SECONDS = 5.0
 UNLIMITED = 1e12
-"""Rate of the part of a class limit that is not set."""
+"""Rate used for an unset request or token limit of a class."""
 RETRY_JITTER = 0.5
-"""Refused callers are told to come back spread over this part of the wait."""
+"""Fraction of the wait over which the retry times of refused callers are spread."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitsPorts:
-    """What the service needs of the node."""
+    """Dependencies of the service."""
 
     clock: Clock
     gossip: GossipView
@@ -54,10 +54,10 @@
 
 
 class LimitsService:
-    """See `foxwinch.limits.ports.LimitView`."""
+    """Implements `foxwinch.limits.ports.LimitView`."""
 
     def __init__(self, ports: LimitsPorts, registry: CollectorRegistry) -> None:
-        """Use `ports`; nothing is admitted before `start`."""
+        """Create the service; it admits requests only after `start`."""
         self._ports = ports
         self._node = ports.membership.this_member().node
         self._subjects = _Subjects({}, {})
@@ -79,7 +79,7 @@
         )
 
     async def start(self) -> None:
-        """Listen to the other nodes' demand and begin to tell this node's own."""
+        """Start to receive the demand of other nodes and to publish this node's own."""
         now = self._ports.clock.monotonic()
         self._table = ShareTable(self._node, now)
         self._meter = DemandMeter(now)
@@ -93,13 +93,13 @@
         self._tasks.keep(self._run())
 
     async def stop(self) -> None:
-        """Stop telling; the others keep this node's share for the time of its lease."""
+        """Stop publishing; the other nodes reserve this node's share until its lease expires."""
         await self._tasks.stop()
 
     def admit(
         self, tenant: TenantName, class_name: ClassName, estimated_tokens: int
     ) -> Admitted | Refused:
-        """Take one request and its estimated tokens from the share, or refuse at once."""
+        """Charge one request and its estimated tokens to this node's shares, or refuse it."""
         snapshot = self._ports.configuration.current()
         if isinstance(snapshot, Refused):
             return snapshot
@@ -119,7 +119,7 @@
         return Admitted(tenant, estimated_tokens)
 
     def settle(self, admitted: Admitted, used_tokens: int) -> None:
-        """Correct the tenant's estimate by what was used; classes keep the estimate."""
+        """Correct the tenant's estimate by the actual usage; classes keep the estimate."""
         tenant = self._subjects.tenants.get(admitted.tenant)
         if tenant is not None:
             now = self._ports.clock.monotonic()
@@ -138,7 +138,7 @@
         return (tenant_limit,) if class_limit is None else (tenant_limit, class_limit)
 
     def _count(self, limit: Limit, tokens: int) -> None:
-        """Count offered work as the time that it takes at the whole limit."""
+        """Record offered load as the seconds that it takes at the full limit."""
         seconds = max(1.0 / limit.requests_per_second, tokens / limit.tokens_per_second)
         self._meter.add(limit.key, seconds)
 
--- a/src/foxwinch/membership/__init__.py
+++ b/src/foxwinch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there, and gossip between nodes."""
+"""Cluster membership and gossip between nodes."""
--- a/src/foxwinch/membership/gossip.py
+++ b/src/foxwinch/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip as the other parts of a node see it."""
+"""Gossip service for the other components of a node."""
 
 from collections import defaultdict
 from collections.abc import Callable, Mapping
@@ -8,28 +8,28 @@
 
 
 class GossipService:
-    """Implements `foxwinch.membership.ports.GossipView`; runs inside the membership's service."""
+    """Implements `foxwinch.membership.ports.GossipView` on top of the membership service."""
 
     def __init__(self, membership: MembershipService) -> None:
-        """Spread entries with the datagrams of `membership`."""
+        """Gossip entries in the datagrams of `membership`."""
         self._membership = membership
         self._listeners: defaultdict[GossipKind, list[Callable[[GossipEntry], None]]]
         self._listeners = defaultdict(list)
         membership.subscribe_entries(self._arrived)
 
     def publish(self, entry: GossipEntry) -> None:
-        """Spread an entry; raises `ValueError` when it fits no datagram.
+        """Gossip an entry; raise `ValueError` if it does not fit into a datagram.
 
-        Entries of the owned kinds become this node's unless they name another owner.
+        An entry of an owned kind that names no owner is owned by this node.
         """
         self._membership.publish(entry)
 
     def entries(self, kind: GossipKind) -> Mapping[str, GossipEntry]:
-        """Return the entries held of a kind, by key."""
+        """Return the entries of a kind by key."""
         return self._membership.engine.entries(kind)
 
     def subscribe(self, kind: GossipKind, listener: Callable[[GossipEntry], None]) -> None:
-        """Call `listener` with every newer entry of a kind, this node's own included."""
+        """Call `listener` with every new or newer entry of a kind, including this node's own."""
         self._listeners[kind].append(listener)
 
     def _arrived(self, entry: GossipEntry) -> None:
--- a/src/foxwinch/membership/metrics.py
+++ b/src/foxwinch/membership/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of membership and gossip."""
+"""Prometheus metrics of membership and gossip."""
 
 from collections.abc import Iterable
 
@@ -11,19 +11,18 @@
 
 
 class MembershipCollector(Collector):
-    """Reads the counters of a membership service when it is scraped."""
+    """Collects the counters of a membership service on each scrape."""
 
     def __init__(self, membership: MembershipService, registry: CollectorRegistry) -> None:
-        """Register with `registry`."""
         self._membership = membership
         registry.register(self)
 
     def describe(self) -> Iterable[Metric]:
-        """Return nothing, so that registering does not read a service that has not started."""
+        """Return no metrics, so that registration does not access an unstarted service."""
         return ()
 
     def collect(self) -> Iterable[Metric]:
-        """Yield every metric."""
+        """Yield all membership metrics."""
         counters = self._membership.engine.counters
         totals = {
             "datagrams_sent": counters.datagrams_sent,
--- a/src/foxwinch/membership/ports.py
+++ b/src/foxwinch/membership/ports.py
@@ -1,4 +1,4 @@
-"""What other parts of a node ask of membership and gossip."""
+"""Interfaces of membership and gossip for the other components of a node."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
@@ -8,32 +8,32 @@
 
 
 class MembershipView(Protocol):
-    """Who is there, as far as this node knows."""
+    """The members of the region as known to this node."""
 
     def this_member(self) -> Member:
-        """Return this node itself."""
+        """Return this node's own record."""
         ...
 
     def members(self) -> Sequence[Member]:
-        """Return every known member, this node included."""
+        """Return every known member, including this node."""
         ...
 
     def subscribe(self, listener: Callable[[Member], None]) -> None:
-        """Call `listener` with every change of a member."""
+        """Call `listener` with every changed member record."""
         ...
 
 
 class GossipView(Protocol):
-    """Spread of small versioned values to the nodes of a region, digests between regions."""
+    """Gossip of small versioned values within a region, and of global ones between regions."""
 
     def publish(self, entry: GossipEntry) -> None:
-        """Spread an entry; ignored when a version at least as high is held."""
+        """Gossip an entry; ignored if the same or a higher version is already held."""
         ...
 
     def entries(self, kind: GossipKind) -> Mapping[str, GossipEntry]:
-        """Return the entries held of a kind, by key."""
+        """Return the entries of a kind by key."""
         ...
 
     def subscribe(self, kind: GossipKind, listener: Callable[[GossipEntry], None]) -> None:
-        """Call `listener` with every newer entry of a kind that arrives."""
+        """Call `listener` with every new or newer entry of a kind."""
         ...
--- a/src/foxwinch/membership/service.py
+++ b/src/foxwinch/membership/service.py
@@ -1,4 +1,4 @@
-"""Drives membership and gossip over the peer port."""
+"""Runs the membership engine over the peer port."""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import TypeVar
@@ -25,13 +25,13 @@
 NODE_KIND = "node"
 Value = TypeVar("Value")
 LIST_ALONE_SECONDS = 5.0
-"""Pause between readings of the platform's list while no other member is known."""
+"""Interval between reads of the platform's machine list while no other member is known."""
 LIST_SECONDS = 60.0
-"""Pause between readings otherwise; only the few bridges of a region read then."""
+"""Interval between reads otherwise, when only the few bridges of a region read the list."""
 
 
 class MembershipService:
-    """Implements `foxwinch.membership.ports.MembershipView`; runs from start to stop."""
+    """Implements `foxwinch.membership.ports.MembershipView` between `start` and `stop`."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         machines: MachinePort | None = None,
         parameters: MembershipParameters | None = None,
     ) -> None:
-        """Join by `seeds` and `machines`, both of which are only hints."""
+        """Create a service that finds other nodes through `seeds` and the list of `machines`."""
         self._parameters = parameters or MembershipParameters()
         self._this = this
         self._peers = peers
@@ -58,7 +58,7 @@
         peers.handle_datagrams(self._receive)
 
     async def start(self) -> None:
-        """Start probing and looking for other nodes."""
+        """Start probing and joining other nodes."""
         engine = self.engine
         self._started = True
         self._tasks.keep(self._run())
@@ -68,19 +68,19 @@
         self._log.info("membership_started", node=this.node, zone=this.zone, region=this.region)
 
     async def stop(self) -> None:
-        """Say that this node is gone and stop."""
+        """Announce that this node has left, then stop."""
         if self._started:
             self._started = False
             self.apply(self.engine.left(self._clock.monotonic()))
         await self._tasks.stop()
 
     def leave(self) -> None:
-        """Announce that this node is about to leave; it goes on answering."""
+        """Announce that this node is draining; it continues to answer."""
         self.apply(self.engine.leave(self._clock.monotonic()))
 
     @property
     def engine(self) -> MembershipEngine:
-        """The decision code; made on first use, inside the running loop."""
+        """The membership engine, created on first use because it needs the running event loop."""
         if self._engine is None:
             seed = int(self._clock.uniform() * 2**53)
             self._engine = MembershipEngine(
@@ -89,31 +89,31 @@
         return self._engine
 
     def this_member(self) -> Member:
-        """Return this node itself."""
+        """Return this node's own record."""
         return self._engine.this_member() if self._engine is not None else self._this
 
     def members(self) -> Sequence[Member]:
-        """Return every known member of the region, this node included."""
+        """Return every known member of the region, including this node."""
         return self._engine.members() if self._engine is not None else [self._this]
 
     def regions(self) -> list[RegionState]:
-        """Return what is known of every region, this one first."""
+        """Return the state of every known region, this one first."""
         return self.engine.regions(self._clock.monotonic())
 
     def subscribe(self, listener: Callable[[Member], None]) -> None:
-        """Call `listener` with every change of a member."""
+        """Call `listener` with every changed member record."""
         self._member_listeners.append(listener)
 
     def subscribe_entries(self, listener: Callable[[GossipEntry], None]) -> None:
-        """Call `listener` with every newer gossip entry."""
+        """Call `listener` with every new or newer gossip entry."""
         self._entry_listeners.append(listener)
 
     def publish(self, entry: GossipEntry) -> None:
-        """Spread a gossip entry."""
+        """Gossip an entry; raise `ValueError` if it does not fit into a datagram."""
         self.apply(self.engine.publish(entry, self._clock.monotonic()))
 
     def apply(self, actions: Iterable[Action]) -> None:
-        """Carry out what the decision code asks for."""
+        """Execute the actions returned by the engine."""
         for action in actions:
             match action:
                 case SendDatagram(address, payload):
--- a/src/foxwinch/peer/__init__.py
+++ b/src/foxwinch/peer/__init__.py
@@ -1,1 +1,1 @@
-"""The peer side: framed streams over TCP and gossip datagrams over UDP."""
+"""Communication between nodes: framed streams over TCP and gossip datagrams over UDP."""
--- a/src/foxwinch/peer/connections.py
+++ b/src/foxwinch/peer/connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to other nodes, one for each address, opened on first use."""
+"""Pool of persistent connections to other nodes, one per address, opened on first use."""
 
 import asyncio
 
@@ -13,10 +13,10 @@
 
 
 class ConnectionPool:
-    """Opens, shares and closes connections."""
+    """Opens, shares and closes outbound connections."""
 
     def __init__(self, node: NodeId, host: str, tls: PeerTls | None) -> None:
-        """Greet as `node`, from the IP number `host` unless that stands for all of them."""
+        """Connect as `node` from the local address `host`, unless that is a wildcard address."""
         self._node = node
         self._tls = tls
         self._local = None if host in ANY_HOST else (host, 0)
@@ -25,13 +25,13 @@
         self._refused_until_seconds: dict[PeerAddress, float] = {}
 
     async def get(self, address: PeerAddress, wait_seconds: float) -> OutboundConnection | Refused:
-        """Return the connection to an address; a refusal says that nothing was sent."""
+        """Return a connection to `address`; a refusal means that nothing was sent."""
         connection = self._open.get(address)
         if connection is not None and not connection.closed:
             return connection
         now = asyncio.get_running_loop().time()
         if self._refused_until_seconds.get(address, 0.0) > now:
-            return _unreachable(address, "it refused a moment ago")
+            return _unreachable(address, "the last connection attempt failed; waiting to reconnect")
         opening = self._opening.get(address)
         if opening is None:
             opening = asyncio.get_running_loop().create_task(self._connect(address))
@@ -40,10 +40,10 @@
             async with asyncio.timeout(wait_seconds):
                 return await asyncio.shield(opening)
         except TimeoutError:
-            return _unreachable(address, "no connection before the deadline")
+            return _unreachable(address, "not connected before the deadline")
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections and cancel pending connection attempts."""
         for task in list(self._opening.values()):
             task.cancel()
         for connection in list(self._open.values()):
@@ -52,7 +52,7 @@
 
     async def _connect(self, address: PeerAddress) -> OutboundConnection | Refused:
         loop = asyncio.get_running_loop()
-        cause = "the protocol versions do not agree or the peer closed"
+        cause = "the protocol versions are incompatible or the peer closed the connection"
         try:
             async with asyncio.timeout(CONNECT_SECONDS):
                 _, connection = await loop.create_connection(
@@ -66,7 +66,7 @@
                     self._keep(address, connection)
                     return connection
         except TimeoutError:
-            cause = "no connection in time"
+            cause = f"not connected within {CONNECT_SECONDS} s"
         except OSError as error:  # includes TLS failures
             cause = error.strerror or type(error).__name__
         finally:
--- a/src/foxwinch/peer/datagrams.py
+++ b/src/foxwinch/peer/datagrams.py
@@ -1,4 +1,4 @@
-"""The UDP side of the peer protocol."""
+"""UDP endpoint of the peer protocol."""
 
 import asyncio
 from typing import Any
@@ -12,27 +12,27 @@
     """Sends and receives datagrams of at most `DATAGRAM_BYTES`."""
 
     def __init__(self, handlers: HandlerTable) -> None:
-        """Give what arrives to `handlers`."""
+        """Deliver received datagrams to `handlers`."""
         self._handlers = handlers
         self._transport: asyncio.DatagramTransport | None = None
         self.oversize_total = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self._transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand on what fits the protocol; the rest is dropped and counted."""
+        """Deliver a datagram; oversized ones are dropped and counted."""
         if len(data) > DATAGRAM_BYTES:
             self.oversize_total += 1
             return
         self._handlers.deliver(PeerAddress(addr[0], addr[1]), data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore: a datagram that does not arrive is a lost datagram."""
+        """Ignore the error, since datagrams may be lost."""
 
     def send(self, address: PeerAddress, payload: bytes) -> None:
-        """Send; raises `ValueError` above `DATAGRAM_BYTES`, which is a fault of the caller."""
+        """Send a datagram; raise `ValueError` if it is larger than `DATAGRAM_BYTES`."""
         if len(payload) > DATAGRAM_BYTES:
             raise ValueError(f"datagram of {len(payload)} bytes; allowed: {DATAGRAM_BYTES}")
         if self._transport is not None and not self._transport.is_closing():
--- a/src/foxwinch/peer/envelopes.py
+++ b/src/foxwinch/peer/envelopes.py
@@ -1,4 +1,4 @@
-"""Building and reading envelopes of the peer protocol."""
+"""Construction and decoding of the envelopes of the peer protocol."""
 
 import math
 
@@ -18,20 +18,20 @@
 
 
 def hello(node: NodeId) -> Envelope:
-    """Return this node's hello."""
+    """Return the hello of this node."""
     body = PeerHello(version=PROTOCOL_VERSION, minimum_version=MINIMUM_PROTOCOL_VERSION, node=node)
     return Envelope(hello=body)
 
 
 def versions_agree(other: PeerHello) -> bool:
-    """Tell whether both sides speak a common version."""
+    """Return whether both peers support a common protocol version."""
     return other.version >= MINIMUM_PROTOCOL_VERSION and other.minimum_version <= PROTOCOL_VERSION
 
 
 def request(
     correlation: int, method: str, payload: bytes, deadline_seconds: float, stream: bool
 ) -> Envelope:
-    """Return a request with the time that is left for it."""
+    """Return a request with its remaining time until the deadline."""
     milliseconds = max(1, min(math.ceil(deadline_seconds * 1000), 2**32 - 1))
     body = PeerRequest(
         method=method, payload=payload, deadline_milliseconds=milliseconds, stream=stream
@@ -49,27 +49,27 @@
 
 
 def end_of_stream(correlation: int) -> Envelope:
-    """Return the mark that a stream is whole."""
+    """Return the marker that ends a complete stream."""
     return Envelope(correlation_id=correlation, answer=PeerAnswer(last=True, empty=True))
 
 
 def cancel(correlation: int) -> Envelope:
-    """Return a cancellation."""
+    """Return a cancellation of a request."""
     return Envelope(correlation_id=correlation, cancel=PeerCancel())
 
 
 def credit(correlation: int, answers: int) -> Envelope:
-    """Return leave to send so many answers more."""
+    """Return flow-control credit for `answers` more answers of a stream."""
     return Envelope(correlation_id=correlation, credit=PeerCredit(answers=answers))
 
 
 def ping(reply: bool) -> Envelope:
-    """Return a question for life, or its reply."""
+    """Return a ping or a reply to one."""
     return Envelope(ping=PeerPing(reply=reply))
 
 
 def read_answer(body: PeerAnswer) -> bytes | Refused:
-    """Return what an answer carries."""
+    """Return the payload or the refusal of an answer."""
     if not body.HasField("refusal"):
         return body.payload
     refusal = body.refusal
@@ -89,7 +89,7 @@
 
 
 def _known_reason(name: str) -> Reason:
-    """Read a reason; one of a newer version counts as internal."""
+    """Parse a reason; one that only a newer version defines is mapped to `INTERNAL`."""
     try:
         return Reason(name)
     except ValueError:
@@ -97,7 +97,7 @@
 
 
 def _known_run_state(name: str) -> RunState:
-    """Read a run state; one that this version does not know proves nothing."""
+    """Parse a run state; one that this version does not know is mapped to `UNKNOWN`."""
     try:
         return RunState(name)
     except ValueError:
--- a/src/foxwinch/peer/frames.py
+++ b/src/foxwinch/peer/frames.py
@@ -14,19 +14,19 @@
 
 
 class FrameError(Exception):
-    """The bytes received are no frame of this protocol; the connection is closed for it."""
+    """The received bytes are not a valid frame; the connection is closed."""
 
 
 class FrameDecoder:
-    """Cuts received bytes into envelopes; holds at most one frame of at most `limit_bytes`."""
+    """Splits received bytes into envelopes; buffers at most one frame of `limit_bytes`."""
 
     def __init__(self, limit_bytes: int) -> None:
-        """Refuse frames above `limit_bytes`, which may be raised later."""
+        """Reject frames larger than `limit_bytes`, which may be raised later."""
         self.limit_bytes = limit_bytes
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Envelope]:
-        """Yield every whole envelope; raises `FrameError` at the first bad one."""
+        """Yield every complete envelope; raise `FrameError` at the first invalid frame."""
         self._buffer += data
         position = 0
         try:
@@ -44,7 +44,7 @@
 
 
 def encode_frame(envelope: Envelope) -> bytes:
-    """Return the frame of an envelope."""
+    """Return an envelope encoded as a frame."""
     body = envelope.SerializeToString()
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
@@ -53,14 +53,13 @@
     try:
         return Envelope.FromString(body)
     except DecodeError as error:
-        raise FrameError("frame holds no envelope") from error
+        raise FrameError("frame is not a valid envelope") from error
 
 
 class FrameProtocol(asyncio.Protocol, ABC):
-    """One connection: decodes, coalesces writes of one loop turn, and knows backpressure."""
+    """Connection that decodes frames, batches writes per loop iteration and signals congestion."""
 
     def __init__(self) -> None:
-        """Start unconnected."""
         self.log = EventLog("peer")
         self.decoder = FrameDecoder(HELLO_FRAME_BYTES)
         self.loop = asyncio.get_running_loop()
@@ -73,20 +72,20 @@
         self._writable.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and set its buffer limit."""
+        """Store the transport and set its buffer limit."""
         assert isinstance(transport, asyncio.Transport) or hasattr(transport, "write")
         self._transport = transport  # type: ignore[assignment]
         assert self._transport is not None
         self._transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wake whoever waits to write."""
+        """Wake the tasks that wait to write."""
         self.closed = True
         self._outgoing.clear()
         self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Decode; a bad frame closes the connection."""
+        """Decode received bytes; an invalid frame closes the connection."""
         self.received_at_seconds = self.loop.time()
         try:
             for envelope in self.decoder.feed(data):
@@ -99,33 +98,33 @@
 
     @abstractmethod
     def envelope_received(self, envelope: Envelope) -> None:
-        """Act on one envelope; raises `FrameError` where the protocol is broken."""
+        """Process an envelope; raise `FrameError` on a protocol violation."""
 
     def hello_received(self) -> None:
-        """Accept frames of full size from now on."""
+        """Accept frames up to `FRAME_BYTES` after a valid hello."""
         self.decoder.limit_bytes = FRAME_BYTES
 
     def pause_writing(self) -> None:
-        """The socket takes no more."""
+        """Block senders, because the transport's buffer is full."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """The socket takes more again."""
+        """Unblock senders."""
         self._writable.set()
 
     @property
     def congested(self) -> bool:
-        """Whether senders should wait for `drain`."""
+        """Whether senders should wait for `drain` before they send more."""
         return not self._writable.is_set() or self._outgoing_bytes > WRITE_BUFFER_BYTES
 
     async def drain(self) -> None:
-        """Wait until the socket takes more, or the connection is gone."""
+        """Wait until the transport accepts more data or the connection is lost."""
         if self._outgoing_bytes > WRITE_BUFFER_BYTES:
             self._flush()
         await self._writable.wait()
 
     def send(self, envelope: Envelope) -> None:
-        """Send an envelope with whatever else this turn of the loop sends."""
+        """Queue an envelope; all envelopes of one loop iteration are written together."""
         if self.closed:
             return
         if not self._outgoing:
@@ -135,20 +134,20 @@
         self._outgoing_bytes += len(frame)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close immediately and discard buffered data."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
-        """Close after what was sent."""
+        """Close after the buffered data has been sent."""
         self._flush()
         self.closed = True
         if self._transport is not None:
             self._transport.close()
 
     def remote(self) -> str:
-        """Return `ip:port` of the other side, for logs."""
+        """Return `ip:port` of the peer, for logs."""
         name = self._transport.get_extra_info("peername") if self._transport else None
         return f"{name[0]}:{name[1]}" if name else "unknown"
 
--- a/src/foxwinch/peer/handlers.py
+++ b/src/foxwinch/peer/handlers.py
@@ -1,4 +1,4 @@
-"""The handlers that a node serves to its fellow nodes, and how a request runs against them."""
+"""Registry of request and datagram handlers, and the execution of requests."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -18,26 +18,25 @@
     """Handlers by method name; shared by the TCP and the in-memory implementation."""
 
     def __init__(self) -> None:
-        """Start without handlers."""
         self._log = EventLog("peer")
         self._unary: dict[str, UnaryHandler] = {}
         self._streams: dict[str, StreamHandler] = {}
         self._datagrams: list[DatagramHandler] = []
 
     def handle(self, method: str, handler: UnaryHandler) -> None:
-        """Serve `method` with one answer."""
+        """Register the handler of a unary method."""
         self._unary[method] = handler
 
     def handle_stream(self, method: str, handler: StreamHandler) -> None:
-        """Serve `method` with a stream of answers."""
+        """Register the handler of a streaming method."""
         self._streams[method] = handler
 
     def handle_datagrams(self, handler: DatagramHandler) -> None:
-        """Give every datagram that arrives to `handler`, beside earlier handlers."""
+        """Add a handler that receives every datagram."""
         self._datagrams.append(handler)
 
     async def run(self, context: PeerContext, method: str, payload: bytes) -> bytes | Refused:
-        """Run a request with one answer within its deadline."""
+        """Run a unary request within its deadline."""
         handler = self._unary.get(method)
         if handler is None:
             return _unknown_method(method)
@@ -52,7 +51,7 @@
     async def run_stream(
         self, context: PeerContext, method: str, payload: bytes
     ) -> AsyncGenerator[bytes | Refused, None]:
-        """Run a request with a stream of answers within its deadline; one task must consume it."""
+        """Run a streaming request within its deadline; a single task must consume the answers."""
         handler = self._streams.get(method)
         if handler is None:
             yield _unknown_method(method)
@@ -72,7 +71,7 @@
                 await close()
 
     def deliver(self, source: PeerAddress, payload: bytes) -> None:
-        """Give a datagram to the handlers."""
+        """Pass a datagram to all datagram handlers."""
         for handler in self._datagrams:
             try:
                 handler(source, payload)
@@ -83,7 +82,7 @@
         self._log.error(
             "peer_handler_failed", method=method, node=context.sender, cause=repr(error)
         )
-        return outcome_unknown(Reason.INTERNAL, f"the handler of {method} failed")
+        return outcome_unknown(Reason.INTERNAL, f"handler of {method} failed")
 
 
 def _unknown_method(method: str) -> Refused:
@@ -91,4 +90,4 @@
 
 
 def _deadline(method: str) -> Refused:
-    return outcome_unknown(Reason.DEADLINE, f"the deadline passed while {method} ran")
+    return outcome_unknown(Reason.DEADLINE, f"deadline exceeded while {method} was running")
--- a/src/foxwinch/peer/inbound.py
+++ b/src/foxwinch/peer/inbound.py
@@ -1,4 +1,4 @@
-"""The serving side of a peer connection."""
+"""Server side of a peer connection."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,7 +29,7 @@
         opened: Callable[["InboundConnection"], bool],
         lost: Callable[["InboundConnection"], None],
     ) -> None:
-        """Serve as `node`; `opened` says whether one more connection is allowed."""
+        """Serve as `node`; `opened` returns whether another connection is allowed."""
         super().__init__()
         self._node = node
         self._handlers = handlers
@@ -41,7 +41,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the hello, but not for ever."""
+        """Wait up to `HELLO_SECONDS` for the hello, or abort if there are too many connections."""
         super().connection_made(transport)
         if not self._opened(self):
             self.log.warning("peer_connection_refused", peer=self.remote(), cause="too many")
@@ -50,7 +50,7 @@
         self._timer = self.loop.call_later(HELLO_SECONDS, self._check_silence)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what runs for a peer that is gone."""
+        """Cancel the requests that are running for the lost peer."""
         super().connection_lost(exc)
         if self._timer is not None:
             self._timer.cancel()
@@ -59,7 +59,7 @@
         self._lost(self)
 
     def envelope_received(self, envelope: Envelope) -> None:
-        """Act on one envelope."""
+        """Process an envelope from the client."""
         kind = envelope.WhichOneof("body")
         if self._sender is None:
             self._greet(envelope, kind)
@@ -74,7 +74,7 @@
 
     def _greet(self, envelope: Envelope, kind: str | None) -> None:
         if kind != "hello" or not envelope.hello.node:
-            raise FrameError("the first frame is no hello")
+            raise FrameError("first frame is not a valid hello")
         self.send(envelopes.hello(self._node))
         if not envelopes.versions_agree(envelope.hello):
             self.log.warning(
@@ -87,7 +87,7 @@
 
     def _start(self, correlation: int, request: PeerRequest) -> None:
         if correlation in self._tasks:
-            raise FrameError("correlation id used twice")
+            raise FrameError(f"correlation ID {correlation} is already in use")
         if len(self._tasks) >= PENDING_REQUESTS:
             refusal = not_run(Reason.OVERLOADED, "too many open requests on this connection", 0.1)
             self.send(envelopes.answer(correlation, refusal, last=True))
@@ -107,7 +107,7 @@
         if semaphore is None:
             return
         if answers > STREAM_CREDIT:
-            raise FrameError("credit above the limit")
+            raise FrameError(f"stream credit of {answers}; allowed: {STREAM_CREDIT}")
         for _ in range(answers):
             semaphore.release()
 
--- a/src/foxwinch/peer/outbound.py
+++ b/src/foxwinch/peer/outbound.py
@@ -1,4 +1,4 @@
-"""The asking side of a peer connection."""
+"""Client side of a peer connection."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -16,15 +16,15 @@
     STREAM_CREDIT,
 )
 
-LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "the connection broke before the answer")
-OVERLOADED = not_run(Reason.OVERLOADED, "too many open requests to this node", 0.1)
+LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "connection lost before the answer")
+OVERLOADED = not_run(Reason.OVERLOADED, "too many in-flight requests to this peer", 0.1)
 
 
 class OutboundConnection(FrameProtocol):
-    """Sends requests to one other node and matches the answers to them."""
+    """Sends requests to one peer and matches answers to them by correlation ID."""
 
     def __init__(self, node: NodeId) -> None:
-        """Greet as `node`."""
+        """Identify as `node` in the hello."""
         super().__init__()
         self._node = node
         self.greeted: asyncio.Future[bool] = self.loop.create_future()
@@ -36,13 +36,13 @@
         self._pinged_at_seconds = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the hello."""
+        """Send the hello and start the keep-alive timer."""
         super().connection_made(transport)
         self.send(envelopes.hello(self._node))
         self._timer = self.loop.call_later(PING_SECONDS, self._check_life)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell every open request that its answer is lost."""
+        """Fail every in-flight request."""
         super().connection_lost(exc)
         if self._timer is not None:
             self._timer.cancel()
@@ -55,7 +55,7 @@
             queue.put_nowait(None)
 
     def envelope_received(self, envelope: Envelope) -> None:
-        """Act on one envelope."""
+        """Process an envelope from the server."""
         kind = envelope.WhichOneof("body")
         if not self.greeted.done():
             self._greet(envelope, kind)
@@ -65,7 +65,7 @@
             self.send(envelopes.ping(reply=True))
 
     async def call(self, method: str, payload: bytes, deadline_seconds: float) -> bytes | Refused:
-        """Send a request and wait for its answer until the deadline."""
+        """Send a request and return its answer; the outcome is unknown after the deadline."""
         if len(self._calls) >= PENDING_REQUESTS or self.congested:
             return OVERLOADED
         correlation = self._correlation()
@@ -106,7 +106,11 @@
                     return
             whole = self.closed
             late = self.loop.time() >= ends_at_seconds
-            yield outcome_unknown(Reason.DEADLINE, "stream past its deadline") if late else LOST
+            yield (
+                outcome_unknown(Reason.DEADLINE, "deadline exceeded before the end of the stream")
+                if late
+                else LOST
+            )
         finally:
             if not whole:
                 self.send(envelopes.cancel(correlation))
@@ -115,7 +119,7 @@
     async def _answers(
         self, correlation: int, queue: asyncio.Queue[PeerAnswer | None], ends_at_seconds: float
     ) -> AsyncIterator[PeerAnswer]:
-        """Yield answers; ends early when the connection breaks or the deadline passes."""
+        """Yield answers; stop early if the connection is lost or the deadline passes."""
         taken = 0
         while True:
             try:
@@ -133,7 +137,7 @@
 
     def _greet(self, envelope: Envelope, kind: str | None) -> None:
         if kind != "hello":
-            raise FrameError("the first frame is no hello")
+            raise FrameError("first frame is not a hello")
         agreed = envelopes.versions_agree(envelope.hello)
         self.greeted.set_result(agreed)
         if agreed:
@@ -154,7 +158,7 @@
         if queue is None:
             return  # cancelled or past its deadline
         if queue.qsize() > STREAM_CREDIT:
-            raise FrameError("stream above its credit")
+            raise FrameError("stream exceeds its credit")
         queue.put_nowait(body)
 
     def _correlation(self) -> int:
@@ -163,7 +167,7 @@
         return self._next_correlation
 
     def _check_life(self) -> None:
-        """Ping a quiet connection with open requests; give up a silent one; close an idle one."""
+        """Ping a quiet connection with in-flight requests; abort a silent or close an idle one."""
         now = self.loop.time()
         self._timer = self.loop.call_later(PING_SECONDS, self._check_life)
         if not self._calls and not self._streams:
--- a/src/foxwinch/peer/ports.py
+++ b/src/foxwinch/peer/ports.py
@@ -1,7 +1,7 @@
-"""Ports between nodes: kept request streams and gossip datagrams.
+"""Interface for requests, streams and datagrams between nodes.
 
-Implemented by TCP and UDP in a deployed node and by an in-memory network in tests, where time is
-virtual. Payloads are serialized protobuf messages; `method` names the handler.
+Implemented over TCP and UDP in a deployed node and by an in-memory network with virtual time in
+tests. Payloads are serialized protobuf messages; `method` names the handler.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerContext:
-    """Who sent a request and how long the answer is of use."""
+    """Sender of a request and the seconds remaining until its deadline."""
 
     sender: NodeId
     deadline_seconds: float
@@ -27,43 +27,43 @@
 
 
 class PeerPort(Protocol):
-    """What a node asks of the network between nodes."""
+    """Network between nodes, as used by the components of a node."""
 
     async def call(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> bytes | Refused:
-        """Send a request and wait for its one answer.
+        """Send a unary request and return its answer.
 
-        A refusal `PEER_UNREACHABLE` with `not_run` means that the request was never sent; with
-        `unknown` that its answer was lost.
+        `PEER_UNREACHABLE` with run state `not_run` means that the request was never sent, and
+        with `unknown` that its answer was lost.
         """
         ...
 
     def stream(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncIterator[bytes | Refused]:
-        """Send a request and iterate over its answers; closing the iterator cancels it."""
+        """Send a streaming request and yield its answers; closing the iterator cancels it."""
         ...
 
     def send_datagram(self, address: PeerAddress, payload: bytes) -> None:
-        """Send a datagram that may be lost, doubled or reordered."""
+        """Send a datagram, which may be lost, duplicated or reordered."""
         ...
 
     def handle(self, method: str, handler: UnaryHandler) -> None:
-        """Serve `method` with one answer."""
+        """Register the handler of a unary method."""
         ...
 
     def handle_stream(self, method: str, handler: StreamHandler) -> None:
-        """Serve `method` with a stream of answers."""
+        """Register the handler of a streaming method."""
         ...
 
     def handle_datagrams(self, handler: DatagramHandler) -> None:
-        """Give every datagram that arrives to `handler`."""
+        """Add a handler that receives every datagram."""
         ...
 
 
 def parse_address(text: str) -> PeerAddress | None:
-    """Read `ip:port`, with brackets around an IPv6 number; None when it is no such thing."""
+    """Parse `ip:port` with brackets around an IPv6 address; return None if it is malformed."""
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdecimal() or not 0 < int(port) < 65_536:
         return None
--- a/src/foxwinch/peer/service.py
+++ b/src/foxwinch/peer/service.py
@@ -1,4 +1,4 @@
-"""The peer side of a deployed node: TCP and UDP on one port number."""
+"""Peer communication of a deployed node over TCP and UDP on one port number."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -16,18 +16,19 @@
 from foxwinch.settings.process import TlsSettings
 
 BIND_ATTEMPTS = 20
-"""Port numbers tried where the system chooses: the UDP port of a free TCP port may be taken."""
+"""Attempts to bind if the system chooses the port, since the UDP port that matches a free TCP port
+may be in use."""
 
 
 class PeerService:
-    """Implements `foxwinch.peer.ports.PeerPort` over TCP and UDP; see also start and stop."""
+    """Implements `foxwinch.peer.ports.PeerPort` over TCP and UDP between `start` and `stop`."""
 
     def __init__(
         self, node: NodeId, host: str = "127.0.0.1", port: int = 0, tls: TlsSettings | None = None
     ) -> None:
-        """Serve as `node` on `host:port`; port 0 lets the system choose.
+        """Serve as `node` on `host:port`; with port 0 the system chooses a port.
 
-        With `tls` every TCP connection is mutually authenticated. Datagrams are not encrypted.
+        `tls` enables mutual authentication of all TCP connections. Datagrams are not encrypted.
         """
         self._node = node
         self._host = host
@@ -40,7 +41,7 @@
         self._datagrams: DatagramSide | None = None
 
     async def start(self) -> None:
-        """Bind both sockets; raises `OSError` when the port is taken."""
+        """Bind both sockets; raise `OSError` if the port is in use."""
         for attempt in range(BIND_ATTEMPTS):
             try:
                 await self._bind()
@@ -50,7 +51,7 @@
                     raise
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Close every connection and both sockets."""
+        """Close all connections and both sockets."""
         if self._server is not None:
             self._server.close()
         if self._datagrams is not None:
@@ -61,7 +62,7 @@
 
     @property
     def address(self) -> PeerAddress:
-        """Where the node listens; the real port after the start."""
+        """Listening address; `start` replaces port 0 by the bound port."""
         return PeerAddress(self._host, self._bound_port())
 
     @property
@@ -72,7 +73,7 @@
     async def call(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> bytes | Refused:
-        """Send a request and wait for its one answer."""
+        """Send a unary request and return its answer."""
         loop = asyncio.get_running_loop()
         ends_at_seconds = loop.time() + deadline_seconds
         connection = await self._pool.get(address, deadline_seconds)
@@ -83,7 +84,7 @@
     async def stream(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncIterator[bytes | Refused]:
-        """Send a request and iterate over its answers; closing the iterator cancels it."""
+        """Send a streaming request and yield its answers; closing the iterator cancels it."""
         loop = asyncio.get_running_loop()
         ends_at_seconds = loop.time() + deadline_seconds
         connection = await self._pool.get(address, deadline_seconds)
@@ -96,20 +97,20 @@
                 yield answer
 
     def send_datagram(self, address: PeerAddress, payload: bytes) -> None:
-        """Send a datagram that may be lost, doubled or reordered."""
+        """Send a datagram, which may be lost, duplicated or reordered."""
         if self._datagrams is not None:
             self._datagrams.send(address, payload)
 
     def handle(self, method: str, handler: UnaryHandler) -> None:
-        """Serve `method` with one answer."""
+        """Register the handler of a unary method."""
         self._handlers.handle(method, handler)
 
     def handle_stream(self, method: str, handler: StreamHandler) -> None:
-        """Serve `method` with a stream of answers."""
+        """Register the handler of a streaming method."""
         self._handlers.handle_stream(method, handler)
 
     def handle_datagrams(self, handler: DatagramHandler) -> None:
-        """Give every datagram that arrives to `handler`."""
+        """Add a handler that receives every datagram."""
         self._handlers.handle_datagrams(handler)
 
     async def _bind(self) -> None:
--- a/src/foxwinch/peer/tls.py
+++ b/src/foxwinch/peer/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts of the peer side: both sides show a certificate of the same authority."""
+"""TLS contexts for mutual authentication between nodes by a common certificate authority."""
 
 import ssl
 from dataclasses import dataclass
@@ -8,22 +8,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerTls:
-    """The contexts of the serving and of the asking side."""
+    """TLS contexts of the server and the client side."""
 
     server: ssl.SSLContext
     client: ssl.SSLContext
 
 
 def build_peer_tls(settings: TlsSettings) -> PeerTls:
-    """Build both contexts; the authority is required, since it is what admits a peer.
+    """Build both contexts from `settings`, which must name an authority.
 
-    Raises `ValueError` without an authority and `OSError` for files that cannot be read.
+    Raise `ValueError` without an authority and `OSError` for files that cannot be read.
     """
     if settings.authority_file is None:
-        raise ValueError("peer_tls.authority_file: missing; it decides which peers are admitted")
+        raise ValueError("peer_tls.authority_file is required to authenticate peers")
     server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    client.check_hostname = False  # peers are named by IP numbers that change with each machine
+    client.check_hostname = False  # peers are addressed by IP, which changes with each machine
     for context in (server, client):
         context.minimum_version = ssl.TLSVersion.TLSv1_3
         context.verify_mode = ssl.CERT_REQUIRED
