--- a/tests/configuration_cluster.py
+++ b/tests/configuration_cluster.py
@@ -1,4 +1,4 @@
-"""Configuration services of several nodes on virtual time, with gossip and calls that can fail."""
+"""Configuration services of several nodes on virtual time, with unreliable gossip and calls."""
 
 import asyncio
 import itertools
@@ -50,7 +50,7 @@
 
 
 class FakeNode(NoPeers):
-    """One node's gossip, calls and membership; `heard` is what the oracle needs."""
+    """One node's gossip, calls and membership; the oracle uses `highest_heard`."""
 
     def __init__(self, cluster, number):
         self.cluster, self.number = cluster, number
@@ -86,7 +86,7 @@
                     self.spread(other, entry)
 
     def spread(self, other, entry):
-        """Send an entry; a lost one is sent again, as by the rounds of anti-entropy."""
+        """Send an entry, and resend a lost one as anti-entropy would."""
         if self.cluster.nodes.get(other.number) is not other:
             return
         loop = asyncio.get_running_loop()
@@ -109,7 +109,7 @@
         other = self.cluster.nodes.get(address.port)
         await asyncio.sleep(0.002)
         if other is None or not self.cluster.passes(self, other) or method not in other.handlers:
-            return not_run(Reason.PEER_UNREACHABLE, "cut off")
+            return not_run(Reason.PEER_UNREACHABLE, "network partitioned")
         return await other.handlers[method](PeerContext(self.member.node, 1.0), payload)
 
     def handle(self, method, handler):
@@ -117,7 +117,7 @@
 
 
 class FakeCluster:
-    """Nodes by number; `cut` names those that neither hear nor reach the others."""
+    """Nodes by number; those in `cut` are partitioned from the others."""
 
     def __init__(self, seed):
         self.loop = looptime.new_event_loop(start=0)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration spreads to every node, never goes back, and no change is applied twice."""
+"""A configuration reaches every node, never reverts, and no change is applied twice."""
 
 import asyncio
 
@@ -73,7 +73,7 @@
 
 
 class LosesAnswers:
-    """A store whose next transactions take effect without an answer."""
+    """A store whose next transactions take effect but lose their answers."""
 
     def __init__(self, records, losses):
         self.records, self.losses = records, losses
@@ -83,7 +83,7 @@
         outcome = await self.records.transact(*transaction)
         self.losses -= 1
         if self.losses >= 0:
-            return outcome_unknown(Reason.STORE_UNAVAILABLE, "the answer was lost")
+            return outcome_unknown(Reason.STORE_UNAVAILABLE, "answer lost")
         return outcome
 
     async def unreadable(self, *_):
@@ -213,7 +213,7 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Oracle: accepted revisions map to the one document accepted under them."""
+    """Oracle: each accepted revision stands for exactly one document."""
 
     def __init__(self):
         super().__init__()
@@ -255,7 +255,7 @@
         }
 
     def none_of_those_reported_as_not_run_took_effect(self):
-        """A change that is sent again may take effect then: so look before it is."""
+        """Check before a change is sent again, since it may take effect then."""
         not_run = {token for token, sent in self.sent.items() if sent[2] is RunState.NOT_RUN}
         assert not not_run & self.tokens_in_store(), "a change reported as not run took effect"
 
@@ -265,7 +265,7 @@
         outcome = self.cluster.run(node.service.apply(command))
         if isinstance(outcome, ChangeAccepted):
             same = self.accepted.setdefault(outcome.revision, float(rate))
-            assert same == rate, "two documents accepted under one revision"
+            assert same == rate, "two documents accepted as one revision"
         state = RunState.RAN if isinstance(outcome, ChangeAccepted) else outcome.run_state
         self.sent[token] = (expected, rate, state)
 
@@ -320,7 +320,7 @@
         self.none_of_those_reported_as_not_run_took_effect()
         cluster.close()
         assert cluster.failures == []
-        assert len(views) <= 1, "the nodes do not agree after the faults"
+        assert len(views) <= 1, "nodes hold different configurations after the faults ended"
         assert not any(isinstance(view, Refused) for view in views)
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits hold over all nodes within the stated bound; repeats, circuits and waits are bounded."""
+"""Rate limits across nodes, retry budgets, circuit breakers and backoff."""
 
 import random
 
@@ -30,9 +30,9 @@
 GOSSIP_SECONDS = 3.0
 DETECTION_SECONDS = 2.0
 SEEN_SECONDS = 1.25
-"""One update and one step."""
+"""Delay of one update and one step."""
 SHIFT_SECONDS = GOSSIP_SECONDS + SEEN_SECONDS + 1.0
-"""After which a node that was away knows the demand of all others."""
+"""Time after which a node that was unreachable knows the demand of all others."""
 
 
 class ModelNode:
@@ -71,7 +71,7 @@
 
 
 class Fleet:
-    """Nodes, gossip with delays up to a bound, and detection of who is there with a delay."""
+    """Nodes with gossip delayed up to a bound and delayed failure detection."""
 
     def __init__(self, seed):
         self.random, self.now = random.Random(seed), 0.0
@@ -116,9 +116,9 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Oracle: a leaky bucket over all nodes, and the sum of the shares; see docs/design/limits.md.
+    """Oracle: a leaky bucket over all nodes and the sum of the shares; see docs/design/limits.md.
 
-    A node that starts or wakes learns the demand of the others within `SHIFT_SECONDS`.
+    A node that starts or resumes learns the demand of the others within `SHIFT_SECONDS`.
     """
 
     @initialize(nodes=st.integers(1, 6), seed=st.integers(0, 999))
@@ -136,7 +136,7 @@
         self.allow_start()
 
     def allow_start(self):
-        """One request, and an equal share until the node knows the others' demand."""
+        """Allow one request, and an equal share until the node knows the demand of the others."""
         equal = LIMIT.requests_per_second / len(self.fleet.nodes)
         self.allowance += 1.0 + equal * SHIFT_SECONDS
         self.shifting_until = self.fleet.now + SHIFT_SECONDS
@@ -176,7 +176,7 @@
         fleet.set_cut({node.name for node in minority})
         self.advance(seconds)
         fleet.set_cut(set())
-        # What the smaller side saved, and an equal share until both sides see each other.
+        # Tokens accumulated by the minority, and an equal share until both sides see each other.
         self.allowance += self.cut_share * LIMIT.requests_per_second * LIMIT.burst_seconds
         for _ in minority:
             self.allow_start()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Failure detection and gossip on virtual time: the decision code and its services."""
+"""Failure detection and gossip on virtual time: the membership engine and its services."""
 
 import asyncio
 
@@ -133,7 +133,7 @@
     paused.resume()
     fleet.run(5)
     assert state_at(watcher, paused) is MemberState.ALIVE
-    # what it did not hear while it was paused says nothing of the others
+    # Answers missed during the pause are no evidence against the other members.
     assert paused.engine.counters.condemnations == 0
 
 
@@ -181,7 +181,9 @@
     parameters = fleet.parameters
     allowed = parameters.budget_bytes_per_second * 30 + parameters.budget_burst_bytes
     assert max(sent) <= allowed + DATAGRAM_BYTES + UDP_HEADER_BYTES
-    assert min(sent) > 0.8 * parameters.budget_bytes_per_second * 30  # the news fills it
+    assert (
+        min(sent) > 0.8 * parameters.budget_bytes_per_second * 30
+    )  # the pending updates use it up
 
 
 @given(
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -1,4 +1,4 @@
-"""Membership over real sockets, behind the fault proxy."""
+"""Membership over real sockets with a fault proxy in front of each node."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 
 class ProxiedNode:
-    """A node whose peer side is reached only through a proxy."""
+    """A node whose peer port is reachable only through a proxy."""
 
     def __init__(self, index: int) -> None:
         self.name = NodeId(f"n{index}")
@@ -56,7 +56,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(20):
-        while not condition():  # noqa: ASYNC110 - what is awaited has no event of its own
+        while not condition():  # noqa: ASYNC110 - the condition has no event to wait for
             await asyncio.sleep(0.01)
 
 
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -1,4 +1,4 @@
-"""The peer side over real TCP and UDP on loopback, and the in-memory network beside it."""
+"""The peer service over TCP and UDP on loopback, and the in-memory network."""
 
 import asyncio
 import datetime
@@ -27,7 +27,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(5):
-        while not condition():  # noqa: ASYNC110 - what is awaited has no event of its own
+        while not condition():  # noqa: ASYNC110 - the condition has no event to wait for
             await asyncio.sleep(0.005)
 
 
@@ -96,7 +96,7 @@
         other.handle_stream("endless", endless)
         reading = one.stream(other.address, "endless", b"", 30)
         assert await anext(reading) == b"x"
-        assert await one.call(other.address, "echo", b"", 5) == b"one:"  # not held up
+        assert await one.call(other.address, "echo", b"", 5) == b"one:"  # not blocked by the stream
         assert produced <= 130
         await reading.aclose()  # type: ignore[attr-defined]
         seen = -1
@@ -256,7 +256,7 @@
     network, one, other = await memory_pair()
     port = network.ports[one]
     assert await port.call(other, "echo", b"", 1) == b"one:"
-    network.cut(other, one)  # one way: the request arrives, the answer does not
+    network.cut(other, one)  # one direction: the request arrives, the answer does not
     lost = await port.call(other, "echo", b"", 1)
     assert isinstance(lost, Refused)
     assert lost.run_state is RunState.UNKNOWN
@@ -311,7 +311,7 @@
 
 
 def write_certificates(directory: Path, authority_name: str) -> TlsSettings:
-    """Write an authority and a certificate signed by it."""
+    """Write a certificate authority and a certificate signed by it."""
     now = datetime.datetime.now(datetime.UTC)
     keys = [ec.generate_private_key(ec.SECP256R1()) for _ in range(2)]
     names = [
--- a/tests/test_token_bucket.py
+++ b/tests/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket never passes more than its rate and capacity allow."""
+"""The token bucket never admits more than its rate and capacity allow."""
 
 import pytest
 from hypothesis import given
--- a/tests/virtual_clock.py
+++ b/tests/virtual_clock.py
@@ -1,4 +1,4 @@
-"""A clock on the virtual time of the running loop, for tests in which chance always strikes."""
+"""A deterministic clock on the virtual time of the running event loop."""
 
 import asyncio
 import itertools
@@ -7,7 +7,7 @@
 
 
 class VirtualClock:
-    """The running loop's virtual time; chance always strikes."""
+    """The virtual time of the running loop; `uniform` always returns 0, so every fault occurs."""
 
     def monotonic(self):
         return asyncio.get_running_loop().time()
