--- a/src/foxwinch/configuration/messages.py
+++ b/src/foxwinch/configuration/messages.py
@@ -1,4 +1,4 @@
-"""Encoding of configuration changes as gossip entries and as answers to peers."""
+"""Encoding of configuration changes as gossip entries and as responses to peers."""
 
 from foxwinch._generated.configuration_pb2 import ConfigurationChange
 from foxwinch.core.configuration.change import Change, encode
--- a/src/foxwinch/configuration/service.py
+++ b/src/foxwinch/configuration/service.py
@@ -51,7 +51,7 @@
 """Time within which each zone sees an accepted change even without gossip. It is under half of the
 5 s within which a change must be in effect."""
 START_PEERS = 3
-"""Peers that a starting node asks for the newest revision while the table is unavailable."""
+"""Peers that a starting node queries for the newest revision while the table is unavailable."""
 START_WAIT_SECONDS = 3.0
 """Bound on the wait for a configuration at the start, which services that start later need. It is
 reached only if neither the table nor any peer is available."""
@@ -169,7 +169,7 @@
             await self._ports.clock.sleep(max(wait, 0.02))
 
     async def _poll(self) -> bool:
-        """Read the head, or ask peers if the table is unavailable; return False to retry soon."""
+        """Read the head, or query peers if the table is unavailable; return False to retry soon."""
         head = await self._store.head()
         if isinstance(head, Refused):
             self._metrics.table_failures.inc()
@@ -241,7 +241,7 @@
         return self._replica.held
 
     async def _fetch_from(self, member: Member) -> bool:
-        """Fetch missing changes from one peer; return whether it answered."""
+        """Fetch missing changes from one peer; return whether it responded."""
         request = FetchConfigurationRequest(held_revision=self._replica.held_revision)
         answer = await self._ports.peer.call(
             member.address, FETCH_METHOD, request.SerializeToString(), FETCH_SECONDS
--- a/src/foxwinch/configuration/store.py
+++ b/src/foxwinch/configuration/store.py
@@ -41,9 +41,9 @@
 """Interval of snapshots in revisions. A node that is behind reads one full document and at most
 this many deltas."""
 STORE_SECONDS = 3.0
-"""Timeout of a store operation; the store normally answers in tens of milliseconds."""
+"""Timeout of a store operation; the store normally responds in tens of milliseconds."""
 KEPT_REVISIONS = 512
-"""Number of revisions kept in the store, for which a lost answer can be resolved by its token."""
+"""Number of revisions kept in the store, for which a lost response can be resolved by its token."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/foxwinch/core/configuration/change.py
+++ b/src/foxwinch/core/configuration/change.py
@@ -1,4 +1,4 @@
-"""Encoding of one configuration revision, and the resolution of changes with a lost answer."""
+"""Encoding of one configuration revision, and the resolution of changes with a lost response."""
 
 import zlib
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
     revision: Revision
     base: Revision
     token: str
-    """Idempotency token of the operator's change, used to resolve a lost answer."""
+    """Idempotency token of the operator's change, used to resolve a lost response."""
     digest: int
     """Digest of the full document at `revision`."""
     delta: Delta
@@ -51,7 +51,7 @@
 def settle(
     token: str, revision: Revision, head: Revision, stored_token: str | None
 ) -> ChangeAccepted | ChangeRejected | ChangeUndecided:
-    """Return the outcome of a change whose answer was lost, according to the table.
+    """Return the outcome of a change whose response was lost, according to the table.
 
     `stored_token` is the token stored for `revision`, or None if that row is absent or pruned.
     """
--- a/src/foxwinch/core/configuration/replica.py
+++ b/src/foxwinch/core/configuration/replica.py
@@ -72,7 +72,7 @@
         return self._authority_heard
 
     def hear(self, revision: Revision, authority: bool = False) -> None:
-        """Record that a revision exists; `authority` marks the answer to a query for the newest."""
+        """Record that a revision exists; `authority` is set if it comes from an authority."""
         self._heard = max(self._heard, revision)
         self._authority_heard = self._authority_heard or authority
 
--- a/src/foxwinch/core/limits/circuit.py
+++ b/src/foxwinch/core/limits/circuit.py
@@ -1,7 +1,7 @@
-"""Circuit breaker of one back end: closed, open or half open.
+"""Circuit breaker of one backend: closed, open or half open.
 
 An open circuit breaker rejects calls for a jittered time, then admits a single trial call to check
-whether the back end has recovered. The caller supplies time and random numbers.
+whether the backend has recovered. The caller supplies time and random numbers.
 """
 
 from collections import deque
@@ -13,7 +13,7 @@
 WINDOW_SECONDS = 10.0
 """Sliding window over which failures are counted."""
 CALLS_MINIMUM = 5
-"""Minimum number of calls in the window needed to judge the back end."""
+"""Minimum number of calls in the window needed to judge the backend."""
 FAILURE_FRACTION = 0.5
 OPEN_BACKOFF = Backoff(base_seconds=1.0, cap_seconds=4.0)
 OPEN_SECONDS_MINIMUM = 0.5
@@ -37,7 +37,7 @@
 
 
 class Circuit:
-    """Circuit breaker of one back end; callers check it before each call and report the result."""
+    """Circuit breaker of one backend; callers check it before each call and report the result."""
 
     def __init__(self) -> None:
         self._state = CircuitState.CLOSED
@@ -72,14 +72,14 @@
         return OPEN_SECONDS_MINIMUM if self._trial_at is not None else 0.0
 
     def succeeded(self, now: float) -> None:
-        """Record a call that the back end answered, even if with an error response."""
+        """Record a call that the backend responded to, even if with an error response."""
         if self.state(now) is CircuitState.HALF_OPEN:
             self._state, self._openings, self._trial_at = CircuitState.CLOSED, 0, None
             self._observed.clear()
         self._observe(False, now)
 
     def failed(self, now: float, random_number: float) -> None:
-        """Record a call that the back end did not answer."""
+        """Record a call that the backend did not respond to."""
         state = self.state(now)
         self._observe(True, now)
         if state is CircuitState.HALF_OPEN or (state is CircuitState.CLOSED and self._is_bad()):
--- a/src/foxwinch/core/limits/retry_budget.py
+++ b/src/foxwinch/core/limits/retry_budget.py
@@ -1,6 +1,6 @@
-"""Retry budgets: retries are limited to a fraction of first attempts per tenant and back end.
+"""Retry budgets: retries are limited to a fraction of first attempts per tenant and backend.
 
-Without a bound, every layer that retries multiplies the load on an overloaded back end.
+Without a bound, every layer that retries multiplies the load on an overloaded backend.
 """
 
 from dataclasses import dataclass
@@ -12,20 +12,20 @@
 RETRY_RATIO = 0.1
 """Retries per first attempt in the long run."""
 RETRY_BURST = 5.0
-"""Retries that an idle pair of tenant and back end may make at once."""
+"""Retries that an idle pair of tenant and backend may make at once."""
 PAIRS_MAXIMUM = 8_192
 
 
 @dataclass(frozen=True, slots=True)
 class RetryKey:
-    """A pair of tenant and back end."""
+    """A pair of tenant and backend."""
 
     tenant: TenantName
     worker: WorkerId
 
 
 class RetryBudget:
-    """Retry allowance of each pair of tenant and back end."""
+    """Retry allowance of each pair of tenant and backend."""
 
     def __init__(self, ratio: float = RETRY_RATIO, burst: float = RETRY_BURST) -> None:
         """Allow `ratio` retries per first attempt and up to `burst` at once."""
--- a/src/foxwinch/core/limits/shares.py
+++ b/src/foxwinch/core/limits/shares.py
@@ -8,8 +8,8 @@
 shares of all nodes add up to at most one.
 
 The weight of a dead node passes to the others after `LEASE_SECONDS`, and only at nodes that see a
-majority of those seen during `BASELINE_SECONDS`. The remaining nodes are cut off: their shares may
-decrease but not increase. A node that was cut off, or paused for longer than its lease, restarts
+majority of those seen during `BASELINE_SECONDS`. The remaining nodes are isolated: their shares may
+decrease but not increase. A node that was isolated, or paused for longer than its lease, restarts
 like a new one.
 """
 
@@ -26,7 +26,8 @@
 SPREAD_SECONDS = 4.0
 """Time within which a digest is assumed to reach every node of the region."""
 LEASE_SECONDS = 10.0
-"""Time for which a share stays reserved for a silent node and valid at a node without updates."""
+"""Time for which a share stays reserved for an unresponsive node, and valid at a node that does not
+update its table."""
 BASELINE_SECONDS = 600.0
 """Nodes seen alive within this time form the set of which a majority is required. It is longer than
 a zone is usually partitioned and shorter than a rolling replacement of the cluster takes."""
@@ -116,7 +117,7 @@
         return restarts
 
     def _count(self, now: float) -> None:
-        """Sum the demand of the nodes whose lease is valid, or of all nodes while cut off."""
+        """Sum the demand of the nodes whose lease is valid, or of all nodes while isolated."""
         oldest = float("-inf") if self._cut_off else now - LEASE_SECONDS
         self._counted = {n for n, other in self._others.items() if other.seen_at >= oldest}
         self._totals = {}
@@ -131,7 +132,7 @@
         return min(share, self.highest_share(name))
 
     def highest_share(self, name: int) -> float:
-        """Return the upper bound of the share: 1, or the share before the partition if cut off."""
+        """Return the upper bound of the share: 1, or the share before the partition if isolated."""
         return self._frozen.get(name, self._frozen_idle) if self._cut_off else 1.0
 
     def _fresh_share(self, name: int, now: float) -> float:
--- a/src/foxwinch/core/membership/detector.py
+++ b/src/foxwinch/core/membership/detector.py
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectMember:
-    """A member has answered no probe; the suspicion is gossiped so that it can be refuted."""
+    """A member has not responded to its probes; the gossiped suspicion lets it refute this."""
 
     target: Member
 
 
 @dataclass(frozen=True, slots=True)
 class CondemnMember:
-    """A suspected member has not answered within the suspicion timeout."""
+    """A suspected member has not responded within the suspicion timeout."""
 
     target: Member
 
@@ -66,7 +66,7 @@
         self._next_probe_at_seconds = 0.0
 
     def tick(self, now: float, may_probe: bool) -> list[DetectorAction]:
-        """Expire unanswered probes and start those that are due.
+        """Expire unacknowledged probes and start those that are due.
 
         No probe of another member starts while `may_probe` is False (byte budget exhausted).
         """
@@ -78,7 +78,7 @@
         return actions
 
     def answered(self, sequence: int) -> NodeId | None:
-        """Record an answer and return the probed node, or None if the probe is not pending."""
+        """Record a response and return the probed node, or None if the probe is not pending."""
         probe = self._probes.get(sequence)
         if probe is None:
             return None
@@ -93,7 +93,7 @@
                 del self._probes[sequence]
 
     def void_evidence(self, now: float) -> None:
-        """Discard failure evidence after a pause of this process, which may have missed answers."""
+        """Discard failure evidence after a pause, in which responses may have been missed."""
         self._probes.clear()
         for suspicion in self._suspicions.values():
             suspicion.condemn_at_seconds = now + self._parameters.suspicion_seconds
--- a/src/foxwinch/core/membership/engine.py
+++ b/src/foxwinch/core/membership/engine.py
@@ -114,7 +114,7 @@
         return self._drain()
 
     def leave(self, now: float) -> list[Action]:
-        """Announce that this node is draining; it takes no new work but still answers."""
+        """Announce that this node is draining; it takes no new work but still responds."""
         return self._announce(MemberState.LEAVING, now)
 
     def left(self, now: float) -> list[Action]:
@@ -215,7 +215,7 @@
                 self._sender.send(address, GossipDatagram(), now, news=news)
 
     def _spread(self, now: float) -> None:
-        """Send pending updates that were not piggybacked on probes or answers."""
+        """Send pending updates that were not piggybacked on probes or responses."""
         outbox = self._state.outbox
         outbox.enough = len(self._state.table.present_others()) + 1
         count = 2 if outbox.urgent(URGENT_RANK) else 1
--- a/src/foxwinch/core/membership/parameters.py
+++ b/src/foxwinch/core/membership/parameters.py
@@ -17,10 +17,10 @@
     """A node probes one other node per period. Each node is thus probed about once per period, and
     the time until the first probe of a dead node is exponential with this mean."""
     probe_timeout_seconds: float = 0.25
-    """Time after which an unanswered probe is repeated directly and through helpers; the round trip
-    within a region is 6 ms."""
+    """Time after which an unacknowledged probe is repeated directly and through helpers. The round
+    trip within a region is 6 ms."""
     probe_failed_seconds: float = 0.75
-    """Time after which the target of an unanswered probe is suspected."""
+    """Time after which the target of an unacknowledged probe is suspected."""
     indirect_probes: int = 3
     suspicion_seconds: float = 2.5
     """Suspicion timeout, during which the suspecting node keeps probing before it declares the
@@ -48,7 +48,7 @@
     if its kind is global."""
     bucket_count: int = 32
     repair_datagrams: int = 4
-    """Maximum number of datagrams sent in answer to one digest."""
+    """Maximum number of datagrams sent in response to one digest."""
     join_period_seconds: float = 1.0
     """Interval of join attempts while no other member of the region is known."""
     rejoin_period_seconds: float = 15.0
@@ -61,14 +61,14 @@
     bridges: int = 3
     """Number of members of a region that exchange gossip with other regions."""
     region_silent_seconds: float = 150.0
-    """Time without a new summary after which a region counts as cut off."""
+    """Time without a new summary after which a region counts as isolated."""
     budget_bytes_per_second: float = 2_000.0
     """Rate of sent datagrams. A node receives as much as it sends, so a third of its 6,000 B/s for
     control traffic remains for requests over TCP."""
     budget_burst_bytes: float = 32_000.0
     """Bytes that accumulate while little is sent, so that a burst of updates is not delayed."""
     budget_overdraft_bytes: float = 9_000.0
-    """Overdraft allowed for probes and answers; urgent updates may use half of it."""
+    """Overdraft allowed for probes and responses; urgent updates may use half of it."""
     former_addresses: int = 256
     """Number of addresses of absent members kept as join targets."""
     entries: int = 20_000
--- a/src/foxwinch/core/membership/receiver.py
+++ b/src/foxwinch/core/membership/receiver.py
@@ -29,7 +29,7 @@
 
 
 class DatagramReceiver:
-    """Merges the records of a datagram and answers its request."""
+    """Merges the records of a datagram and responds to its request."""
 
     def __init__(
         self,
--- a/src/foxwinch/core/membership/sender.py
+++ b/src/foxwinch/core/membership/sender.py
@@ -23,7 +23,7 @@
 class DatagramSender:
     """Sends all datagrams of a node and charges every byte to one token bucket.
 
-    Probes and answers may overdraw the bucket, since only few are due at a time, and urgent
+    Probes and responses may overdraw the bucket, since only few are due at a time, and urgent
     updates may overdraw it by half as much. Other updates and repairs wait for a balance.
     """
 
--- a/src/foxwinch/membership/service.py
+++ b/src/foxwinch/membership/service.py
@@ -75,7 +75,7 @@
         await self._tasks.stop()
 
     def leave(self) -> None:
-        """Announce that this node is draining; it continues to answer."""
+        """Announce that this node is draining; it continues to respond."""
         self.apply(self.engine.leave(self._clock.monotonic()))
 
     @property
--- a/src/foxwinch/peer/envelopes.py
+++ b/src/foxwinch/peer/envelopes.py
@@ -40,7 +40,7 @@
 
 
 def answer(correlation: int, value: bytes | Refused, last: bool) -> Envelope:
-    """Return an answer or a refusal."""
+    """Return a response or a refusal."""
     if isinstance(value, Refused):
         body = PeerAnswer(refusal=_refusal(value), last=last)
     else:
@@ -59,7 +59,7 @@
 
 
 def credit(correlation: int, answers: int) -> Envelope:
-    """Return flow-control credit for `answers` more answers of a stream."""
+    """Return flow-control credit for `answers` more responses of a stream."""
     return Envelope(correlation_id=correlation, credit=PeerCredit(answers=answers))
 
 
@@ -69,7 +69,7 @@
 
 
 def read_answer(body: PeerAnswer) -> bytes | Refused:
-    """Return the payload or the refusal of an answer."""
+    """Return the payload or the refusal of a response."""
     if not body.HasField("refusal"):
         return body.payload
     refusal = body.refusal
--- a/src/foxwinch/peer/handlers.py
+++ b/src/foxwinch/peer/handlers.py
@@ -51,7 +51,7 @@
     async def run_stream(
         self, context: PeerContext, method: str, payload: bytes
     ) -> AsyncGenerator[bytes | Refused, None]:
-        """Run a streaming request within its deadline; a single task must consume the answers."""
+        """Run a streaming request within its deadline; a single task must consume the responses."""
         handler = self._streams.get(method)
         if handler is None:
             yield _unknown_method(method)
--- a/src/foxwinch/peer/limits.py
+++ b/src/foxwinch/peer/limits.py
@@ -21,7 +21,7 @@
 INBOUND_CONNECTIONS = 2_048
 """Maximum number of connections from other nodes; a region has fewer nodes."""
 STREAM_CREDIT = 64
-"""Maximum number of answers of a stream that are in flight or queued at the client."""
+"""Maximum number of responses of a stream that are in flight or queued at the client."""
 WRITE_BUFFER_BYTES = 1024 * 1024
 """Number of buffered bytes above which senders must wait."""
 PING_SECONDS = 2.0
--- a/src/foxwinch/peer/outbound.py
+++ b/src/foxwinch/peer/outbound.py
@@ -16,12 +16,12 @@
     STREAM_CREDIT,
 )
 
-LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "connection lost before the answer")
+LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "connection lost before the response")
 OVERLOADED = not_run(Reason.OVERLOADED, "too many in-flight requests to this peer", 0.1)
 
 
 class OutboundConnection(FrameProtocol):
-    """Sends requests to one peer and matches answers to them by correlation ID."""
+    """Sends requests to one peer and matches responses to them by correlation ID."""
 
     def __init__(self, node: NodeId) -> None:
         """Identify as `node` in the hello."""
@@ -65,7 +65,7 @@
             self.send(envelopes.ping(reply=True))
 
     async def call(self, method: str, payload: bytes, deadline_seconds: float) -> bytes | Refused:
-        """Send a request and return its answer; the outcome is unknown after the deadline."""
+        """Send a request and return its response; the outcome is unknown after the deadline."""
         if len(self._calls) >= PENDING_REQUESTS or self.congested:
             return OVERLOADED
         correlation = self._correlation()
@@ -77,7 +77,7 @@
                 return await future
         except TimeoutError:
             self.send(envelopes.cancel(correlation))
-            return outcome_unknown(Reason.DEADLINE, "no answer before the deadline")
+            return outcome_unknown(Reason.DEADLINE, "no response before the deadline")
         except asyncio.CancelledError:
             self.send(envelopes.cancel(correlation))
             raise
@@ -87,7 +87,7 @@
     async def stream(
         self, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncGenerator[bytes | Refused, None]:
-        """Send a request and yield its answers until the end, a refusal or the deadline."""
+        """Send a request and yield its responses until the end, a refusal or the deadline."""
         if len(self._streams) >= PENDING_REQUESTS or self.congested:
             yield OVERLOADED
             return
@@ -119,7 +119,7 @@
     async def _answers(
         self, correlation: int, queue: asyncio.Queue[PeerAnswer | None], ends_at_seconds: float
     ) -> AsyncIterator[PeerAnswer]:
-        """Yield answers; stop early if the connection is lost or the deadline passes."""
+        """Yield responses; stop early if the connection is lost or the deadline passes."""
         taken = 0
         while True:
             try:
@@ -167,7 +167,7 @@
         return self._next_correlation
 
     def _check_life(self) -> None:
-        """Ping a quiet connection with in-flight requests; abort a silent or close an idle one."""
+        """Ping a quiet connection, abort an unresponsive one or close an idle one."""
         now = self.loop.time()
         self._timer = self.loop.call_later(PING_SECONDS, self._check_life)
         if not self._calls and not self._streams:
--- a/src/foxwinch/peer/ports.py
+++ b/src/foxwinch/peer/ports.py
@@ -32,17 +32,17 @@
     async def call(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> bytes | Refused:
-        """Send a unary request and return its answer.
+        """Send a unary request and return its response.
 
         `PEER_UNREACHABLE` with run state `not_run` means that the request was never sent, and
-        with `unknown` that its answer was lost.
+        with `unknown` that its response was lost.
         """
         ...
 
     def stream(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncIterator[bytes | Refused]:
-        """Send a streaming request and yield its answers; closing the iterator cancels it."""
+        """Send a streaming request and yield its responses; closing the iterator cancels it."""
         ...
 
     def send_datagram(self, address: PeerAddress, payload: bytes) -> None:
--- a/src/foxwinch/peer/service.py
+++ b/src/foxwinch/peer/service.py
@@ -73,7 +73,7 @@
     async def call(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> bytes | Refused:
-        """Send a unary request and return its answer."""
+        """Send a unary request and return its response."""
         loop = asyncio.get_running_loop()
         ends_at_seconds = loop.time() + deadline_seconds
         connection = await self._pool.get(address, deadline_seconds)
@@ -84,7 +84,7 @@
     async def stream(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncIterator[bytes | Refused]:
-        """Send a streaming request and yield its answers; closing the iterator cancels it."""
+        """Send a streaming request and yield its responses; closing the iterator cancels it."""
         loop = asyncio.get_running_loop()
         ends_at_seconds = loop.time() + deadline_seconds
         connection = await self._pool.get(address, deadline_seconds)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -73,7 +73,7 @@
 
 
 class LosesAnswers:
-    """A store whose next transactions take effect but lose their answers."""
+    """A store whose next transactions take effect but lose their responses."""
 
     def __init__(self, records, losses):
         self.records, self.losses = records, losses
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -133,7 +133,7 @@
     paused.resume()
     fleet.run(5)
     assert state_at(watcher, paused) is MemberState.ALIVE
-    # Answers missed during the pause are no evidence against the other members.
+    # Responses missed during the pause are no evidence against the other members.
     assert paused.engine.counters.condemnations == 0
 
 
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -256,7 +256,7 @@
     network, one, other = await memory_pair()
     port = network.ports[one]
     assert await port.call(other, "echo", b"", 1) == b"one:"
-    network.cut(other, one)  # one direction: the request arrives, the answer does not
+    network.cut(other, one)  # one direction: the request arrives, the response does not
     lost = await port.call(other, "echo", b"", 1)
     assert isinstance(lost, Refused)
     assert lost.run_state is RunState.UNKNOWN
