--- a/src/foxwinch/configuration/ports.py
+++ b/src/foxwinch/configuration/ports.py
@@ -18,7 +18,7 @@
 
 
 class ConfigurationView(Protocol):
-    """The configuration in effect at this node, which never reverts to an older revision."""
+    """The active configuration of this node, which never reverts to an older revision."""
 
     def current(self) -> ConfigurationSnapshot | Refused:
         """Return the snapshot, or `STALE_CONFIGURATION` if a newer revision is known."""
--- a/src/foxwinch/configuration/service.py
+++ b/src/foxwinch/configuration/service.py
@@ -49,7 +49,7 @@
 FETCH_SECONDS = 2.0
 POLL_SECONDS = 2.0
 """Time within which each zone sees an accepted change even without gossip. It is under half of the
-5 s within which a change must be in effect."""
+5 s within which a change must be active."""
 START_PEERS = 3
 """Peers that a starting node queries for the newest revision while the table is unavailable."""
 START_WAIT_SECONDS = 3.0
--- a/src/foxwinch/core/configuration/change.py
+++ b/src/foxwinch/core/configuration/change.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeAccepted:
-    """An operator's change is in effect as `revision`."""
+    """An operator's change is active as `revision`."""
 
     revision: Revision
 
--- a/src/foxwinch/core/configuration/replica.py
+++ b/src/foxwinch/core/configuration/replica.py
@@ -95,7 +95,7 @@
             detail = "the node has not yet determined the newest configuration revision"
             return not_run(Reason.STALE_CONFIGURATION, detail, STALE_RETRY_SECONDS)
         if self.is_behind:
-            detail = f"revision {self._heard} is in effect, this node holds {self._held.revision}"
+            detail = f"revision {self._heard} is active, this node holds {self._held.revision}"
             return not_run(Reason.STALE_CONFIGURATION, detail, STALE_RETRY_SECONDS)
         return self._held
 
