--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -2,7 +2,7 @@
 
 The grant comes before the intent, so that a call that finds no worker is refused without a trace
 in the journal. A stream that breaks is resumed behind the chunks that were already sent, on the
-worker that the stewards grant next.
+worker that the coordinators grant next.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from foxwinch._generated.journal_pb2 import CallAdmitted, CallOutcome, HistoryMessage
-from foxwinch.backends.ports import GenerateFinished, GenerateOrder, Message, TokenChunk
+from foxwinch.backends.ports import GenerateFinished, GenerateRequest, Message, TokenChunk
 from foxwinch.commands.attempts import before_first, with_earlier
 from foxwinch.commands.call_lifecycle import CallLifecycle
 from foxwinch.commands.call_retries import come_back
@@ -29,7 +29,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.workers.ports import Grant, GrantRequest, GrantUsage
 
-MAXIMUM_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Dispatches of one model call, the first included: a zone that returns must not meet a storm."""
 RETRIED_REASONS = frozenset({Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED, Reason.FENCED})
 
@@ -69,7 +69,7 @@
             if intent is None or await self._prepare(intent):
                 await self._finish(await self._attempts())
         except asyncio.CancelledError:
-            if self.life.family.lost or not self.life.running.cancel_cause:
+            if self.life.tree.lost or not self.life.running.cancel_cause:
                 raise
             await self._cancelled()
         finally:
@@ -154,7 +154,7 @@
             if isinstance(end, GenerateFinished):
                 return end
             earlier = with_earlier(end, earlier)
-            if end.reason not in RETRIED_REASONS or attempt >= MAXIMUM_ATTEMPTS:
+            if end.reason not in RETRIED_REASONS or attempt >= MAX_ATTEMPTS:
                 return earlier
             if not retries.may_repeat(self.life.program.tenant, worker, end, self.sent):
                 return come_back(earlier)
@@ -211,10 +211,10 @@
             self.service_seconds += self.ports.clock.monotonic() - started_at
         return Refused(Reason.BACKEND_FAILED, RunState.UNKNOWN, "the stream ended early")
 
-    def _order(self, grant: Grant) -> GenerateOrder:
+    def _order(self, grant: Grant) -> GenerateRequest:
         admitted = self._held_admitted()
         parameters = json.loads(admitted.parameters_json) if admitted.parameters_json else {}
-        return GenerateOrder(
+        return GenerateRequest(
             call_id=self.life.running.call_id,
             program_id=self.life.program.program_id,
             model=ModelName(admitted.target),
--- a/src/foxwinch/configuration/messages.py
+++ b/src/foxwinch/configuration/messages.py
@@ -10,14 +10,14 @@
 GOSSIP_BODY_BYTES = 480
 """Larger deltas are announced by revision only and fetched over TCP. A change of one tenant takes
 about 200 bytes, and several entries share a datagram of one MTU."""
-ENTRIES_COMPRESSED_MAXIMUM = 16
+MAX_ENTRIES_COMPRESSED = 16
 """Deltas with more entries are not encoded for gossip because they never fit."""
 
 
 def gossip_entry(change: Change) -> GossipEntry:
     """Return the gossip entry of a change, with only the revision if the change is too large."""
     message = ConfigurationChange(revision=change.revision)
-    if len(change.delta.puts) + len(change.delta.deletes) <= ENTRIES_COMPRESSED_MAXIMUM:
+    if len(change.delta.puts) + len(change.delta.deletes) <= MAX_ENTRIES_COMPRESSED:
         whole = encode(change)
         if len(whole.body) <= GOSSIP_BODY_BYTES:
             message = whole
--- a/src/foxwinch/core/limits/token_bucket.py
+++ b/src/foxwinch/core/limits/token_bucket.py
@@ -63,7 +63,7 @@
         self._grow(now)
         self.balance = min(self.capacity, self.balance - amount)
 
-    def hold_for(self, seconds: float, now: float) -> None:
+    def pause_for(self, seconds: float, now: float) -> None:
         """Make no tokens available for `seconds`, as requested by a Retry-After header."""
         self._grow(now)
         self.balance = min(self.balance, -seconds * self.rate_per_second)
--- a/src/foxwinch/core/limits/usage.py
+++ b/src/foxwinch/core/limits/usage.py
@@ -16,7 +16,7 @@
 DIGEST_ENTRIES = 64
 """Number of keys in a digest, those with the highest demand. Each takes 5 bytes, so a digest takes
 330 bytes."""
-DEMAND_MAXIMUM = 1.0
+MAX_DEMAND = 1.0
 """Demand is capped at the whole limit, since a node cannot get more."""
 DEMAND_MINIMUM = 2.0**-12
 STEPS_PER_DOUBLING = 8
@@ -36,7 +36,7 @@
     """Return the quantization step of a demand, from 1 to 97, or 0 for no demand."""
     if demand < DEMAND_MINIMUM:
         return 0
-    bounded = min(demand, DEMAND_MAXIMUM)
+    bounded = min(demand, MAX_DEMAND)
     return 1 + math.floor(STEPS_PER_DOUBLING * math.log2(bounded / DEMAND_MINIMUM))
 
 
@@ -44,7 +44,7 @@
     """Return the demand that a quantization step represents."""
     if step <= 0:
         return 0.0
-    return min(DEMAND_MAXIMUM, DEMAND_MINIMUM * math.exp2((step - 1) / STEPS_PER_DOUBLING))
+    return min(MAX_DEMAND, DEMAND_MINIMUM * math.exp2((step - 1) / STEPS_PER_DOUBLING))
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/foxwinch/core/routing/selection.py
+++ b/src/foxwinch/core/routing/selection.py
@@ -38,7 +38,7 @@
 
     zone: str
     last_worker: str | None = None
-    """Incarnation of the worker that served the line's last turn and may still hold its cache."""
+    """Incarnation of the worker that served the conversation's last turn; it may hold the cache."""
     program: str | None = None
     """The program, where the call leaves a cache behind: all nodes prefer one worker for it."""
     excluded: Collection[str] = ()
@@ -74,7 +74,7 @@
         cost += OTHER_ZONE_COST
     if worker.incarnation == wish.last_worker:
         cost -= LAST_WORKER_GAIN
-    if worker.cold_seconds > 0:
+    if worker.warmup_seconds > 0:
         cost += COLD_COST
     cost += WAIT_COST_PER_SECOND * max(0.0, load.expected_wait_seconds(now) - IDLE_WAIT_SECONDS)
     if load.avoided(now):
--- a/src/foxwinch/limits/service.py
+++ b/src/foxwinch/limits/service.py
@@ -90,7 +90,7 @@
         for entry in self._ports.gossip.entries(GossipKind.USAGE).values():
             self._on_gossip(entry)
         self._update()
-        self._tasks.keep(self._run())
+        self._tasks.start(self._run())
 
     async def stop(self) -> None:
         """Stop publishing; the other nodes reserve this node's share until its lease expires."""
--- a/src/foxwinch/node/parts/programs.py
+++ b/src/foxwinch/node/parts/programs.py
@@ -7,15 +7,15 @@
 
 from foxwinch.backends.no_tools import NoTools
 from foxwinch.commands.abandon_program import AbandonCommand
-from foxwinch.commands.adopt import FamilyAdoption
 from foxwinch.commands.call_retries import CallRetries
 from foxwinch.commands.forward import Forwarder
-from foxwinch.commands.operator import ProgramAbandons
+from foxwinch.commands.operator import ProgramAbandonPort
 from foxwinch.commands.ports import ProgramPorts
 from foxwinch.commands.program_owner import ProgramOwner
 from foxwinch.commands.requests import ProgramRequest
 from foxwinch.commands.router import ProgramRouter
 from foxwinch.commands.sweep import ProgramSweeper
+from foxwinch.commands.tree_takeover import TreeTakeover
 from foxwinch.core.program.call_events import ProgramEvent
 from foxwinch.gateway.authentication import Authenticator
 from foxwinch.gateway.chat import ChatHandlers, GatewayContext
@@ -39,7 +39,7 @@
     execute: Callable[[ProgramRequest], AsyncIterator[ProgramEvent]]
     """Carries a caller's request out, here or at the node that serves the program."""
     facts: ProgramFacts
-    abandons: ProgramAbandons
+    abandons: ProgramAbandonPort
     services: tuple[NodeService, ...] = ()
 
 
@@ -53,7 +53,7 @@
         self._owner = owner
         self._router = router
         self._sweeper = ProgramSweeper(owner)
-        self._adoption = FamilyAdoption(owner, membership)
+        self._adoption = TreeTakeover(owner, membership)
 
     async def start(self) -> None:
         """Start sweeping and looking."""
@@ -88,7 +88,7 @@
     ports = ProgramPorts(
         clock=context.ports.clock,
         configuration=configuration.configuration,
-        families=records.families,
+        trees=records.trees,
         grants=grants.grants,
         limits=configuration.limits,
         engine=context.ports.engine,
--- a/src/foxwinch/workers/engine_retries.py
+++ b/src/foxwinch/workers/engine_retries.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from foxwinch.backends.ports import Done
+from foxwinch.backends.ports import Completed
 from foxwinch.clock import Clock
 from foxwinch.identifiers import WorkerId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Refused
 
 FIRST_PAUSE_SECONDS = 0.2
-LONGEST_PAUSE_SECONDS = 5.0
+MAX_PAUSE_SECONDS = 5.0
 """An engine that is back is told what it missed within this time."""
 
 log = EventLog("engine")
@@ -35,11 +35,11 @@
     """A program for `RELEASE`, a call for `CANCEL`."""
 
 
-Operation = Callable[[], Awaitable[Done | Refused]]
+Operation = Callable[[], Awaitable[Completed | Refused]]
 
 
 class EngineRetries:
-    """Runs operations until the engine answers `Done`; waits with full jitter in between."""
+    """Runs operations until the engine answers `Completed`; waits with full jitter in between."""
 
     def __init__(self, clock: Clock) -> None:
         """Start with nothing to do."""
@@ -79,7 +79,7 @@
             self.drop(key)
 
     def drop_worker(self, worker: WorkerId) -> None:
-        """Give up what concerns a worker that is gone, or is another steward's now."""
+        """Give up what concerns a worker that is gone, or is another coordinator's now."""
         for key in [key for key in self._tasks if key.worker == worker]:
             self.drop(key)
 
@@ -103,7 +103,7 @@
                 reason=refused.reason,
             )
             await self._clock.sleep(pause * (0.5 + self._clock.uniform() / 2))
-            pause = min(2 * pause, LONGEST_PAUSE_SECONDS)
+            pause = min(2 * pause, MAX_PAUSE_SECONDS)
         self._tasks.pop(key, None)
         for when_done in self._when_done.pop(key, ()):
             when_done()
