--- a/src/foxwinch/core/membership/detector.py
+++ b/src/foxwinch/core/membership/detector.py
@@ -6,9 +6,9 @@
 
 from dataclasses import dataclass
 
-from foxwinch.core.membership.draws import Draws
 from foxwinch.core.membership.member import Member
 from foxwinch.core.membership.parameters import MembershipParameters
+from foxwinch.core.membership.seeded_random import SeededRandom
 from foxwinch.core.membership.table import MemberTable
 from foxwinch.identifiers import NodeId
 
@@ -48,18 +48,20 @@
 
 @dataclass(slots=True)
 class _Suspicion:
-    condemn_at_seconds: float
+    declare_dead_at_seconds: float
     probe_at_seconds: float
 
 
 class FailureDetector:
     """Probes the present members of a table in random round-robin order."""
 
-    def __init__(self, table: MemberTable, draws: Draws, parameters: MembershipParameters) -> None:
+    def __init__(
+        self, table: MemberTable, rng: SeededRandom, parameters: MembershipParameters
+    ) -> None:
         self._table = table
-        self._draws = draws
+        self._rng = rng
         self._parameters = parameters
-        self._turn: list[NodeId] = []
+        self._probe_order: list[NodeId] = []
         self._probes: dict[int, _Probe] = {}
         self._suspicions: dict[NodeId, _Suspicion] = {}
         self._sequence = 0
@@ -70,36 +72,36 @@
 
         No probe of another member starts while `may_probe` is False (byte budget exhausted).
         """
-        actions = self._judge_suspicions(now)
-        actions += self._judge_probes(now)
-        crowded = len(self._suspicions) >= self._parameters.suspicions_at_once
-        if may_probe and not crowded and now >= self._next_probe_at_seconds:
+        actions = self._check_suspicions(now)
+        actions += self._check_probes(now)
+        at_suspicion_limit = len(self._suspicions) >= self._parameters.max_suspicions
+        if may_probe and not at_suspicion_limit and now >= self._next_probe_at_seconds:
             actions += self._probe_next(now)
         return actions
 
-    def answered(self, sequence: int) -> NodeId | None:
+    def record_response(self, sequence: int) -> NodeId | None:
         """Record a response and return the probed node, or None if the probe is not pending."""
         probe = self._probes.get(sequence)
         if probe is None:
             return None
-        self.heard_from(probe.target)
+        self.record_contact(probe.target)
         return probe.target
 
-    def heard_from(self, node: NodeId) -> None:
+    def record_contact(self, node: NodeId) -> None:
         """Drop pending probes and suspicion of a node from which a datagram arrived."""
         self._suspicions.pop(node, None)
         if self._probes:
             for sequence in [s for s, p in self._probes.items() if p.target == node]:
                 del self._probes[sequence]
 
-    def void_evidence(self, now: float) -> None:
+    def discard_evidence(self, now: float) -> None:
         """Discard failure evidence after a pause, in which responses may have been missed."""
         self._probes.clear()
         for suspicion in self._suspicions.values():
-            suspicion.condemn_at_seconds = now + self._parameters.suspicion_seconds
+            suspicion.declare_dead_at_seconds = now + self._parameters.suspicion_seconds
             suspicion.probe_at_seconds = now
 
-    def _judge_probes(self, now: float) -> list[DetectorAction]:
+    def _check_probes(self, now: float) -> list[DetectorAction]:
         actions: list[DetectorAction] = []
         for sequence, probe in list(self._probes.items()):
             target = self._table.get(probe.target)
@@ -121,13 +123,13 @@
         self._suspicions[target.node] = _Suspicion(now + self._parameters.suspicion_seconds, now)
         return [SuspectMember(target)]
 
-    def _judge_suspicions(self, now: float) -> list[DetectorAction]:
+    def _check_suspicions(self, now: float) -> list[DetectorAction]:
         actions: list[DetectorAction] = []
         for node, suspicion in list(self._suspicions.items()):
             target = self._table.get(node)
             if target is None or not target.is_present:
                 del self._suspicions[node]
-            elif now >= suspicion.condemn_at_seconds:
+            elif now >= suspicion.declare_dead_at_seconds:
                 del self._suspicions[node]
                 actions.append(DeclareDead(target))
             elif now >= suspicion.probe_at_seconds:
@@ -138,20 +140,24 @@
 
     def _probe_next(self, now: float) -> list[DetectorAction]:
         """Probe the next member, at a shorter interval while any member is suspected."""
-        hurry = bool(self._suspicions)
-        period = self._parameters.tick_seconds if hurry else self._parameters.probe_period_seconds
+        has_suspicions = bool(self._suspicions)
+        period = (
+            self._parameters.tick_seconds
+            if has_suspicions
+            else self._parameters.probe_period_seconds
+        )
         self._next_probe_at_seconds = now + period
         target = self._next_target()
         return [self._probe(target, now, ())] if target is not None else []
 
     def _next_target(self) -> Member | None:
         for _ in range(2):
-            while self._turn:
-                target = self._table.get(self._turn.pop())
+            while self._probe_order:
+                target = self._table.get(self._probe_order.pop())
                 if target is not None and target.is_present and not self._is_probed(target.node):
                     return target
             others = [member.node for member in self._table.present_others()]
-            self._turn = self._draws.pick(others, len(others))
+            self._probe_order = self._rng.sample(others, len(others))
         return None
 
     def _is_probed(self, node: NodeId) -> bool:
@@ -164,4 +170,4 @@
 
     def _helpers(self, target: Member, count: int) -> tuple[Member, ...]:
         others = [m for m in self._table.present_others() if m.node != target.node]
-        return tuple(self._draws.pick(others, count))
+        return tuple(self._rng.sample(others, count))
--- a/src/foxwinch/core/membership/digest.py
+++ b/src/foxwinch/core/membership/digest.py
@@ -22,7 +22,7 @@
         bucket = self._bucket(key)
         self.buckets[bucket] ^= self._keys[bucket].pop(key, 0)
 
-    def differing(self, other: list[int]) -> list[int]:
+    def differing_buckets(self, other: list[int]) -> list[int]:
         """Return the indices of the buckets whose hashes differ from `other`."""
         return [index for index, mine in enumerate(self.buckets) if mine != other[index]]
 
--- a/src/foxwinch/core/membership/engine.py
+++ b/src/foxwinch/core/membership/engine.py
@@ -18,7 +18,6 @@
     ProbeMember,
     SuspectMember,
 )
-from foxwinch.core.membership.draws import Draws
 from foxwinch.core.membership.entry import (
     KEY_BYTES,
     OWNED_KINDS,
@@ -26,18 +25,19 @@
     GossipEntry,
     GossipKind,
 )
-from foxwinch.core.membership.joining import JoinPlan
+from foxwinch.core.membership.joining import JoinScheduler
 from foxwinch.core.membership.member import Member, MemberState
 from foxwinch.core.membership.parameters import UDP_HEADER_BYTES, MembershipParameters
 from foxwinch.core.membership.receiver import DatagramReceiver
 from foxwinch.core.membership.regions import RegionDirectory
+from foxwinch.core.membership.seeded_random import SeededRandom
 from foxwinch.core.membership.sender import URGENT_RANK, DatagramSender
-from foxwinch.core.membership.state import KnowledgeState
+from foxwinch.core.membership.state import GossipState
 from foxwinch.identifiers import NodeId, PeerAddress
 
-DATAGRAMS_WHEN_RICH = 4
+BURST_DATAGRAMS = 4
 """Gossip datagrams per tick while more than half of the burst budget is available."""
-FAREWELLS = 5
+LEAVE_NOTIFICATIONS = 5
 """Members notified directly when this node leaves."""
 
 
@@ -54,14 +54,14 @@
     ) -> None:
         """Start as the only member; `hints` are addresses at which other nodes may run."""
         self._parameters = parameters or MembershipParameters()
-        self._state = KnowledgeState(this, self._parameters, now)
-        self._draws = Draws(seed)
-        self._detector = FailureDetector(self._state.table, self._draws, self._parameters)
+        self._state = GossipState(this, self._parameters, now)
+        self._rng = SeededRandom(seed)
+        self._detector = FailureDetector(self._state.table, self._rng, self._parameters)
         self._sender = DatagramSender(self._state, now)
         self._regions = RegionDirectory(self._state)
-        self._joining = JoinPlan(self._state, self._regions, self._draws, hints)
+        self._joining = JoinScheduler(self._state, self._regions, self._rng, hints)
         self._receiver = DatagramReceiver(
-            self._state, self._sender, self._detector, self._draws, self._joining
+            self._state, self._sender, self._detector, self._rng, self._joining
         )
         self._receivers: list[NodeId] = []
         self._ticked_at_seconds = now
@@ -97,9 +97,9 @@
         """Return whether this node knows of no other present member of the region."""
         return not self._state.table.present_others()
 
-    def set_listed(self, addresses: Iterable[PeerAddress]) -> None:
+    def set_listed_addresses(self, addresses: Iterable[PeerAddress]) -> None:
         """Replace the candidate addresses that come from the platform's machine list."""
-        self._joining.set_listed(addresses)
+        self._joining.set_listed_addresses(addresses)
 
     def publish(self, entry: GossipEntry, now: float) -> list[Action]:
         """Gossip an entry; raise `ValueError` if it does not fit into a datagram."""
@@ -130,20 +130,20 @@
 
     def tick(self, now: float) -> list[Action]:
         """Run everything that is due at `now`."""
-        if now - self._ticked_at_seconds > self._parameters.stall_seconds:
-            self._detector.void_evidence(now)
+        if now - self._ticked_at_seconds > self._parameters.pause_threshold_seconds:
+            self._detector.discard_evidence(now)
         self._ticked_at_seconds = now
         for action in self._detector.tick(now, self._sender.has_balance(now)):
             self._apply(action, now)
         self._join(now)
         self._compare_digests(now)
-        self._speak_between_regions(now)
-        self._spread(now)
+        self._gossip_between_regions(now)
+        self._gossip_updates(now)
         return self._drain()
 
     def _announce(self, state: MemberState, now: float) -> list[Action]:
         self._state.announce(state, self.this_member().incarnation + 1, now)
-        for member in self._draws.pick(self._state.table.present_others(), FAREWELLS):
+        for member in self._rng.sample(self._state.table.present_others(), LEAVE_NOTIFICATIONS):
             self._sender.send(member.address, GossipDatagram(), now)
         return self._drain()
 
@@ -183,20 +183,20 @@
     def _compare_digests(self, now: float) -> None:
         if now < self._next_digest_at_seconds:
             return
-        self._state.tidy(now)
-        hurry = self._receiver.far_apart
+        self._state.expire(now)
+        diverged = self._receiver.has_diverged
         period = (
-            self._parameters.digest_hurry_seconds
-            if hurry
+            self._parameters.diverged_digest_period_seconds
+            if diverged
             else self._parameters.digest_period_seconds
         )
         self._next_digest_at_seconds = now + period
-        self._receiver.far_apart = False
-        for member in self._draws.pick(self._state.table.present_others(), 1):
+        self._receiver.has_diverged = False
+        for member in self._rng.sample(self._state.table.present_others(), 1):
             digest = Digest(buckets=self._state.digest.buckets)
             self._sender.send(member.address, GossipDatagram(digest=digest), now)
 
-    def _speak_between_regions(self, now: float) -> None:
+    def _gossip_between_regions(self, now: float) -> None:
         if not self.is_bridge():
             return
         bridges = self._regions.bridges()
@@ -204,30 +204,30 @@
         if summary is not None:
             self._state.merge_entry(summary, now)
         others = self._regions.other_bridges()
-        for region in self._draws.pick(others, 1):
-            address = region[self._draws.below(len(region))]
+        for region in self._rng.sample(others, 1):
+            address = region[self._rng.randbelow(len(region))]
             if now >= self._next_region_digest_at_seconds:
                 self._next_region_digest_at_seconds = now + self._parameters.digest_period_seconds
                 digest = Digest(buckets=self._state.global_digest.buckets, only_global=True)
                 self._sender.send(address, GossipDatagram(digest=digest), now)
-            news = self._state.region_outbox
-            if self._sender.may_send_news(news, now):
-                self._sender.send(address, GossipDatagram(), now, news=news)
+            outbox = self._state.region_outbox
+            if self._sender.may_send_updates(outbox, now):
+                self._sender.send(address, GossipDatagram(), now, outbox=outbox)
 
-    def _spread(self, now: float) -> None:
+    def _gossip_updates(self, now: float) -> None:
         """Send pending updates that were not piggybacked on probes or responses."""
         outbox = self._state.outbox
-        outbox.enough = len(self._state.table.present_others()) + 1
-        count = 2 if outbox.urgent(URGENT_RANK) else 1
-        if self._sender.is_rich(now):
-            count = DATAGRAMS_WHEN_RICH
+        outbox.max_transmissions = len(self._state.table.present_others()) + 1
+        count = 2 if outbox.has_urgent(URGENT_RANK) else 1
+        if self._sender.has_burst_balance(now):
+            count = BURST_DATAGRAMS
         for _ in range(count):
-            if not self._sender.may_send_news(outbox, now):
+            if not self._sender.may_send_updates(outbox, now):
                 return
             member = self._next_receiver()
             if member is None:
                 return
-            self._sender.send(member.address, GossipDatagram(), now, news=outbox)
+            self._sender.send(member.address, GossipDatagram(), now, outbox=outbox)
 
     def _next_receiver(self) -> Member | None:
         """Return the next member of a random permutation, so that few receive an update twice."""
@@ -237,7 +237,7 @@
                 if member is not None and member.is_present:
                     return member
             others = [member.node for member in self._state.table.present_others()]
-            self._receivers = self._draws.pick(others, len(others))
+            self._receivers = self._rng.sample(others, len(others))
         return None
 
     def _drain(self) -> list[Action]:
--- a/src/foxwinch/core/membership/gossip.py
+++ b/src/foxwinch/core/membership/entry_store.py
@@ -25,7 +25,7 @@
         held = self._entries[entry.kind].get(entry.key)
         if not replaces(entry, held):
             return False
-        if held is None and len(self) >= self._parameters.entries:
+        if held is None and len(self) >= self._parameters.max_entries:
             return False
         self._entries[entry.kind][entry.key] = entry
         self._changed_at_seconds[(entry.kind, entry.key)] = now
--- a/src/foxwinch/core/membership/parameters.py
+++ b/src/foxwinch/core/membership/parameters.py
@@ -28,22 +28,22 @@
     reprobe_seconds: float = 0.5
     """Interval between probes of a suspected member."""
     reprobe_helpers: int = 2
-    suspicions_at_once: int = 2
+    max_suspicions: int = 2
     """Number of suspicions at which a node starts no further probes. When a zone fails, the other
     nodes share the work, and a node that is itself partitioned stays within its budget."""
-    stall_seconds: float = 1.0
+    pause_threshold_seconds: float = 1.0
     """A longer gap between ticks counts as a pause of this process, whose failure evidence is then
     discarded."""
-    forget_seconds: float = 600.0
+    absent_retention_seconds: float = 600.0
     """Retention of the records of absent members, so that stale gossip does not revive them."""
     unknown_owner_seconds: float = 60.0
     """Age at which an entry is dropped if its owner never appeared as a member."""
     digest_period_seconds: float = 5.0
     """Interval of anti-entropy with one random member."""
-    digest_hurry_seconds: float = 1.0
+    diverged_digest_period_seconds: float = 1.0
     """Anti-entropy interval after a comparison in which a quarter of the buckets differed, as after
     a join or a partition."""
-    settle_seconds: float = 5.0
+    recent_entry_seconds: float = 5.0
     """Age below which an entry is still being gossiped. Anti-entropy repeats a younger entry only
     if its kind is global."""
     bucket_count: int = 32
@@ -69,9 +69,9 @@
     """Bytes that accumulate while little is sent, so that a burst of updates is not delayed."""
     budget_overdraft_bytes: float = 9_000.0
     """Overdraft allowed for probes and responses; urgent updates may use half of it."""
-    former_addresses: int = 256
+    max_former_addresses: int = 256
     """Number of addresses of absent members kept as join targets."""
-    entries: int = 20_000
+    max_entries: int = 20_000
     """Maximum number of entries held."""
     transmissions: tuple[int, ...] = (6, 6, 6, 4, 3, 3)
     """Transmissions of an update by each node, indexed by kind and bounded by the number of other
--- a/src/foxwinch/core/membership/receiver.py
+++ b/src/foxwinch/core/membership/receiver.py
@@ -11,20 +11,20 @@
     ProbeRequest,
 )
 from foxwinch.core.membership.detector import FailureDetector
-from foxwinch.core.membership.draws import Draws
-from foxwinch.core.membership.joining import JoinPlan
+from foxwinch.core.membership.joining import JoinScheduler
 from foxwinch.core.membership.member import Member, MemberState
 from foxwinch.core.membership.regions import SUMMARY_PREFIX
+from foxwinch.core.membership.seeded_random import SeededRandom
 from foxwinch.core.membership.sender import DatagramSender
-from foxwinch.core.membership.state import KnowledgeState
+from foxwinch.core.membership.state import GossipState
 from foxwinch.core.membership.wire import parse_datagram, read_entry, read_member
 from foxwinch.identifiers import NodeId, PeerAddress
 
-RELAYS = 256
+MAX_RELAYED_PROBES = 256
 """Maximum number of pending indirect probes relayed for other nodes."""
 JOIN_MEMBERS = 8
 """Members sent to a joining node; anti-entropy sends the rest."""
-FAR_APART_FRACTION = 0.25
+DIVERGED_FRACTION = 0.25
 """Fraction of differing buckets above which the next anti-entropy round runs early."""
 
 
@@ -33,18 +33,18 @@
 
     def __init__(
         self,
-        state: KnowledgeState,
+        state: GossipState,
         sender: DatagramSender,
         detector: FailureDetector,
-        draws: Draws,
-        joining: JoinPlan,
+        rng: SeededRandom,
+        joining: JoinScheduler,
     ) -> None:
-        self.far_apart = False
+        self.has_diverged = False
         """Whether the last comparison found more than a quarter of the buckets differing."""
         self._state = state
         self._sender = sender
         self._detector = detector
-        self._draws = draws
+        self._rng = rng
         self._joining = joining
         self._relays: dict[int, tuple[PeerAddress, int]] = {}
         self._next_relay = 2**32
@@ -61,21 +61,21 @@
             return
         local = sender.region == this.region
         if local:
-            self._hear(sender, now)
+            self._merge_sender(sender, now)
             self._merge_members(datagram, now)
         else:
-            self._joining.is_elsewhere(source)
+            self._joining.add_remote_address(source)
         self._merge_entries(datagram, local, now)
-        self._answer(source, sender, datagram, local, now)
+        self._handle_body(source, sender, datagram, local, now)
 
-    def _hear(self, sender: Member, now: float) -> None:
+    def _merge_sender(self, sender: Member, now: float) -> None:
         """Record direct contact with a member; any other member at its address is marked dead."""
         table = self._state.table
         previous = table.present_at(sender.address)
         if previous is not None and previous.node not in (sender.node, table.this.node):
             self._state.merge_member(replace(previous, state=MemberState.DEAD), now)
         self._state.merge_member(sender, now)
-        self._detector.heard_from(sender.node)
+        self._detector.record_contact(sender.node)
 
     def _merge_members(self, datagram: GossipDatagram, now: float) -> None:
         region = self._state.table.this.region
@@ -91,92 +91,94 @@
             if entry is None or not (local or entry.is_global):
                 continue
             if self._state.merge_entry(entry, now) and entry.key == own_summary:
-                self._joining.news_of_region()
+                self._joining.region_summary_received()
 
-    def _answer(
+    def _handle_body(
         self, source: PeerAddress, sender: Member, datagram: GossipDatagram, local: bool, now: float
     ) -> None:
         kind = datagram.WhichOneof("body")
         if kind == "probe":
-            self._probed(source, sender, datagram.probe, local, now)
+            self._handle_probe(source, sender, datagram.probe, local, now)
         elif kind == "probe_answer":
-            self._probe_answered(sender, datagram.probe_answer, now)
+            self._handle_probe_answer(sender, datagram.probe_answer, now)
         elif kind == "probe_request" and local:
-            self._asked_to_probe(source, datagram.probe_request, now)
+            self._handle_probe_request(source, datagram.probe_request, now)
         elif kind == "join":
-            self._joined(source, datagram.join, local, now)
+            self._handle_join(source, datagram.join, local, now)
         elif kind == "digest":
-            self._compared(source, datagram.digest, local, now)
+            self._handle_digest(source, datagram.digest, local, now)
         if local and kind != "probe":
-            self._correct(source, sender, now)
+            self._request_refutation(source, sender, now)
 
-    def _probed(
+    def _handle_probe(
         self, source: PeerAddress, sender: Member, probe: Probe, local: bool, now: float
     ) -> None:
         answer = GossipDatagram(probe_answer=ProbeAnswer(sequence=probe.sequence))
-        news = self._state.outbox if local else None
-        self._sender.send(source, answer, now, self._record_to_refute(sender), news)
+        outbox = self._state.outbox if local else None
+        self._sender.send(source, answer, now, self._record_to_refute(sender), outbox)
 
-    def _probe_answered(self, sender: Member, answer: ProbeAnswer, now: float) -> None:
+    def _handle_probe_answer(self, sender: Member, answer: ProbeAnswer, now: float) -> None:
         relay = self._relays.pop(answer.sequence, None)
         if relay is not None:
-            asker, sequence = relay
+            requester, sequence = relay
             record = self._state.member_field(sender.node)
             body = GossipDatagram(probe_answer=ProbeAnswer(sequence=sequence))
-            self._sender.send(asker, body, now, [record] if record is not None else [])
+            self._sender.send(requester, body, now, [record] if record is not None else [])
             return
-        self._detector.answered(answer.sequence)
+        self._detector.record_response(answer.sequence)
 
-    def _asked_to_probe(self, source: PeerAddress, request: ProbeRequest, now: float) -> None:
+    def _handle_probe_request(self, source: PeerAddress, request: ProbeRequest, now: float) -> None:
         target = self._state.table.get(NodeId(request.target))
         if target is None or not target.is_present:
             return
         self._next_relay += 1
         self._relays[self._next_relay] = (source, request.sequence)
-        if len(self._relays) > RELAYS:
+        if len(self._relays) > MAX_RELAYED_PROBES:
             del self._relays[next(iter(self._relays))]
         probe = GossipDatagram(probe=Probe(sequence=self._next_relay, target=target.node))
         record = self._state.member_field(target.node)
         self._sender.send(target.address, probe, now, [record] if record is not None else [])
 
-    def _joined(self, source: PeerAddress, join: Join, local: bool, now: float) -> None:
-        self.far_apart = self.far_apart or local
+    def _handle_join(self, source: PeerAddress, join: Join, local: bool, now: float) -> None:
+        self.has_diverged = self.has_diverged or local
         if join.reply or not self._sender.has_balance(now):
             return  # the joining node retries
         fields = []
         if local:
-            members = self._draws.pick(self._state.table.present_others(), JOIN_MEMBERS)
+            members = self._rng.sample(self._state.table.present_others(), JOIN_MEMBERS)
             fields = [self._state.member_field(member.node) or b"" for member in members]
         fields += self._global_fields(range(len(self._state.global_digest.buckets)), now)
         self._sender.send(source, GossipDatagram(join=Join(reply=True)), now, fields)
 
-    def _compared(self, source: PeerAddress, digest: Digest, local: bool, now: float) -> None:
+    def _handle_digest(self, source: PeerAddress, digest: Digest, local: bool, now: float) -> None:
         only_global = digest.only_global or not local
         index = self._state.global_digest if only_global else self._state.digest
         if len(digest.buckets) != len(index.buckets):
             return  # the peer runs a version with another bucket count
-        differing = index.differing(list(digest.buckets))
-        if not differing:
+        differing_buckets = index.differing_buckets(list(digest.buckets))
+        if not differing_buckets:
             return
-        everything = len(differing) > FAR_APART_FRACTION * len(index.buckets)
-        self.far_apart = self.far_apart or (everything and not only_global)
+        include_recent = len(differing_buckets) > DIVERGED_FRACTION * len(index.buckets)
+        self.has_diverged = self.has_diverged or (include_recent and not only_global)
         if not digest.reply and self._sender.has_balance(now):
             reply = Digest(buckets=index.buckets, reply=True, only_global=only_global)
             self._sender.send(source, GossipDatagram(digest=reply), now)
         if only_global:
-            fields = self._global_fields(differing, now)
+            fields = self._global_fields(differing_buckets, now)
         else:
-            keys = [key for bucket in differing for key in index.keys(bucket)]
-            keys = self._draws.pick(keys, len(keys))
-            fields = self._state.repair_fields(keys, now, everything)
+            keys = [key for bucket in differing_buckets for key in index.keys(bucket)]
+            keys = self._rng.sample(keys, len(keys))
+            fields = self._state.repair_fields(keys, now, include_recent)
         self._sender.send_fields(source, fields, self._state.parameters.repair_datagrams, now)
 
     def _global_fields(self, buckets: "list[int] | range", now: float) -> list[bytes]:
         index = self._state.global_digest
         keys = [key for bucket in buckets for key in index.keys(bucket)]
-        return self._state.repair_fields(self._draws.pick(keys, len(keys)), now, everything=True)
+        return self._state.repair_fields(
+            self._rng.sample(keys, len(keys)), now, include_recent=True
+        )
 
-    def _correct(self, source: PeerAddress, sender: Member, now: float) -> None:
+    def _request_refutation(self, source: PeerAddress, sender: Member, now: float) -> None:
         """Send a live member its suspected or dead record, so that it can refute it."""
         fields = self._record_to_refute(sender)
         if fields and self._sender.has_balance(now):
--- a/src/foxwinch/core/membership/regions.py
+++ b/src/foxwinch/core/membership/regions.py
@@ -7,7 +7,7 @@
 from foxwinch.core.membership.actions import RegionState
 from foxwinch.core.membership.entry import GossipEntry, GossipKind
 from foxwinch.core.membership.member import Member, MemberState
-from foxwinch.core.membership.state import KnowledgeState
+from foxwinch.core.membership.state import GossipState
 from foxwinch.core.membership.wire import member_record, read_member
 from foxwinch.identifiers import PeerAddress, RegionName, ZoneName
 
@@ -19,16 +19,16 @@
 class RegionDirectory:
     """The bridges of this region and the state of the other regions."""
 
-    def __init__(self, state: KnowledgeState) -> None:
+    def __init__(self, state: GossipState) -> None:
         self._state = state
         self._parsed: dict[str, tuple[GossipEntry, RegionSummary]] = {}
         self._bridges: list[Member] = []
-        self._bridges_of_version = -1
+        self._bridges_version = -1
 
     def bridges(self) -> list[Member]:
         """Return the members that act as bridges, in distinct zones where possible."""
-        if self._bridges_of_version != self._state.table.version:
-            self._bridges_of_version = self._state.table.version
+        if self._bridges_version != self._state.table.version:
+            self._bridges_version = self._state.table.version
             self._bridges = self._choose_bridges()
         return self._bridges
 
@@ -72,7 +72,7 @@
             if name != this.region and (addresses := _addresses(summary))
         ]
 
-    def own_bridges_heard_of(self) -> list[PeerAddress]:
+    def own_bridges_from_summary(self) -> list[PeerAddress]:
         """Return the addresses of this region's bridges according to its summary."""
         summary = self._summaries().get(self._state.table.this.region)
         return _addresses(summary) if summary is not None else []
--- a/src/foxwinch/core/membership/sender.py
+++ b/src/foxwinch/core/membership/sender.py
@@ -8,7 +8,7 @@
 from foxwinch.core.membership.entry import GossipKind
 from foxwinch.core.membership.outbox import Outbox
 from foxwinch.core.membership.parameters import DATAGRAM_BYTES, UDP_HEADER_BYTES
-from foxwinch.core.membership.state import KnowledgeState
+from foxwinch.core.membership.state import GossipState
 from foxwinch.core.membership.wire import sender_field
 from foxwinch.identifiers import PeerAddress
 
@@ -16,7 +16,7 @@
 URGENT_RANK = int(GossipKind.CONFIGURATION)
 """Updates up to this rank may overdraw the budget, because the probes that detect a dead node
 must not delay the update that reports it."""
-NEWS_BYTES = 300
+MIN_UPDATE_BYTES = 300
 """Minimum balance at which a datagram is sent for updates alone."""
 
 
@@ -27,7 +27,7 @@
     updates may overdraw it by half as much. Other updates and repairs wait for a balance.
     """
 
-    def __init__(self, state: KnowledgeState, now: float) -> None:
+    def __init__(self, state: GossipState, now: float) -> None:
         self._state = state
         parameters = state.parameters
         self._overdraft = parameters.budget_overdraft_bytes / 2
@@ -35,20 +35,20 @@
             parameters.budget_bytes_per_second, parameters.budget_burst_bytes, now
         )
 
-    def is_rich(self, now: float) -> bool:
+    def has_burst_balance(self, now: float) -> bool:
         """Return whether more than half of the burst budget is available."""
         return self._bucket.available(now) > self._state.parameters.budget_burst_bytes / 2
 
-    def may_send_news(self, news: Outbox, now: float) -> bool:
+    def may_send_updates(self, outbox: Outbox, now: float) -> bool:
         """Return whether a queued update may be sent now."""
         balance = self._bucket.available(now)
-        if balance >= NEWS_BYTES:
-            return len(news) > 0
-        return balance >= NEWS_BYTES - self._overdraft and news.urgent(URGENT_RANK)
+        if balance >= MIN_UPDATE_BYTES:
+            return len(outbox) > 0
+        return balance >= MIN_UPDATE_BYTES - self._overdraft and outbox.has_urgent(URGENT_RANK)
 
     def has_balance(self, now: float) -> bool:
         """Return whether the balance allows updates and repairs of any rank."""
-        return self._bucket.available(now) >= NEWS_BYTES
+        return self._bucket.available(now) >= MIN_UPDATE_BYTES
 
     def send(
         self,
@@ -56,7 +56,7 @@
         body: GossipDatagram,
         now: float,
         fields: Sequence[bytes] = (),
-        news: Outbox | None = None,
+        outbox: Outbox | None = None,
     ) -> None:
         """Send `body` with as many of `fields`, then of the queued updates, as fit."""
         counters = self._state.counters
@@ -70,8 +70,10 @@
             if size + len(field) <= DATAGRAM_BYTES:
                 parts.append(field)
                 size += len(field)
-        if news is not None:
-            taken = self._news(news, DATAGRAM_BYTES - size, balance - size - UDP_HEADER_BYTES)
+        if outbox is not None:
+            taken = self._take_updates(
+                outbox, DATAGRAM_BYTES - size, balance - size - UDP_HEADER_BYTES
+            )
             parts += taken
             size += sum(map(len, taken))
         self._bucket.charge(size + UDP_HEADER_BYTES, now)
@@ -79,11 +81,11 @@
         counters.bytes_sent += size + UDP_HEADER_BYTES
         self._state.actions.append(SendDatagram(address, b"".join(parts)))
 
-    def _news(self, news: Outbox, room: float, balance: float) -> list[bytes]:
+    def _take_updates(self, outbox: Outbox, room: float, balance: float) -> list[bytes]:
         """Return updates for a datagram: any rank within the balance, urgent ones beyond it."""
         if balance > 0:
-            return news.take(min(room, balance), ALL_RANKS)
-        return news.take(min(room, balance + self._overdraft), URGENT_RANK)
+            return outbox.take(min(room, balance), ALL_RANKS)
+        return outbox.take(min(room, balance + self._overdraft), URGENT_RANK)
 
     def send_fields(
         self, address: PeerAddress, fields: Sequence[bytes], datagrams: int, now: float
--- a/src/foxwinch/core/membership/state.py
+++ b/src/foxwinch/core/membership/state.py
@@ -5,7 +5,7 @@
 from foxwinch.core.membership.actions import Action, EntryChanged, MemberChanged, MembershipCounters
 from foxwinch.core.membership.digest import DigestIndex
 from foxwinch.core.membership.entry import GLOBAL_KINDS, GossipEntry, GossipKind
-from foxwinch.core.membership.gossip import EntryStore
+from foxwinch.core.membership.entry_store import EntryStore
 from foxwinch.core.membership.member import Member, MemberState
 from foxwinch.core.membership.outbox import Outbox
 from foxwinch.core.membership.parameters import MembershipParameters
@@ -20,7 +20,7 @@
 """Transmissions of an absent member's record for each stale record received of it."""
 
 
-class KnowledgeState:
+class GossipState:
     """Merges records and updates the outboxes and digests accordingly."""
 
     def __init__(self, this: Member, parameters: MembershipParameters, now: float) -> None:
@@ -33,11 +33,11 @@
         """Updates for other regions, sent by bridges only."""
         self.digest = DigestIndex(parameters.bucket_count)
         self.global_digest = DigestIndex(parameters.bucket_count)
-        self.former: dict[PeerAddress, None] = {}
+        self.former_addresses: dict[PeerAddress, None] = {}
         """Addresses of former members, most recent last."""
         self.actions: list[Action] = []
         self._fields: dict[str, bytes] = {}
-        self._note_member(this)
+        self._queue_member(this)
 
     def merge_member(self, member: Member, now: float) -> bool:
         """Merge a record of a member of the region; return whether it changed another member."""
@@ -51,12 +51,12 @@
             return False
         if not self.table.put(member, now):
             if held is not None and not held.is_present and member.is_present:
-                self._repeat_absence(held)
+                self._requeue_absent_member(held)
             return False
-        self._note_member(member)
+        self._queue_member(member)
         self.actions.append(MemberChanged(member))
         if not member.is_present:
-            self._lost(member)
+            self._drop_absent(member)
         return True
 
     def refute(self, claim: Member, now: float) -> None:
@@ -72,7 +72,7 @@
 
     def announce(self, state: MemberState, incarnation: int, now: float) -> None:
         """Change this node's own record and gossip it."""
-        self._note_member(self.table.set_this(state, incarnation, now))
+        self._queue_member(self.table.set_this(state, incarnation, now))
         self.actions.append(MemberChanged(self.table.this))
 
     def merge_entry(self, entry: GossipEntry, now: float) -> bool:
@@ -95,9 +95,11 @@
         self.actions.append(EntryChanged(entry))
         return True
 
-    def tidy(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop expired records of absent members and entries without a known owner."""
-        for member in self.table.forget_before(now - self.parameters.forget_seconds):
+        for member in self.table.remove_absent_before(
+            now - self.parameters.absent_retention_seconds
+        ):
             self._fields.pop(_member_key(member), None)
         orphans = self.store.drop_orphans(lambda n: self.table.get(n) is not None, now)
         self._drop(orphans)
@@ -114,15 +116,15 @@
         """Return the encoded record of a member, or None if it is unknown."""
         return self._fields.get(f"m/{node}")
 
-    def repair_fields(self, keys: Iterable[str], now: float, everything: bool) -> list[bytes]:
+    def repair_fields(self, keys: Iterable[str], now: float, include_recent: bool) -> list[bytes]:
         """Return the encoded records under digest keys, lowest rank first.
 
-        Entries that are still being gossiped are left out unless `everything` is True.
+        Entries that are still being gossiped are left out unless `include_recent` is True.
         """
         ranked = []
         for key in keys:
-            rank, young = self._rank(key, now)
-            if everything or not young:
+            rank, is_recent = self._rank(key, now)
+            if include_recent or not is_recent:
                 ranked.append((rank, self._fields[key]))
         return [field for _, field in sorted(ranked, key=lambda pair: pair[0])]
 
@@ -133,10 +135,10 @@
         entry = self.store.get(GossipKind(int(kind)), name)
         assert entry is not None
         age_seconds = now - self.store.changed_at_seconds(entry)
-        young = age_seconds < self.parameters.settle_seconds
-        return int(entry.kind), young and entry.kind not in GLOBAL_KINDS
+        is_recent = age_seconds < self.parameters.recent_entry_seconds
+        return int(entry.kind), is_recent and entry.kind not in GLOBAL_KINDS
 
-    def _note_member(self, member: Member) -> None:
+    def _queue_member(self, member: Member) -> None:
         key, field = _member_key(member), member_field(member)
         self._fields[key] = field
         leaving = member.state in (MemberState.LEAVING, MemberState.LEFT)
@@ -147,17 +149,17 @@
         else:
             self.digest.remove(key)
 
-    def _repeat_absence(self, held: Member) -> None:
+    def _requeue_absent_member(self, held: Member) -> None:
         """Queue the record of an absent member again after a stale record of it was received."""
         rank = int(GossipKind.MEMBERSHIP)
         self.outbox.offer(_member_key(held), rank, member_field(held), ABSENCE_TRANSMISSIONS)
 
-    def _lost(self, member: Member) -> None:
+    def _drop_absent(self, member: Member) -> None:
         self._drop(self.store.drop_owned_by(member.node))
-        self.former.pop(member.address, None)
-        self.former[member.address] = None
-        if len(self.former) > self.parameters.former_addresses:
-            del self.former[next(iter(self.former))]
+        self.former_addresses.pop(member.address, None)
+        self.former_addresses[member.address] = None
+        if len(self.former_addresses) > self.parameters.max_former_addresses:
+            del self.former_addresses[next(iter(self.former_addresses))]
 
     def _drop(self, entries: list[GossipEntry]) -> None:
         for entry in entries:
--- a/src/foxwinch/core/membership/table.py
+++ b/src/foxwinch/core/membership/table.py
@@ -15,7 +15,7 @@
         """Incremented on every change."""
         self._members: dict[NodeId, Member] = {this.node: this}
         self._absent_since_seconds: dict[NodeId, float] = {}
-        self._at: dict[PeerAddress, NodeId] = {this.address: this.node}
+        self._node_by_address: dict[PeerAddress, NodeId] = {this.address: this.node}
         self._others: list[Member] | None = None
 
     def get(self, node: NodeId) -> Member | None:
@@ -36,7 +36,7 @@
 
     def present_at(self, address: PeerAddress) -> Member | None:
         """Return the present member at an address, if any."""
-        node = self._at.get(address)
+        node = self._node_by_address.get(address)
         return self._members.get(node) if node is not None else None
 
     def is_absent(self, node: NodeId) -> bool:
@@ -59,7 +59,7 @@
         self._replace(self.this, now)
         return self.this
 
-    def forget_before(self, seconds: float) -> list[Member]:
+    def remove_absent_before(self, seconds: float) -> list[Member]:
         """Drop and return the members that have been absent since before `seconds`."""
         old = [n for n, since in self._absent_since_seconds.items() if since < seconds]
         for node in old:
@@ -77,8 +77,8 @@
         self.version += 1
         if member.is_present:
             self._absent_since_seconds.pop(member.node, None)
-            self._at[member.address] = member.node
+            self._node_by_address[member.address] = member.node
         else:
             self._absent_since_seconds.setdefault(member.node, now)
-            if self._at.get(member.address) == member.node:
-                del self._at[member.address]
+            if self._node_by_address.get(member.address) == member.node:
+                del self._node_by_address[member.address]
--- a/src/foxwinch/membership/gossip.py
+++ b/src/foxwinch/membership/gossip.py
@@ -15,7 +15,7 @@
         self._membership = membership
         self._listeners: defaultdict[GossipKind, list[Callable[[GossipEntry], None]]]
         self._listeners = defaultdict(list)
-        membership.subscribe_entries(self._arrived)
+        membership.subscribe_entries(self._notify_listeners)
 
     def publish(self, entry: GossipEntry) -> None:
         """Gossip an entry; raise `ValueError` if it does not fit into a datagram.
@@ -32,6 +32,6 @@
         """Call `listener` with every new or newer entry of a kind, including this node's own."""
         self._listeners[kind].append(listener)
 
-    def _arrived(self, entry: GossipEntry) -> None:
+    def _notify_listeners(self, entry: GossipEntry) -> None:
         for listener in list(self._listeners[entry.kind]):
             listener(entry)
--- a/src/foxwinch/membership/service.py
+++ b/src/foxwinch/membership/service.py
@@ -24,9 +24,9 @@
 
 NODE_KIND = "node"
 Value = TypeVar("Value")
-LIST_ALONE_SECONDS = 5.0
+LIST_INTERVAL_ALONE_SECONDS = 5.0
 """Interval between reads of the platform's machine list while no other member is known."""
-LIST_SECONDS = 60.0
+LIST_INTERVAL_SECONDS = 60.0
 """Interval between reads otherwise, when only the few bridges of a region read the list."""
 
 
@@ -61,9 +61,9 @@
         """Start probing and joining other nodes."""
         engine = self.engine
         self._started = True
-        self._tasks.start(self._run())
+        self._tasks.start(self._tick_loop())
         if self._machines is not None:
-            self._tasks.start(self._read_list(self._machines))
+            self._tasks.start(self._machine_list_loop(self._machines))
         this = engine.this_member()
         self._log.info("membership_started", node=this.node, zone=this.zone, region=this.region)
 
@@ -127,7 +127,7 @@
         if self._tasks:
             self.apply(self.engine.receive(source, payload, self._clock.monotonic()))
 
-    async def _run(self) -> None:
+    async def _tick_loop(self) -> None:
         while True:
             try:
                 self.apply(self.engine.tick(self._clock.monotonic()))
@@ -135,7 +135,7 @@
                 self._log.error("membership_tick_failed", cause=repr(error))
             await self._clock.sleep(self._parameters.tick_seconds)
 
-    async def _read_list(self, machines: MachinePort) -> None:
+    async def _machine_list_loop(self, machines: MachinePort) -> None:
         while True:
             alone = self.engine.is_alone()
             if alone or self.engine.is_bridge():
@@ -144,8 +144,8 @@
                     self._log.info("machine_list_unavailable", cause=found.detail)
                 else:
                     nodes = (m.address for m in found if m.kind == NODE_KIND)
-                    self.engine.set_listed(filter(None, map(parse_address, nodes)))
-            pause_seconds = LIST_ALONE_SECONDS if alone else LIST_SECONDS
+                    self.engine.set_listed_addresses(filter(None, map(parse_address, nodes)))
+            pause_seconds = LIST_INTERVAL_ALONE_SECONDS if alone else LIST_INTERVAL_SECONDS
             await self._clock.sleep(pause_seconds * (0.5 + self._clock.uniform()))
 
     def _member_changed(self, member: Member) -> None:
