--- a/src/foxwinch/bench/retry_storm.py
+++ b/src/foxwinch/bench/retry_storm.py
@@ -15,7 +15,7 @@
 from enum import StrEnum
 
 from foxwinch.core.limits.backoff import Backoff
-from foxwinch.core.limits.circuit import Circuit
+from foxwinch.core.limits.circuit_breaker import CircuitBreaker
 from foxwinch.core.limits.retry_budget import RetryBudget, RetryKey
 from foxwinch.identifiers import TenantName, WorkerId
 
@@ -72,7 +72,7 @@
         self.attempts: list[tuple[float, bool]] = []
         self.busy_until = 0.0
         self.backoff = Backoff(0.2, 8.0)
-        self.circuits = [Circuit() for _ in range(scenario.clients)]
+        self.circuits = [CircuitBreaker() for _ in range(scenario.clients)]
         self.budgets = [RetryBudget() for _ in range(scenario.clients)]
         self.queue: list[tuple[float, int, str, _Call]] = []
         self.order = itertools.count()
@@ -90,9 +90,9 @@
                 self._attempt(call, now)
             elif kind == "answer":
                 call.done_at = now
-                self.circuits[call.client].succeeded(now)
+                self.circuits[call.client].record_success(now)
             else:
-                self.circuits[call.client].failed(now, self.random.random())
+                self.circuits[call.client].record_failure(now, self.random.random())
                 self._repeat(call, now)
 
     def _push(self, at: float, kind: str, call: _Call) -> None:
@@ -101,7 +101,7 @@
     def _attempt(self, call: _Call, now: float) -> None:
         if self.policy is Policy.BUDGET:
             if call.attempts == 0:
-                self.budgets[call.client].first_attempt(_KEY)
+                self.budgets[call.client].record_first_attempt(_KEY)
             if not self.circuits[call.client].try_call(now):
                 return  # refused at once, with a time to come back
         call.attempts += 1
@@ -122,7 +122,7 @@
             wait = self.backoff.wait_seconds(call.attempts - 1, self.random.random())
         if now + wait > call.started_at + self.scenario.deadline:
             return
-        if self.policy is Policy.BUDGET and not self.budgets[call.client].try_repeat(_KEY):
+        if self.policy is Policy.BUDGET and not self.budgets[call.client].try_retry(_KEY):
             return
         self._push(now + wait, "attempt", call)
 
--- a/src/foxwinch/bench/unit_costs.py
+++ b/src/foxwinch/bench/unit_costs.py
@@ -19,7 +19,7 @@
 from foxwinch._generated.operator_pb2 import FactsRequest, FactsResponse, NodeStatus, WorkerStatus
 from foxwinch.bench.commit import current_commit
 from foxwinch.bench.schedule.decision_cost import measure_decisions
-from foxwinch.core.limits.shares import SPREAD_SECONDS, ShareTable
+from foxwinch.core.limits.shares import PROPAGATION_SECONDS, ShareTable
 from foxwinch.core.limits.usage import DIGEST_ENTRIES, UsageDigest, decode, encode
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.records.ports import StoredRow
@@ -112,10 +112,10 @@
     ]
     names = [NodeId(f"node-{n}") for n in range(nodes)]
     payloads = [encode(digest) for digest in digests]
-    table.tell_own(digests[0], 0.0)
+    table.record_own_digest(digests[0], 0.0)
     for name, digest in zip(names[1:], digests[1:], strict=True):
-        table.tell(name, digest, 0.0)
-    now = SPREAD_SECONDS
+        table.record_digest(name, digest, 0.0)
+    now = PROPAGATION_SECONDS
     table.update(names, now)
 
     def shares() -> None:
@@ -126,7 +126,7 @@
         for name, payload in zip(names[1:], payloads[1:], strict=True):
             digest = decode(payload)
             assert digest is not None
-            table.tell(name, digest, now)
+            table.record_digest(name, digest, now)
 
     def update() -> None:
         table.update(names, now)
--- a/src/foxwinch/commands/call_retries.py
+++ b/src/foxwinch/commands/call_retries.py
@@ -12,7 +12,7 @@
 
 from foxwinch.backends.ports import GenerateFinished
 from foxwinch.core.limits.backoff import Backoff
-from foxwinch.core.limits.circuit import Circuit
+from foxwinch.core.limits.circuit_breaker import CircuitBreaker
 from foxwinch.core.limits.retry_budget import RetryBudget, RetryKey
 from foxwinch.identifiers import TenantName, WorkerId
 from foxwinch.outcomes import Reason, Refused, not_run
@@ -34,7 +34,7 @@
     def __init__(self, registry: CollectorRegistry | None = None) -> None:
         """Start with closed circuits and full budgets; metrics go to `registry`."""
         self._budget = RetryBudget()
-        self._circuits: LRUCache[WorkerId, Circuit] = LRUCache(MAX_CIRCUITS)
+        self._circuits: LRUCache[WorkerId, CircuitBreaker] = LRUCache(MAX_CIRCUITS)
         self._retries = Counter(
             "foxwinch_call_retries", "Repeated dispatches of model calls", registry=registry
         )
@@ -65,15 +65,15 @@
         """Tell the back end's circuit how a dispatch ended; `uniform` draws from 0 up to 1."""
         circuit = self._circuit(worker)
         if isinstance(end, GenerateFinished):
-            circuit.succeeded(now)
+            circuit.record_success(now)
         elif end.reason in BACKEND_REASONS:
-            circuit.failed(now, uniform())
+            circuit.record_failure(now, uniform())
         elif end.reason not in UNSETTLED_REASONS:
-            circuit.succeeded(now)
+            circuit.record_success(now)
 
     def first_attempt(self, tenant: TenantName, worker: WorkerId) -> None:
         """Count a first attempt, of which a part may be repeated."""
-        self._budget.first_attempt(RetryKey(tenant, worker))
+        self._budget.record_first_attempt(RetryKey(tenant, worker))
 
     def may_repeat(self, tenant: TenantName, worker: WorkerId, end: Refused, sent: bool) -> bool:
         """Tell whether a call may be dispatched again after `end` at a back end.
@@ -82,7 +82,7 @@
         when nothing was sent because of an open circuit.
         """
         paid = sent and end.reason in BACKEND_REASONS
-        if paid and not self._budget.try_repeat(RetryKey(tenant, worker)):
+        if paid and not self._budget.try_retry(RetryKey(tenant, worker)):
             self._refusals.labels("budget_spent").inc()
             return False
         self._retries.inc()
@@ -92,10 +92,10 @@
         """Return the pause after dispatch `attempt` (1 is the first)."""
         return BACKOFF.wait_seconds(attempt - 1, random_number)
 
-    def _circuit(self, worker: WorkerId) -> Circuit:
+    def _circuit(self, worker: WorkerId) -> CircuitBreaker:
         found = self._circuits.get(worker)
         if found is None:
-            found = self._circuits[worker] = Circuit()
+            found = self._circuits[worker] = CircuitBreaker()
         return found
 
 
--- a/src/foxwinch/core/limits/circuit.py
+++ b/src/foxwinch/core/limits/circuit_breaker.py
@@ -12,13 +12,13 @@
 
 WINDOW_SECONDS = 10.0
 """Sliding window over which failures are counted."""
-CALLS_MINIMUM = 5
+MIN_CALLS = 5
 """Minimum number of calls in the window needed to judge the backend."""
 FAILURE_FRACTION = 0.5
 OPEN_BACKOFF = Backoff(base_seconds=1.0, cap_seconds=4.0)
-OPEN_SECONDS_MINIMUM = 0.5
+MIN_OPEN_SECONDS = 0.5
 """Lower bound of the open time, since full jitter alone could yield almost no wait."""
-TRIAL_SECONDS = 30.0
+TRIAL_TIMEOUT_SECONDS = 30.0
 """Time after which a trial call without a result counts as lost and another is admitted."""
 
 
@@ -31,18 +31,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Observed:
+class _CallResult:
     at: float
     failed: bool
 
 
-class Circuit:
+class CircuitBreaker:
     """Circuit breaker of one backend; callers check it before each call and report the result."""
 
     def __init__(self) -> None:
         self._state = CircuitState.CLOSED
-        self._observed: deque[_Observed] = deque()
-        self._openings = 0
+        self._results: deque[_CallResult] = deque()
+        self._consecutive_openings = 0
         self._open_until = 0.0
         self._trial_at: float | None = None
 
@@ -59,7 +59,7 @@
             return True
         if state is CircuitState.OPEN:
             return False
-        if self._trial_at is not None and now - self._trial_at < TRIAL_SECONDS:
+        if self._trial_at is not None and now - self._trial_at < TRIAL_TIMEOUT_SECONDS:
             return False
         self._trial_at = now
         return True
@@ -69,32 +69,34 @@
         state = self.state(now)
         if state is CircuitState.OPEN:
             return self._open_until - now
-        return OPEN_SECONDS_MINIMUM if self._trial_at is not None else 0.0
+        return MIN_OPEN_SECONDS if self._trial_at is not None else 0.0
 
-    def succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Record a call that the backend responded to, even if with an error response."""
         if self.state(now) is CircuitState.HALF_OPEN:
-            self._state, self._openings, self._trial_at = CircuitState.CLOSED, 0, None
-            self._observed.clear()
-        self._observe(False, now)
+            self._state, self._consecutive_openings, self._trial_at = CircuitState.CLOSED, 0, None
+            self._results.clear()
+        self._record(False, now)
 
-    def failed(self, now: float, random_number: float) -> None:
+    def record_failure(self, now: float, random_number: float) -> None:
         """Record a call that the backend did not respond to."""
         state = self.state(now)
-        self._observe(True, now)
-        if state is CircuitState.HALF_OPEN or (state is CircuitState.CLOSED and self._is_bad()):
-            wait = OPEN_BACKOFF.wait_seconds(self._openings, random_number)
-            self._open_until = now + OPEN_SECONDS_MINIMUM + wait
-            self._openings += 1
+        self._record(True, now)
+        if state is CircuitState.HALF_OPEN or (
+            state is CircuitState.CLOSED and self._has_high_failure_rate()
+        ):
+            wait = OPEN_BACKOFF.wait_seconds(self._consecutive_openings, random_number)
+            self._open_until = now + MIN_OPEN_SECONDS + wait
+            self._consecutive_openings += 1
             self._state, self._trial_at = CircuitState.OPEN, None
-            self._observed.clear()
+            self._results.clear()
 
-    def _observe(self, failed: bool, now: float) -> None:
-        self._observed.append(_Observed(now, failed))
-        while self._observed[0].at < now - WINDOW_SECONDS:
-            self._observed.popleft()
+    def _record(self, failed: bool, now: float) -> None:
+        self._results.append(_CallResult(now, failed))
+        while self._results[0].at < now - WINDOW_SECONDS:
+            self._results.popleft()
 
-    def _is_bad(self) -> bool:
-        failures = sum(entry.failed for entry in self._observed)
-        count = len(self._observed)
-        return count >= CALLS_MINIMUM and failures >= FAILURE_FRACTION * count
+    def _has_high_failure_rate(self) -> bool:
+        failures = sum(entry.failed for entry in self._results)
+        count = len(self._results)
+        return count >= MIN_CALLS and failures >= FAILURE_FRACTION * count
--- a/src/foxwinch/core/limits/limiter.py
+++ b/src/foxwinch/core/limits/limiter.py
@@ -10,7 +10,7 @@
 MAX_BUCKETS = 16_384
 """Twice the tenants and classes of the largest configuration, so that only buckets that have long
 been idle are evicted."""
-RESERVE_PER_RANK = 0.08
+RESERVED_FRACTION_PER_RANK = 0.08
 """Fraction of the burst that a class reserves for each more urgent rank; rank 0 may use all."""
 MAX_RETRY_SECONDS = 30.0
 
@@ -60,7 +60,7 @@
         self._started_at = started_at
         self._buckets: LRUCache[str, _Buckets] = LRUCache(MAX_BUCKETS)
 
-    def restart(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Discard accumulated tokens, as on a node that has just started."""
         self._started_at = now
         self._buckets.clear()
@@ -69,7 +69,7 @@
         self, limits: tuple[Limit, ...], rank: int, tokens: float, now: float
     ) -> Passed | Limited:
         """Charge one request and its estimated tokens to all limits, or to none."""
-        found = [(limit, self._refreshed(limit, now)) for limit in limits]
+        found = [(limit, self._current_buckets(limit, now)) for limit in limits]
         for limit, buckets in found:
             wait = _wait_seconds(buckets, rank, now)
             if wait > 0:
@@ -82,31 +82,31 @@
     def settle(self, limits: tuple[Limit, ...], estimated: float, used: float, now: float) -> None:
         """Correct the estimated tokens of a request by the actual usage."""
         for limit in limits:
-            self._refreshed(limit, now).tokens.charge(used - estimated, now)
+            self._current_buckets(limit, now).tokens.charge(used - estimated, now)
 
-    def _refreshed(self, limit: Limit, now: float) -> _Buckets:
+    def _current_buckets(self, limit: Limit, now: float) -> _Buckets:
         share = self._share(limit.key, now)
         request_rate = share * limit.requests_per_second
-        request_room = max(1.0, request_rate * limit.burst_seconds)
+        request_capacity = max(1.0, request_rate * limit.burst_seconds)
         token_rate = share * limit.tokens_per_second
-        token_room = max(1.0, token_rate * limit.burst_seconds)
+        token_capacity = max(1.0, token_rate * limit.burst_seconds)
         buckets = self._buckets.get(limit.key)
         if buckets is None:
             # A node that has just started has no accumulated tokens; refill counts from its start.
             buckets = _Buckets(
-                TokenBucket(request_rate, request_room, 1.0, self._started_at),
-                TokenBucket(token_rate, token_room, 1.0, self._started_at),
+                TokenBucket(request_rate, request_capacity, 1.0, self._started_at),
+                TokenBucket(token_rate, token_capacity, 1.0, self._started_at),
             )
             self._buckets[limit.key] = buckets
         else:
-            buckets.requests.change_rate(request_rate, request_room, now)
-            buckets.tokens.change_rate(token_rate, token_room, now)
+            buckets.requests.change_rate(request_rate, request_capacity, now)
+            buckets.tokens.change_rate(token_rate, token_capacity, now)
         return buckets
 
 
 def _wait_seconds(buckets: _Buckets, rank: int, now: float) -> float:
     requests = buckets.requests
-    reserve = RESERVE_PER_RANK * rank
+    reserve = RESERVED_FRACTION_PER_RANK * rank
     if requests.rate_per_second <= 0:
         return MAX_RETRY_SECONDS
     needed = 1.0 + reserve * (requests.capacity - 1.0)
--- a/src/foxwinch/core/limits/retry_budget.py
+++ b/src/foxwinch/core/limits/retry_budget.py
@@ -31,16 +31,18 @@
         """Allow `ratio` retries per first attempt and up to `burst` at once."""
         self._ratio = ratio
         self._burst = burst
-        self._saved: LRUCache[RetryKey, float] = LRUCache(MAX_PAIRS)
+        self._allowances: LRUCache[RetryKey, float] = LRUCache(MAX_PAIRS)
 
-    def first_attempt(self, key: RetryKey) -> None:
+    def record_first_attempt(self, key: RetryKey) -> None:
         """Record a first attempt, which adds to the allowance."""
-        self._saved[key] = min(self._burst, self._saved.get(key, self._burst) + self._ratio)
+        self._allowances[key] = min(
+            self._burst, self._allowances.get(key, self._burst) + self._ratio
+        )
 
-    def try_repeat(self, key: RetryKey) -> bool:
+    def try_retry(self, key: RetryKey) -> bool:
         """Take one retry from the budget; return False if the call must not be retried."""
-        saved = self._saved.get(key, self._burst)
-        if saved < 1.0:
+        allowance = self._allowances.get(key, self._burst)
+        if allowance < 1.0:
             return False
-        self._saved[key] = saved - 1.0
+        self._allowances[key] = allowance - 1.0
         return True
--- a/src/foxwinch/core/limits/shares.py
+++ b/src/foxwinch/core/limits/shares.py
@@ -2,7 +2,7 @@
 
 The share of node i is w_i / (w_1 + ... + w_n), where w is the published demand plus a small prior
 that is the same for every node. For itself a node uses the lowest demand that it published during
-the last `SPREAD_SECONDS`, and for the others the newest that it has received. An increase thus
+the last `PROPAGATION_SECONDS`, and for the others the newest that it has received. An increase thus
 takes effect only once all nodes know of it, and a decrease immediately. While digests arrive within
 that time, the demand that a node counts for another one is at least what that node uses, so the
 shares of all nodes add up to at most one.
@@ -23,7 +23,7 @@
 PRIOR_WEIGHT = 0.1
 """Sum of the priors of all nodes. The share of an idle tenant is 1/n at every node, and a tenant
 that is busy at one node only gets at least 91% of its limit there."""
-SPREAD_SECONDS = 4.0
+PROPAGATION_SECONDS = 4.0
 """Time within which a digest is assumed to reach every node of the region."""
 LEASE_SECONDS = 10.0
 """Time for which a share stays reserved for an unresponsive node, and valid at a node that does not
@@ -34,13 +34,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _PublishedDigest:
     at: float
     digest: UsageDigest
 
 
 @dataclass(slots=True)
-class _Other:
+class _PeerUsage:
     digest: UsageDigest
     seen_at: float
     """Time at which the node was last seen alive."""
@@ -52,35 +52,35 @@
     def __init__(self, this_node: NodeId, now: float) -> None:
         """Create a table in which this node is the only one."""
         self._this = this_node
-        self._own: deque[_Told] = deque()
-        self._others: dict[NodeId, _Other] = {}
+        self._own_digests: deque[_PublishedDigest] = deque()
+        self._others: dict[NodeId, _PeerUsage] = {}
         self._counted: set[NodeId] = set()
         self._totals: dict[int, float] = {}
         """Demand of the other counted nodes by hashed key."""
         self._updated_at = now
-        self._cut_off = False
+        self._isolated = False
         self._frozen: dict[int, float] = {}
-        self._frozen_idle = 1.0
+        self._frozen_idle_share = 1.0
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether this node sees no majority of the nodes seen during `BASELINE_SECONDS`."""
-        return self._cut_off
+        return self._isolated
 
     @property
     def node_count(self) -> int:
         """Number of nodes that share the limits, including this one."""
         return len(self._counted) + 1
 
-    def tell_own(self, digest: UsageDigest, now: float) -> None:
+    def record_own_digest(self, digest: UsageDigest, now: float) -> None:
         """Record the digest that this node publishes now."""
-        self._own.append(_Told(now, digest))
+        self._own_digests.append(_PublishedDigest(now, digest))
 
-    def tell(self, node: NodeId, digest: UsageDigest, now: float) -> None:
+    def record_digest(self, node: NodeId, digest: UsageDigest, now: float) -> None:
         """Record a digest received from another node."""
         other = self._others.get(node)
         if other is None:
-            self._others[node] = _Other(digest, now)
+            self._others[node] = _PeerUsage(digest, now)
             return
         if node in self._counted:
             self._add(other.digest, -1.0)
@@ -99,26 +99,26 @@
         """
         current = set(alive) - {self._this}
         for node in current:
-            self._others.setdefault(node, _Other(UsageDigest(), now)).seen_at = now
+            self._others.setdefault(node, _PeerUsage(UsageDigest(), now)).seen_at = now
         for node in [n for n, o in self._others.items() if o.seen_at < now - BASELINE_SECONDS]:
             del self._others[node]
         restarts = now - self._updated_at > LEASE_SECONDS
-        cut_off = bool(self._others) and 2 * (len(current) + 1) <= len(self._others) + 1
-        if cut_off and not self._cut_off:
+        isolated = bool(self._others) and 2 * (len(current) + 1) <= len(self._others) + 1
+        if isolated and not self._isolated:
             self._freeze(now)
-        restarts |= self._cut_off and not cut_off
-        self._cut_off = cut_off
+        restarts |= self._isolated and not isolated
+        self._isolated = isolated
         self._count(now)
         if restarts:
-            self._own.clear()
-        while len(self._own) > 1 and self._own[1].at <= now - SPREAD_SECONDS:
-            self._own.popleft()
+            self._own_digests.clear()
+        while len(self._own_digests) > 1 and self._own_digests[1].at <= now - PROPAGATION_SECONDS:
+            self._own_digests.popleft()
         self._updated_at = now
         return restarts
 
     def _count(self, now: float) -> None:
         """Sum the demand of the nodes whose lease is valid, or of all nodes while isolated."""
-        oldest = float("-inf") if self._cut_off else now - LEASE_SECONDS
+        oldest = float("-inf") if self._isolated else now - LEASE_SECONDS
         self._counted = {n for n, other in self._others.items() if other.seen_at >= oldest}
         self._totals = {}
         for node in self._counted:
@@ -128,29 +128,31 @@
         """Return this node's share of a limit, from 0 to 1; 0 if its lease has expired."""
         if now - self._updated_at > LEASE_SECONDS:
             return 0.0
-        share = self._fresh_share(name, now)
+        share = self._uncapped_share(name, now)
         return min(share, self.highest_share(name))
 
     def highest_share(self, name: int) -> float:
         """Return the upper bound of the share: 1, or the share before the partition if isolated."""
-        return self._frozen.get(name, self._frozen_idle) if self._cut_off else 1.0
+        return self._frozen.get(name, self._frozen_idle_share) if self._isolated else 1.0
 
-    def _fresh_share(self, name: int, now: float) -> float:
-        own = self._lowest_own(name, now)
+    def _uncapped_share(self, name: int, now: float) -> float:
+        own = self._lowest_own_demand(name, now)
         others = max(0.0, self._totals.get(name, 0.0))
         return (own + PRIOR_WEIGHT / self.node_count) / (own + others + PRIOR_WEIGHT)
 
-    def _lowest_own(self, name: int, now: float) -> float:
-        """Return the lowest demand published for a key during the last `SPREAD_SECONDS`."""
-        if not self._own or self._own[0].at > now - SPREAD_SECONDS:
+    def _lowest_own_demand(self, name: int, now: float) -> float:
+        """Return the lowest demand published for a key during the last `PROPAGATION_SECONDS`."""
+        if not self._own_digests or self._own_digests[0].at > now - PROPAGATION_SECONDS:
             return 0.0
-        return min(told.digest.demand.get(name, 0.0) for told in self._own)
+        return min(published.digest.demand.get(name, 0.0) for published in self._own_digests)
 
     def _freeze(self, now: float) -> None:
         """Save the shares of the last update as upper bounds."""
-        names = set(self._totals).union(*(told.digest.demand for told in self._own))
-        self._frozen = {name: self._fresh_share(name, now) for name in names}
-        self._frozen_idle = 1.0 / self.node_count
+        names = set(self._totals).union(
+            *(published.digest.demand for published in self._own_digests)
+        )
+        self._frozen = {name: self._uncapped_share(name, now) for name in names}
+        self._frozen_idle_share = 1.0 / self.node_count
 
     def _add(self, digest: UsageDigest, sign: float) -> None:
         for name, demand in digest.demand.items():
--- a/src/foxwinch/core/limits/token_bucket.py
+++ b/src/foxwinch/core/limits/token_bucket.py
@@ -27,12 +27,12 @@
 
     def available(self, now: float) -> float:
         """Return the balance at `now`."""
-        self._grow(now)
+        self._refill(now)
         return self.balance
 
     def try_take(self, amount: float, now: float) -> bool:
         """Take `amount` if it is available, otherwise nothing; return whether it was taken."""
-        self._grow(now)
+        self._refill(now)
         if self.balance + BALANCE_TOLERANCE < amount:
             return False
         self.balance -= amount
@@ -40,7 +40,7 @@
 
     def wait_seconds(self, amount: float, now: float) -> float:
         """Return the time until `amount` is available; infinite if it never will be."""
-        self._grow(now)
+        self._refill(now)
         missing = amount - self.balance
         if missing <= BALANCE_TOLERANCE:
             return 0.0
@@ -50,7 +50,7 @@
 
     def reserve(self, amount: float, now: float) -> float:
         """Take `amount` unconditionally and return the seconds to wait before using it."""
-        self._grow(now)
+        self._refill(now)
         self.balance -= amount
         if self.balance >= -BALANCE_TOLERANCE:
             return 0.0
@@ -60,22 +60,22 @@
 
     def charge(self, amount: float, now: float) -> None:
         """Take `amount`, below zero if necessary; a negative amount returns tokens."""
-        self._grow(now)
+        self._refill(now)
         self.balance = min(self.capacity, self.balance - amount)
 
     def pause_for(self, seconds: float, now: float) -> None:
         """Make no tokens available for `seconds`, as requested by a Retry-After header."""
-        self._grow(now)
+        self._refill(now)
         self.balance = min(self.balance, -seconds * self.rate_per_second)
 
     def change_rate(self, rate_per_second: float, capacity: float, now: float) -> None:
         """Change the rate and capacity as of `now`."""
-        self._grow(now)
+        self._refill(now)
         self.rate_per_second = rate_per_second
         self.capacity = capacity
         self.balance = min(self.balance, capacity)
 
-    def _grow(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         elapsed = now - self.updated_at_seconds
         if elapsed <= 0:
             return
--- a/src/foxwinch/core/limits/usage.py
+++ b/src/foxwinch/core/limits/usage.py
@@ -18,12 +18,12 @@
 330 bytes."""
 MAX_DEMAND = 1.0
 """Demand is capped at the whole limit, since a node cannot get more."""
-DEMAND_MINIMUM = 2.0**-12
+MIN_DEMAND = 2.0**-12
 STEPS_PER_DOUBLING = 8
 """Resolution of a published demand, here 9%."""
-ROUNDING = 1.0 + 1e-9
+ROUNDING_FACTOR = 1.0 + 1e-9
 """Factor that keeps a demand that is exactly on a step from being rounded down."""
-AVERAGE_SECONDS = 3.0
+AVERAGING_SECONDS = 3.0
 """Time constant of the moving average: shorter than the burst, longer than a program's turn."""
 
 
@@ -34,17 +34,17 @@
 
 def quantize(demand: float) -> int:
     """Return the quantization step of a demand, from 1 to 97, or 0 for no demand."""
-    if demand < DEMAND_MINIMUM:
+    if demand < MIN_DEMAND:
         return 0
     bounded = min(demand, MAX_DEMAND)
-    return 1 + math.floor(STEPS_PER_DOUBLING * math.log2(bounded / DEMAND_MINIMUM))
+    return 1 + math.floor(STEPS_PER_DOUBLING * math.log2(bounded / MIN_DEMAND))
 
 
 def demand_of_step(step: int) -> float:
     """Return the demand that a quantization step represents."""
     if step <= 0:
         return 0.0
-    return min(MAX_DEMAND, DEMAND_MINIMUM * math.exp2((step - 1) / STEPS_PER_DOUBLING))
+    return min(MAX_DEMAND, MIN_DEMAND * math.exp2((step - 1) / STEPS_PER_DOUBLING))
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     def __init__(self, now: float) -> None:
         self._pending: dict[str, float] = {}
         self._average: dict[str, float] = {}
-        self._at = now
+        self._advanced_at = now
 
     def add(self, key: str, seconds_of_limit: float) -> None:
         """Add offered load, expressed as the seconds that it takes at the full limit."""
@@ -68,29 +68,29 @@
 
     def advance(self, now: float) -> None:
         """Update the averages to `now`."""
-        elapsed = now - self._at
+        elapsed = now - self._advanced_at
         if elapsed <= 0:
             return
-        keep = math.exp(-elapsed / AVERAGE_SECONDS)
+        keep = math.exp(-elapsed / AVERAGING_SECONDS)
         averages: dict[str, float] = {}
         for key in self._average.keys() | self._pending.keys():
             rate = self._pending.get(key, 0.0) / elapsed
             average = keep * self._average.get(key, 0.0) + (1.0 - keep) * rate
-            if average >= DEMAND_MINIMUM:
+            if average >= MIN_DEMAND:
                 averages[key] = average
-        self._average, self._pending, self._at = averages, {}, now
+        self._average, self._pending, self._advanced_at = averages, {}, now
 
     def digest(self) -> UsageDigest:
         """Return the highest demands, quantized."""
         ranked = sorted(self._average.items(), key=lambda item: (-item[1], item[0]))
-        told = {key_hash(key): quantize(demand) for key, demand in ranked[:DIGEST_ENTRIES]}
-        return UsageDigest({name: demand_of_step(step) for name, step in told.items() if step})
+        quantized = {key_hash(key): quantize(demand) for key, demand in ranked[:DIGEST_ENTRIES]}
+        return UsageDigest({name: demand_of_step(step) for name, step in quantized.items() if step})
 
 
 def encode(digest: UsageDigest) -> bytes:
     """Serialize a digest of quantized demands."""
     keys = sorted(digest.demand)
-    steps = bytes(quantize(digest.demand[key] * ROUNDING) for key in keys)
+    steps = bytes(quantize(digest.demand[key] * ROUNDING_FACTOR) for key in keys)
     return UsageDigestMessage(keys=keys, steps=steps).SerializeToString()
 
 
--- a/src/foxwinch/limits/service.py
+++ b/src/foxwinch/limits/service.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Subjects:
+class _LimitSettings:
     """Tenants and classes of the configuration by name."""
 
     tenants: Mapping[str, TenantSettings]
@@ -60,9 +60,9 @@
         """Create the service; it admits requests only after `start`."""
         self._ports = ports
         self._node = ports.membership.this_member().node
-        self._subjects = _Subjects({}, {})
+        self._settings = _LimitSettings({}, {})
         self._digest = UsageDigest()
-        self._told_at = float("-inf")
+        self._published_at = float("-inf")
         self._version = 0
         self._tasks = ServiceTasks("limits")
         self._log = EventLog("limits")
@@ -72,7 +72,7 @@
             ["kind"],
             registry=registry,
         )
-        self._cut_off = Gauge(
+        self._cut_off_gauge = Gauge(
             "foxwinch_limit_shares_frozen",
             "1 while this node sees no majority and its shares may not rise",
             registry=registry,
@@ -90,7 +90,7 @@
         for entry in self._ports.gossip.entries(GossipKind.USAGE).values():
             self._on_gossip(entry)
         self._update()
-        self._tasks.start(self._run())
+        self._tasks.start(self._update_loop())
 
     async def stop(self) -> None:
         """Stop publishing; the other nodes reserve this node's share until its lease expires."""
@@ -106,9 +106,9 @@
         limits = self._limits(tenant, class_name)
         if isinstance(limits, Refused):
             return limits
-        rank = self._subjects.classes[class_name].rank
+        rank = self._settings.classes[class_name].rank
         for limit in limits:
-            self._count(limit, estimated_tokens)
+            self._record_demand(limit, estimated_tokens)
         now = self._ports.clock.monotonic()
         outcome = self._limiter.admit(limits, rank, estimated_tokens, now)
         if isinstance(outcome, Limited):
@@ -120,15 +120,15 @@
 
     def settle(self, admitted: Admitted, used_tokens: int) -> None:
         """Correct the tenant's estimate by the actual usage; classes keep the estimate."""
-        tenant = self._subjects.tenants.get(admitted.tenant)
+        tenant = self._settings.tenants.get(admitted.tenant)
         if tenant is not None:
             now = self._ports.clock.monotonic()
             limits = (_tenant_limit(tenant),)
             self._limiter.settle(limits, admitted.estimated_tokens, used_tokens, now)
 
     def _limits(self, tenant: TenantName, class_name: ClassName) -> tuple[Limit, ...] | Refused:
-        tenant_settings = self._subjects.tenants.get(tenant)
-        class_settings = self._subjects.classes.get(class_name)
+        tenant_settings = self._settings.tenants.get(tenant)
+        class_settings = self._settings.classes.get(class_name)
         if tenant_settings is None or class_settings is None:
             return not_run(Reason.INVALID_REQUEST, "unknown tenant or class")
         if tenant_settings.classes and class_name not in tenant_settings.classes:
@@ -137,14 +137,14 @@
         tenant_limit = _tenant_limit(tenant_settings)
         return (tenant_limit,) if class_limit is None else (tenant_limit, class_limit)
 
-    def _count(self, limit: Limit, tokens: int) -> None:
+    def _record_demand(self, limit: Limit, tokens: int) -> None:
         """Record offered load as the seconds that it takes at the full limit."""
         seconds = max(1.0 / limit.requests_per_second, tokens / limit.tokens_per_second)
         self._meter.add(limit.key, seconds)
 
     # --- shares ----------------------------------------------------------------------------
 
-    async def _run(self) -> None:
+    async def _update_loop(self) -> None:
         while True:
             await self._ports.clock.sleep(UPDATE_SECONDS)
             self._update()
@@ -152,24 +152,24 @@
     def _update(self) -> None:
         now = self._ports.clock.monotonic()
         alive = [m.node for m in self._ports.membership.members() if _is_counted(m)]
-        was_cut_off = self._table.is_cut_off
+        was_isolated = self._table.is_isolated
         if self._table.update(alive, now):
-            self._limiter.restart(now)
-            self._told_at = float("-inf")
-        if self._table.is_cut_off != was_cut_off:
-            self._cut_off.set(self._table.is_cut_off)
-            self._log.warning("majority_changed", cut_off=self._table.is_cut_off)
+            self._limiter.reset(now)
+            self._published_at = float("-inf")
+        if self._table.is_isolated != was_isolated:
+            self._cut_off_gauge.set(self._table.is_isolated)
+            self._log.warning("majority_changed", cut_off=self._table.is_isolated)
         self._meter.advance(now)
         interval = self._table.node_count * DIGEST_BYTES / DIGEST_BYTES_PER_SECOND
         digest = self._meter.digest()
-        due = now - self._told_at
-        if due >= REFRESH_SECONDS or (digest != self._digest and due >= interval):
-            self._tell(digest, now)
+        elapsed = now - self._published_at
+        if elapsed >= REFRESH_SECONDS or (digest != self._digest and elapsed >= interval):
+            self._publish_digest(digest, now)
 
-    def _tell(self, digest: UsageDigest, now: float) -> None:
+    def _publish_digest(self, digest: UsageDigest, now: float) -> None:
         self._version += 1
-        self._digest, self._told_at = digest, now
-        self._table.tell_own(digest, now)
+        self._digest, self._published_at = digest, now
+        self._table.record_own_digest(digest, now)
         payload = encode(digest)
         self._ports.gossip.publish(
             GossipEntry(GossipKind.USAGE, self._node, self._version, payload)
@@ -178,7 +178,7 @@
     def _on_gossip(self, entry: GossipEntry) -> None:
         digest = decode(entry.payload)
         if digest is not None and entry.key != self._node:
-            self._table.tell(NodeId(entry.key), digest, self._ports.clock.monotonic())
+            self._table.record_digest(NodeId(entry.key), digest, self._ports.clock.monotonic())
 
     def _on_member(self, member: Member) -> None:
         if member.state is MemberState.LEFT:
@@ -190,7 +190,7 @@
 
     def _on_configuration(self, snapshot: ConfigurationSnapshot) -> None:
         document = snapshot.document
-        self._subjects = _Subjects(
+        self._settings = _LimitSettings(
             {tenant.name: tenant for tenant in document.tenants},
             {entry.name: entry for entry in document.classes},
         )
--- a/tests/test_call_retries.py
+++ b/tests/test_call_retries.py
@@ -6,7 +6,7 @@
 from prometheus_client import CollectorRegistry
 
 from foxwinch.commands.call_retries import RETRY_AFTER_SECONDS, CallRetries
-from foxwinch.core.limits.circuit import CALLS_MINIMUM
+from foxwinch.core.limits.circuit_breaker import MIN_CALLS
 from foxwinch.core.limits.retry_budget import RETRY_BURST
 from foxwinch.core.program.call_events import CallFinished
 from foxwinch.identifiers import Epoch, WorkerId
@@ -47,7 +47,7 @@
 
 
 def open_circuit(rig, worker):
-    for _ in range(CALLS_MINIMUM):
+    for _ in range(MIN_CALLS):
         rig.ports.retries.ended(worker, DOWN, rig.clock.monotonic(), lambda: 0.5)
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 
 from foxwinch.bench.retry_storm import Policy, Scenario, run_policy
 from foxwinch.core.limits.backoff import Backoff
-from foxwinch.core.limits.circuit import Circuit, CircuitState
+from foxwinch.core.limits.circuit_breaker import CircuitBreaker, CircuitState
 from foxwinch.core.limits.limiter import Limit, Limited, Limiter, Passed
 from foxwinch.core.limits.retry_budget import RetryBudget, RetryKey
 from foxwinch.core.limits.shares import LEASE_SECONDS, ShareTable
@@ -60,10 +60,10 @@
     def update(self, now):
         self.last_update = now
         if self.table.update(self.fleet.seen_by(self), now):
-            self.limiter.restart(now)
+            self.limiter.reset(now)
         self.meter.advance(now)
         digest = self.meter.digest()
-        self.table.tell_own(digest, now)
+        self.table.record_own_digest(digest, now)
         for other in self.fleet.nodes:
             if other is not self:
                 delay = self.fleet.random.uniform(0.0, GOSSIP_SECONDS)
@@ -111,7 +111,7 @@
                 continue
             if told_at > self.newest.get((sender, receiver), -1.0):
                 self.newest[sender, receiver] = told_at
-                receiver.table.tell(sender.name, digest, self.now)
+                receiver.table.record_digest(sender.name, digest, self.now)
         return sum(node.step(self.now) for node in list(self.nodes))
 
 
@@ -242,7 +242,7 @@
     fleet.set_cut({fleet.nodes[0].name})
     for _ in range(int(40 / STEP_SECONDS)):
         fleet.step()
-    assert fleet.nodes[0].table.is_cut_off
+    assert fleet.nodes[0].table.is_isolated
     assert fleet.nodes[0].table.share(NAME, fleet.now) <= before + 1e-9
     majority = sum(node.table.share(NAME, fleet.now) for node in fleet.nodes[1:])
     assert majority == pytest.approx(1.0)
@@ -250,7 +250,7 @@
 
 def test_share_stays_with_a_silent_node_for_its_lease():
     table = ShareTable("a", 0.0)
-    table.tell("b", UsageDigest({NAME: 1.0}), 0.0)
+    table.record_digest("b", UsageDigest({NAME: 1.0}), 0.0)
     table.update(["b", "c"], 0.0)
     while_alive = table.share(NAME, 0.0)
     table.update(["c"], LEASE_SECONDS - 1.0)
@@ -319,8 +319,8 @@
     budget, key = RetryBudget(ratio=0.1, burst=5.0), RetryKey("tenant", "worker")
     repeats = 0
     for _ in range(1_000):
-        budget.first_attempt(key)
-        repeats += budget.try_repeat(key)
+        budget.record_first_attempt(key)
+        repeats += budget.try_retry(key)
     assert 100 <= repeats <= 105
 
 
@@ -331,29 +331,29 @@
 
 
 def test_circuit_opens_tries_once_and_closes():
-    circuit = Circuit()
+    circuit = CircuitBreaker()
     for second in range(5):
         assert circuit.try_call(float(second))
-        circuit.failed(float(second), 0.5)
+        circuit.record_failure(float(second), 0.5)
     assert circuit.state(4.0) is CircuitState.OPEN
     assert not circuit.try_call(4.1)
     again = 4.0 + circuit.wait_seconds(4.0)
     assert circuit.try_call(again)
     assert not circuit.try_call(again)
-    circuit.failed(again, 0.999)
+    circuit.record_failure(again, 0.999)
     assert circuit.wait_seconds(again) > 2.0
     later = again + circuit.wait_seconds(again)
     assert circuit.try_call(later)
-    circuit.succeeded(later)
+    circuit.record_success(later)
     assert circuit.state(later) is CircuitState.CLOSED
     assert circuit.try_call(later)
 
 
 def test_single_failures_leave_the_circuit_closed():
-    circuit = Circuit()
+    circuit = CircuitBreaker()
     for second in range(100):
         if second % 3:
-            circuit.succeeded(float(second))
+            circuit.record_success(float(second))
         else:
-            circuit.failed(float(second), 0.5)
+            circuit.record_failure(float(second), 0.5)
     assert circuit.state(100.0) is CircuitState.CLOSED
