--- a/src/foxwinch/commands/apply_configuration.py
+++ b/src/foxwinch/commands/apply_configuration.py
@@ -14,15 +14,15 @@
     Change,
     ChangeAccepted,
     ChangeRejected,
-    settle,
+    resolve_outcome,
 )
 from foxwinch.core.configuration.document import (
     Delta,
     DocumentState,
-    Unreadable,
-    difference,
-    entries_of,
-    state_of,
+    InvalidDocument,
+    build_document_state,
+    compute_delta,
+    split_entries,
 )
 from foxwinch.core.configuration.replica import HeldConfiguration
 from foxwinch.core.limits.backoff import Backoff
@@ -101,8 +101,8 @@
     if not TOKEN_PATTERN.fullmatch(command.token):
         detail = "token: 8 to 64 letters, digits and hyphens are required"
         return not_run(Reason.INVALID_REQUEST, detail)
-    state = state_of(entries_of(command.document))
-    if isinstance(state, Unreadable):
+    state = build_document_state(split_entries(command.document))
+    if isinstance(state, InvalidDocument):
         return not_run(Reason.INVALID_REQUEST, state.problem)
     return state
 
@@ -163,7 +163,7 @@
     if old.deployment != command.document.deployment or old.region != command.document.region:
         detail = "deployment and region: cannot be changed"
         return not_run(Reason.INVALID_REQUEST, detail)
-    delta = difference(base.state.entries, state.entries)
+    delta = compute_delta(base.state.entries, state.entries)
     if not delta.puts and not delta.deletes:
         return ChangeAccepted(command.expected)
     return Change(target, command.expected, command.token, state.digest, delta)
@@ -174,10 +174,10 @@
 ) -> ChangeAccepted | ChangeRejected | Refused:
     """The revision is taken: by this very change, or by another one."""
     target = Revision(command.expected + 1)
-    token = await ports.store.token_of(target)
+    token = await ports.store.read_token(target)
     if isinstance(token, Refused):
         return token
-    outcome = settle(command.token, target, head.revision, token)
+    outcome = resolve_outcome(command.token, target, head.revision, token)
     if isinstance(outcome, (ChangeAccepted, ChangeRejected)):
         return outcome
     if progress.may_have_run:
--- a/src/foxwinch/configuration/messages.py
+++ b/src/foxwinch/configuration/messages.py
@@ -18,9 +18,9 @@
     """Return the gossip entry of a change, with only the revision if the change is too large."""
     message = ConfigurationChange(revision=change.revision)
     if len(change.delta.puts) + len(change.delta.deletes) <= MAX_ENTRIES_COMPRESSED:
-        whole = encode(change)
-        if len(whole.body) <= GOSSIP_BODY_BYTES:
-            message = whole
+        full_message = encode(change)
+        if len(full_message.body) <= GOSSIP_BODY_BYTES:
+            message = full_message
     key = f"revision-{change.revision % GOSSIP_SLOTS}"
     return GossipEntry(GossipKind.CONFIGURATION, key, change.revision, message.SerializeToString())
 
@@ -29,12 +29,12 @@
     """Encodes changes for peers and caches the encoding of the newest full document."""
 
     def __init__(self) -> None:
-        self._whole: ConfigurationChange | None = None
+        self._full_message: ConfigurationChange | None = None
 
     def encode(self, change: Change) -> ConfigurationChange:
         """Return the message of a change."""
         if change.base != Revision(0):
             return encode(change)
-        if self._whole is None or self._whole.revision != change.revision:
-            self._whole = encode(change)
-        return self._whole
+        if self._full_message is None or self._full_message.revision != change.revision:
+            self._full_message = encode(change)
+        return self._full_message
--- a/src/foxwinch/configuration/service.py
+++ b/src/foxwinch/configuration/service.py
@@ -29,7 +29,7 @@
     StoredHead,
 )
 from foxwinch.core.configuration.change import Change, ChangeAccepted, decode
-from foxwinch.core.configuration.document import Unreadable
+from foxwinch.core.configuration.document import InvalidDocument
 from foxwinch.core.configuration.pollers import Candidate, is_poller
 from foxwinch.core.configuration.replica import ConfigurationReplica, HeldConfiguration
 from foxwinch.core.limits.backoff import Backoff
@@ -86,8 +86,8 @@
         self._listeners: list[Callable[[ConfigurationSnapshot], None]] = []
         self._snapshot: ConfigurationSnapshot | None = None
         self._tasks = ServiceTasks("configuration")
-        self._wanted = asyncio.Event()
-        self._ready = asyncio.Event()
+        self._fetch_event = asyncio.Event()
+        self._ready_event = asyncio.Event()
         self._log = EventLog("configuration")
         self._metrics = ConfigurationMetrics(registry)
         self._encoder = ChangeEncoder()
@@ -103,7 +103,7 @@
         self._tasks.start(self._fetch_loop())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(START_WAIT_SECONDS):
-                await self._ready.wait()
+                await self._ready_event.wait()
 
     async def stop(self) -> None:
         """Stop following the configuration; the held revision is still served."""
@@ -133,10 +133,10 @@
             return outcome
         accepted, change = outcome
         self._log.info("change_accepted", revision=accepted.revision, token=command.token)
-        self._replica.hear(accepted.revision, authority=True)
+        self._replica.record_revision(accepted.revision, authority=True)
         if change is not None and change.revision == accepted.revision:
             self._receive(change)
-        self._wanted.set()
+        self._fetch_event.set()
         return accepted
 
     def status(self) -> ConfigurationStatus:
@@ -159,7 +159,7 @@
             settled = not isinstance(self._replica.serve(), Refused)
             if not settled or self._is_poller():
                 settled = await self._poll()
-            self._note_ready()
+            self._update_ready_event()
             if settled:
                 attempt = 0
                 wait = POLL_SECONDS * (0.5 + 0.5 * self._ports.clock.uniform())
@@ -173,39 +173,39 @@
         head = await self._store.head()
         if isinstance(head, Refused):
             self._metrics.table_failures.inc()
-            if not self._replica.is_started:
-                await self._ask_fellow_nodes()
+            if not self._replica.is_confirmed:
+                await self._query_peers()
         elif head.revision == 0:
             await self._propose_initial()
         else:
             await self._catch_up(head)
-        return self._replica.is_started and self._replica.held is not None
+        return self._replica.is_confirmed and self._replica.held is not None
 
     async def _catch_up(self, head: StoredHead) -> None:
         """Read missing deltas from the table; a full document is fetched from a peer instead."""
-        self._replica.hear(head.revision, authority=True)
+        self._replica.record_revision(head.revision, authority=True)
         if self._replica.held is not None:
             await self._load(head)
         if self._replica.is_behind:
-            self._wanted.set()
+            self._fetch_event.set()
 
     async def _propose_initial(self) -> None:
         if self._initial is not None:
             token = f"initial-{self._ports.clock.identifier()}"
             await self.apply(ApplyConfiguration(token, Revision(0), self._initial))
 
-    async def _ask_fellow_nodes(self) -> None:
+    async def _query_peers(self) -> None:
         """Learn the newest revision from peers, the authority while the table is unavailable."""
         members = self._choose_members(START_PEERS)
         answers = await asyncio.gather(*(self._fetch_from(member) for member in members))
         if any(answers) and self._replica.heard_revision > 0:
-            self._replica.hear(self._replica.heard_revision, authority=True)
+            self._replica.record_revision(self._replica.heard_revision, authority=True)
 
     async def _fetch_loop(self) -> None:
         attempt = 0
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
+            await self._fetch_event.wait()
+            self._fetch_event.clear()
             while self._replica.is_behind:
                 await self._fetch(attempt)
                 attempt += 1
@@ -213,11 +213,11 @@
                     wait = RETRY_BACKOFF.wait_seconds(attempt, self._ports.clock.uniform())
                     await self._ports.clock.sleep(max(wait, 0.02))
             attempt = 0
-            self._note_ready()
+            self._update_ready_event()
 
-    def _note_ready(self) -> None:
+    def _update_ready_event(self) -> None:
         if not isinstance(self._replica.serve(), Refused):
-            self._ready.set()
+            self._ready_event.set()
 
     async def _fetch(self, attempt: int) -> None:
         """Fetch from one peer, and on every second attempt from the rate-limited table."""
@@ -230,7 +230,7 @@
                 await self._load(head)
 
     async def _load(self, head: StoredHead) -> HeldConfiguration | Refused | None:
-        self._replica.hear(head.revision, authority=True)
+        self._replica.record_revision(head.revision, authority=True)
         if head.revision > self._replica.held_revision:
             changes = await self._store.changes_after(self._replica.held_revision, head)
             if isinstance(changes, Refused):
@@ -252,7 +252,7 @@
             response = FetchConfigurationResponse.FromString(answer)
         except DecodeError:
             return False
-        self._replica.hear(Revision(response.heard_revision))
+        self._replica.record_revision(Revision(response.heard_revision))
         for message in response.changes:
             self._receive_message(message)
         return True
@@ -290,15 +290,15 @@
         except DecodeError:
             self._log.warning("gossip_unreadable", key=entry.key)
             return
-        self._replica.hear(Revision(message.revision))
+        self._replica.record_revision(Revision(message.revision))
         if message.body:
             self._receive_message(message)
         if self._replica.is_behind:
-            self._wanted.set()
+            self._fetch_event.set()
 
     def _receive_message(self, message: ConfigurationChange) -> None:
         change = decode(message)
-        if isinstance(change, Unreadable):
+        if isinstance(change, InvalidDocument):
             self._log.error("change_unreadable", revision=message.revision, detail=change.problem)
         else:
             self._receive(change)
@@ -312,9 +312,9 @@
         held = self._replica.held
         if held is not None and held.revision > before:
             self._publish(before)
-            self._adopted(held)
+            self._notify_held(held)
 
-    def _adopted(self, held: HeldConfiguration) -> None:
+    def _notify_held(self, held: HeldConfiguration) -> None:
         self._metrics.held.set(held.revision)
         self._log.info("revision_held", revision=held.revision)
         self._snapshot = ConfigurationSnapshot(held.revision, held.state.document)
@@ -340,11 +340,11 @@
             request = FetchConfigurationRequest.FromString(payload)
         except DecodeError:
             return not_run(Reason.INVALID_REQUEST, "malformed FetchConfigurationRequest")
-        asked = Revision(request.held_revision)
-        self._replica.hear(asked)
+        peer_revision = Revision(request.held_revision)
+        self._replica.record_revision(peer_revision)
         if self._replica.is_behind:
-            self._wanted.set()
-        changes = [self._encoder.encode(c) for c in self._replica.changes_after(asked)]
+            self._fetch_event.set()
+        changes = [self._encoder.encode(c) for c in self._replica.changes_after(peer_revision)]
         return FetchConfigurationResponse(
             heard_revision=self._replica.heard_revision, changes=changes
         ).SerializeToString()
--- a/src/foxwinch/configuration/store.py
+++ b/src/foxwinch/configuration/store.py
@@ -11,7 +11,7 @@
 
 from foxwinch._generated.configuration_pb2 import ConfigurationChange, ConfigurationHead
 from foxwinch.core.configuration.change import Change, decode, encode
-from foxwinch.core.configuration.document import Unreadable
+from foxwinch.core.configuration.document import InvalidDocument
 from foxwinch.identifiers import Revision
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.records.ports import (
@@ -75,7 +75,7 @@
             Revision(message.revision), Revision(message.snapshot_revision), row.version
         )
 
-    async def token_of(self, revision: Revision) -> str | Refused | None:
+    async def read_token(self, revision: Revision) -> str | Refused | None:
         """Read the token of the change that created a revision; return None if its row is gone."""
         row = await self._read(_revision_key(revision))
         if isinstance(row, Refused):
@@ -94,33 +94,33 @@
             if isinstance(row, Refused):
                 return row
             if row is None or row.value is None:
-                return _damaged(f"snapshot {head.snapshot} is missing")
-            snapshot = await self._change_of(row.value)
+                return _corrupted(f"snapshot {head.snapshot} is missing")
+            snapshot = await self._decode_change(row.value)
             if isinstance(snapshot, Refused):
                 return snapshot
             changes.append(snapshot)
             start = head.snapshot
-        read = await self._range(_revision_key(Revision(start + 1)), _end_of(REVISION))
+        read = await self._range(_revision_key(Revision(start + 1)), _range_end(REVISION))
         if isinstance(read, Refused):
             return read
         for found in read.rows:
-            change = await self._change_of(found.value or b"")
+            change = await self._decode_change(found.value or b"")
             if isinstance(change, Refused):
                 return change
             changes.append(change)
         return changes
 
     async def commit(
-        self, change: Change, whole: Change | None, head: StoredHead
+        self, change: Change, full_change: Change | None, head: StoredHead
     ) -> Written | Conflict | Refused:
-        """Commit `change` if the head is still `head`; `whole` is also stored as a snapshot."""
+        """Commit `change` if the head is still `head`; `full_change` is stored as a snapshot."""
         revision_row = await self._store_body(change)
         if isinstance(revision_row, Refused):
             return revision_row
         writes = [_put(_revision_key(change.revision), revision_row.SerializeToString())]
         snapshot = head.snapshot
-        if whole is not None:
-            snapshot_row = await self._store_body(whole)
+        if full_change is not None:
+            snapshot_row = await self._store_body(full_change)
             if isinstance(snapshot_row, Refused):
                 return snapshot_row
             snapshot = change.revision
@@ -147,20 +147,22 @@
     async def _store_body(self, change: Change) -> ConfigurationChange | Refused:
         """Write a large body to separate rows and return the row that refers to them."""
         message = encode(change)
-        part = _part(message)
+        body_kind = _body_kind(message)
         body = message.body
         if len(body) <= ROW_BODY_BYTES:
             return message
-        pieces = [body[i : i + ROW_BODY_BYTES] for i in range(0, len(body), ROW_BODY_BYTES)]
-        writes = [_put(_body_key(change, part, index), piece) for index, piece in enumerate(pieces)]
+        chunks = [body[i : i + ROW_BODY_BYTES] for i in range(0, len(body), ROW_BODY_BYTES)]
+        writes = [
+            _put(_body_key(change, body_kind, index), chunk) for index, chunk in enumerate(chunks)
+        ]
         refused = await self._transact(writes)
         if refused is not None:
             return not_run(refused.reason, refused.detail, refused.retry_after_seconds)
         message.body = b""
-        message.chunk_count = len(pieces)
+        message.chunk_count = len(chunks)
         return message
 
-    async def _change_of(self, value: bytes) -> Change | Refused:
+    async def _decode_change(self, value: bytes) -> Change | Refused:
         message = _parse_change(value)
         if isinstance(message, Refused):
             return message
@@ -170,19 +172,19 @@
                 return body
             message.body = body
         change = decode(message)
-        return _damaged(change.problem) if isinstance(change, Unreadable) else change
+        return _corrupted(change.problem) if isinstance(change, InvalidDocument) else change
 
     async def _read_body(self, message: ConfigurationChange) -> bytes | Refused:
-        prefix = _body_prefix(Revision(message.revision), message.token, _part(message))
-        read = await self._range(prefix, _end_of(prefix))
+        prefix = _body_prefix(Revision(message.revision), message.token, _body_kind(message))
+        read = await self._range(prefix, _range_end(prefix))
         if isinstance(read, Refused):
             return read
-        pieces = [row.value or b"" for row in read.rows]
-        if len(pieces) != message.chunk_count:
-            return _damaged(
-                f"revision {message.revision} has {len(pieces)} of {message.chunk_count} body rows"
+        chunks = [row.value or b"" for row in read.rows]
+        if len(chunks) != message.chunk_count:
+            return _corrupted(
+                f"revision {message.revision} has {len(chunks)} of {message.chunk_count} body rows"
             )
-        return b"".join(pieces)
+        return b"".join(chunks)
 
     async def _read(self, key: str) -> StoredRow | Refused | None:
         read = await self._range(key, key + AFTER_KEY)
@@ -211,7 +213,7 @@
     return RowWrite(_row(key), value)
 
 
-def _end_of(prefix: str) -> str:
+def _range_end(prefix: str) -> str:
     return prefix[:-1] + AFTER_SLASH
 
 
@@ -223,31 +225,31 @@
     return f"{SNAPSHOT}{revision:012d}"
 
 
-def _body_prefix(revision: Revision, token: str, part: str) -> str:
-    return f"{BODY}{revision:012d}-{token}-{part}/"
+def _body_prefix(revision: Revision, token: str, body_kind: str) -> str:
+    return f"{BODY}{revision:012d}-{token}-{body_kind}/"
 
 
-def _part(message: ConfigurationChange) -> str:
+def _body_kind(message: ConfigurationChange) -> str:
     return "delta" if message.base_revision else "whole"
 
 
-def _body_key(change: Change, part: str, index: int) -> str:
-    return f"{_body_prefix(change.revision, change.token, part)}{index:06d}"
+def _body_key(change: Change, body_kind: str, index: int) -> str:
+    return f"{_body_prefix(change.revision, change.token, body_kind)}{index:06d}"
 
 
 def _parse_head(value: bytes) -> ConfigurationHead | Refused:
     try:
         return ConfigurationHead.FromString(value)
     except DecodeError as error:
-        return _damaged(f"head: {error}")
+        return _corrupted(f"head: {error}")
 
 
 def _parse_change(value: bytes) -> ConfigurationChange | Refused:
     try:
         return ConfigurationChange.FromString(value)
     except DecodeError as error:
-        return _damaged(f"revision: {error}")
+        return _corrupted(f"revision: {error}")
 
 
-def _damaged(detail: str) -> Refused:
+def _corrupted(detail: str) -> Refused:
     return Refused(Reason.INTERNAL, RunState.NOT_RUN, f"configuration in the store: {detail}")
--- a/src/foxwinch/core/configuration/change.py
+++ b/src/foxwinch/core/configuration/change.py
@@ -8,7 +8,7 @@
     ConfigurationChange,
     ConfigurationEntry,
 )
-from foxwinch.core.configuration.document import Delta, Unreadable
+from foxwinch.core.configuration.document import Delta, InvalidDocument
 from foxwinch.identifiers import Revision
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
@@ -48,7 +48,7 @@
     """The table does not contain the change, but the change may still take effect."""
 
 
-def settle(
+def resolve_outcome(
     token: str, revision: Revision, head: Revision, stored_token: str | None
 ) -> ChangeAccepted | ChangeRejected | ChangeUndecided:
     """Return the outcome of a change whose response was lost, according to the table.
@@ -80,16 +80,16 @@
     )
 
 
-def decode(message: ConfigurationChange) -> Change | Unreadable:
+def decode(message: ConfigurationChange) -> Change | InvalidDocument:
     """Decode a message that includes its body."""
     try:
-        unpacker = zlib.decompressobj()
-        data = unpacker.decompress(message.body, MAX_BODY_BYTES)
+        decompressor = zlib.decompressobj()
+        data = decompressor.decompress(message.body, MAX_BODY_BYTES)
         body = ConfigurationBody.FromString(data)
     except Exception as error:
-        return Unreadable(f"revision {message.revision}: {error}")
-    if not unpacker.eof:
-        return Unreadable(f"revision {message.revision}: body is truncated or too large")
+        return InvalidDocument(f"revision {message.revision}: {error}")
+    if not decompressor.eof:
+        return InvalidDocument(f"revision {message.revision}: body is truncated or too large")
     return Change(
         Revision(message.revision),
         Revision(message.base_revision),
--- a/src/foxwinch/core/configuration/document.py
+++ b/src/foxwinch/core/configuration/document.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class InvalidDocument:
     """A document that this version of the software cannot parse or validate."""
 
     problem: str
@@ -61,7 +61,7 @@
     digest: int
     document: ClusterConfiguration
 
-    def apply(self, delta: Delta) -> "DocumentState | Unreadable":
+    def apply(self, delta: Delta) -> "DocumentState | InvalidDocument":
         """Return the state after a delta; only changed entries are parsed."""
         entries = dict(self.entries)
         digest = self.digest
@@ -76,13 +76,13 @@
         if any(key.split("/", 1)[0] == FIELD_SECTION for key in changed):
             document = _parse(entries)
         else:
-            document = _change_sections(self.document, delta)
-        if isinstance(document, Unreadable):
+            document = _apply_to_sections(self.document, delta)
+        if isinstance(document, InvalidDocument):
             return document
         return DocumentState(entries, digest, document)
 
 
-def entries_of(document: ClusterConfiguration) -> dict[str, str]:
+def split_entries(document: ClusterConfiguration) -> dict[str, str]:
     """Return the entries of a document."""
     entries: dict[str, str] = {}
     for field, value in document.model_dump(mode="json").items():
@@ -93,16 +93,16 @@
     return entries
 
 
-def state_of(entries: Mapping[str, str]) -> DocumentState | Unreadable:
+def build_document_state(entries: Mapping[str, str]) -> DocumentState | InvalidDocument:
     """Build and validate a full document from its entries."""
     document = _parse(entries)
-    if isinstance(document, Unreadable):
+    if isinstance(document, InvalidDocument):
         return document
     digest = sum(_entry_digest(key, text) for key, text in entries.items())
     return DocumentState(dict(entries), digest % (1 << DIGEST_BITS), document)
 
 
-def difference(old: Mapping[str, str], new: Mapping[str, str]) -> Delta:
+def compute_delta(old: Mapping[str, str], new: Mapping[str, str]) -> Delta:
     """Return the delta that turns `old` into `new`."""
     puts = {key: text for key, text in new.items() if old.get(key) != text}
     return Delta(puts, tuple(sorted(key for key in old if key not in new)))
@@ -117,7 +117,7 @@
     return xxhash.xxh3_128_intdigest(f"{key}\0{text}".encode())
 
 
-def _parse(entries: Mapping[str, str]) -> ClusterConfiguration | Unreadable:
+def _parse(entries: Mapping[str, str]) -> ClusterConfiguration | InvalidDocument:
     values: dict[str, Any] = {section: [] for section in SECTIONS}
     try:
         for key in sorted(entries):
@@ -127,17 +127,17 @@
             elif section in SECTIONS:
                 values[section].append(json.loads(entries[key]))
     except ValueError as error:
-        return Unreadable(str(error))
-    document: ClusterConfiguration | Unreadable = _validate(ClusterConfiguration, values)
+        return InvalidDocument(str(error))
+    document: ClusterConfiguration | InvalidDocument = _validate(ClusterConfiguration, values)
     return document
 
 
-def _change_sections(
+def _apply_to_sections(
     document: ClusterConfiguration, delta: Delta
-) -> ClusterConfiguration | Unreadable:
+) -> ClusterConfiguration | InvalidDocument:
     """Apply a delta to sections; references were validated when the change was accepted."""
     update: dict[str, tuple[Any, ...]] = {}
-    for section in sorted(_sections(delta)):
+    for section in sorted(_changed_sections(delta)):
         items = {item.name: item for item in getattr(document, section)}
         for key in delta.deletes:
             if key.startswith(f"{section}/"):
@@ -145,14 +145,14 @@
         for key, text in delta.puts.items():
             if key.startswith(f"{section}/"):
                 item = _parse_item(SECTIONS[section], text)
-                if isinstance(item, Unreadable):
+                if isinstance(item, InvalidDocument):
                     return item
                 items[key.split("/", 1)[1]] = item
         update[section] = tuple(items[name] for name in sorted(items))
     return document.model_copy(update=update)
 
 
-def _sections(delta: Delta) -> Iterable[str]:
+def _changed_sections(delta: Delta) -> Iterable[str]:
     names = {key.split("/", 1)[0] for key in (*delta.deletes, *delta.puts)}
     return names & SECTIONS.keys()
 
@@ -161,7 +161,7 @@
     try:
         values = json.loads(text)
     except ValueError as error:
-        return Unreadable(str(error))
+        return InvalidDocument(str(error))
     return _validate(model, values)
 
 
@@ -172,16 +172,16 @@
     except ValidationError as error:
         unknown = [e["loc"] for e in error.errors() if e["type"] == "extra_forbidden"]
         if not unknown:
-            return Unreadable(str(error))
+            return InvalidDocument(str(error))
     for location in unknown:
-        _remove(values, location)
+        _delete_at(values, location)
     try:
         return model.model_validate(values)
     except ValidationError as error:
-        return Unreadable(str(error))
+        return InvalidDocument(str(error))
 
 
-def _remove(values: Any, location: tuple[Any, ...]) -> None:
+def _delete_at(values: Any, location: tuple[Any, ...]) -> None:
     for part in location[:-1]:
         values = values[part]
     del values[location[-1]]
--- a/src/foxwinch/core/configuration/replica.py
+++ b/src/foxwinch/core/configuration/replica.py
@@ -11,8 +11,8 @@
 from foxwinch.core.configuration.document import (
     Delta,
     DocumentState,
-    Unreadable,
-    state_of,
+    InvalidDocument,
+    build_document_state,
 )
 from foxwinch.identifiers import Revision
 from foxwinch.outcomes import Reason, Refused, not_run
@@ -40,8 +40,8 @@
 
     def __init__(self) -> None:
         self._held: HeldConfiguration | None = None
-        self._heard = NO_REVISION
-        self._authority_heard = False
+        self._newest_known = NO_REVISION
+        self._is_confirmed = False
         self._pending: dict[Revision, Change] = {}
         self._recent: OrderedDict[Revision, Change] = OrderedDict()
         self._recent_bytes = 0
@@ -59,43 +59,45 @@
     @property
     def heard_revision(self) -> Revision:
         """The highest known revision, or 0."""
-        return self._heard
+        return self._newest_known
 
     @property
     def is_behind(self) -> bool:
         """Whether a revision newer than the held one is known."""
-        return self._heard > self.held_revision
+        return self._newest_known > self.held_revision
 
     @property
-    def is_started(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether an authority has reported the newest revision since this process started."""
-        return self._authority_heard
+        return self._is_confirmed
 
-    def hear(self, revision: Revision, authority: bool = False) -> None:
+    def record_revision(self, revision: Revision, authority: bool = False) -> None:
         """Record that a revision exists; `authority` is set if it comes from an authority."""
-        self._heard = max(self._heard, revision)
-        self._authority_heard = self._authority_heard or authority
+        self._newest_known = max(self._newest_known, revision)
+        self._is_confirmed = self._is_confirmed or authority
 
-    def receive(self, change: Change) -> Unreadable | None:
+    def receive(self, change: Change) -> InvalidDocument | None:
         """Apply or buffer a change; return the reason if it is unusable."""
-        self.hear(change.revision)
+        self.record_revision(change.revision)
         if change.revision <= self.held_revision:
             return None
         if change.base not in (NO_REVISION, self.held_revision):
-            self._keep_pending(change)
+            self._buffer_pending(change)
             return None
-        problem = self._adopt(change)
+        problem = self._apply_change(change)
         if problem is None:
-            self._adopt_pending()
+            self._apply_pending()
         return problem
 
     def serve(self) -> HeldConfiguration | Refused:
         """Return the configuration to serve, or a refusal if it is missing or stale."""
-        if not self._authority_heard or self._held is None:
+        if not self._is_confirmed or self._held is None:
             detail = "the node has not yet determined the newest configuration revision"
             return not_run(Reason.STALE_CONFIGURATION, detail, STALE_RETRY_SECONDS)
         if self.is_behind:
-            detail = f"revision {self._heard} is active, this node holds {self._held.revision}"
+            detail = (
+                f"revision {self._newest_known} is active, this node holds {self._held.revision}"
+            )
             return not_run(Reason.STALE_CONFIGURATION, detail, STALE_RETRY_SECONDS)
         return self._held
 
@@ -104,50 +106,50 @@
         if self._held is None or revision >= self._held.revision:
             return []
         found: list[Change] = []
-        wanted = self._held.revision
-        while wanted > revision:
-            change = self._recent.get(wanted)
+        next_revision = self._held.revision
+        while next_revision > revision:
+            change = self._recent.get(next_revision)
             if change is None or change.base == NO_REVISION:
-                return [self._whole(self._held)]
+                return [self._full_change(self._held)]
             found.append(change)
-            wanted = change.base
-        return found[::-1] if wanted == revision else [self._whole(self._held)]
+            next_revision = change.base
+        return found[::-1] if next_revision == revision else [self._full_change(self._held)]
 
-    def _whole(self, held: HeldConfiguration) -> Change:
+    def _full_change(self, held: HeldConfiguration) -> Change:
         recent = self._recent.get(held.revision)
         token = recent.token if recent else ""
         delta = Delta(held.state.entries)
         return Change(held.revision, NO_REVISION, token, held.state.digest, delta)
 
-    def _adopt(self, change: Change) -> Unreadable | None:
+    def _apply_change(self, change: Change) -> InvalidDocument | None:
         if change.base == NO_REVISION or self._held is None:
-            state = state_of(change.delta.puts)
+            state = build_document_state(change.delta.puts)
         else:
             state = self._held.state.apply(change.delta)
-        if isinstance(state, Unreadable):
+        if isinstance(state, InvalidDocument):
             return state
         if state.digest != change.digest:
-            return Unreadable(f"revision {change.revision}: digest mismatch")
+            return InvalidDocument(f"revision {change.revision}: digest mismatch")
         self._held = HeldConfiguration(change.revision, state)
-        self._remember(change)
+        self._cache_change(change)
         return None
 
-    def _adopt_pending(self) -> None:
+    def _apply_pending(self) -> None:
         for revision in sorted(self._pending):
             change = self._pending.pop(revision)
             if revision <= self.held_revision:
                 continue
             if change.base != self.held_revision:
                 self._pending[revision] = change
-            elif self._adopt(change) is not None:
+            elif self._apply_change(change) is not None:
                 return
 
-    def _keep_pending(self, change: Change) -> None:
+    def _buffer_pending(self, change: Change) -> None:
         self._pending[change.revision] = change
         if len(self._pending) > MAX_PENDING:
             del self._pending[max(self._pending)]
 
-    def _remember(self, change: Change) -> None:
+    def _cache_change(self, change: Change) -> None:
         """Keep the change for peers; a full document is rebuilt from the state when needed."""
         if change.base == NO_REVISION:
             change = Change(change.revision, NO_REVISION, change.token, change.digest, Delta({}))
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,7 +12,12 @@
 from foxwinch.commands.apply_configuration import ApplyConfiguration
 from foxwinch.configuration.store import ConfigurationStore
 from foxwinch.core.configuration.change import Change, ChangeAccepted
-from foxwinch.core.configuration.document import Delta, difference, entries_of, state_of
+from foxwinch.core.configuration.document import (
+    Delta,
+    build_document_state,
+    compute_delta,
+    split_entries,
+)
 from foxwinch.core.configuration.replica import ConfigurationReplica
 from foxwinch.emulator.faults import ServiceFaults
 from foxwinch.outcomes import Reason, Refused, RunState, not_run, outcome_unknown
@@ -196,7 +201,7 @@
 def test_late_older_document_is_not_taken():
     replica = ConfigurationReplica()
     for revision, rate in ((2, 7), (1, 3)):
-        state = state_of(entries_of(document_with(rate)))
+        state = build_document_state(split_entries(document_with(rate)))
         whole = Change(revision, 0, "token", state.digest, Delta(state.entries))
         replica.receive(whole)
     assert replica.held_revision == 2
@@ -204,12 +209,12 @@
 
 
 def test_field_of_a_newer_version_is_left_out():
-    entries = entries_of(DOCUMENT)
+    entries = split_entries(DOCUMENT)
     entries["tenants/seat-reservations"] = '{"name":"seat-reservations","colour":"red"}'
-    state = state_of(entries)
+    state = build_document_state(entries)
     assert state.document.tenants[0].name == "seat-reservations"
-    delta = difference(entries, entries_of(DOCUMENT))
-    assert state.apply(delta).digest == state_of(entries_of(DOCUMENT)).digest
+    delta = compute_delta(entries, split_entries(DOCUMENT))
+    assert state.apply(delta).digest == build_document_state(split_entries(DOCUMENT)).digest
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
