--- a/src/foxwinch/peer/connections.py
+++ b/src/foxwinch/peer/connections.py
@@ -62,8 +62,8 @@
                     local_addr=self._local,
                     ssl=self._tls.client if self._tls else None,
                 )
-                if await self._greeted(connection):
-                    self._keep(address, connection)
+                if await self._wait_for_handshake(connection):
+                    self._add(address, connection)
                     return connection
         except TimeoutError:
             cause = f"not connected within {CONNECT_SECONDS} s"
@@ -71,22 +71,22 @@
             cause = error.strerror or type(error).__name__
         finally:
             self._opening.pop(address, None)
-        self._refuse_for_a_moment(address, loop.time())
+        self._delay_reconnect(address, loop.time())
         return _unreachable(address, cause)
 
-    async def _greeted(self, connection: OutboundConnection) -> bool:
+    async def _wait_for_handshake(self, connection: OutboundConnection) -> bool:
         try:
-            return await asyncio.shield(connection.greeted)
+            return await asyncio.shield(connection.handshake)
         except asyncio.CancelledError:
             connection.abort()
             raise
 
-    def _keep(self, address: PeerAddress, connection: OutboundConnection) -> None:
+    def _add(self, address: PeerAddress, connection: OutboundConnection) -> None:
         for known in [a for a, c in self._open.items() if c.closed]:
             del self._open[known]
         self._open[address] = connection
 
-    def _refuse_for_a_moment(self, address: PeerAddress, now: float) -> None:
+    def _delay_reconnect(self, address: PeerAddress, now: float) -> None:
         stale = [a for a, until in self._refused_until_seconds.items() if until <= now]
         for known in stale:
             del self._refused_until_seconds[known]
--- a/src/foxwinch/peer/datagrams.py
+++ b/src/foxwinch/peer/datagrams.py
@@ -8,7 +8,7 @@
 from foxwinch.peer.ports import PeerAddress
 
 
-class DatagramSide(asyncio.DatagramProtocol):
+class DatagramEndpoint(asyncio.DatagramProtocol):
     """Sends and receives datagrams of at most `DATAGRAM_BYTES`."""
 
     def __init__(self, handlers: HandlerTable) -> None:
--- a/src/foxwinch/peer/envelopes.py
+++ b/src/foxwinch/peer/envelopes.py
@@ -23,7 +23,7 @@
     return Envelope(hello=body)
 
 
-def versions_agree(other: PeerHello) -> bool:
+def are_versions_compatible(other: PeerHello) -> bool:
     """Return whether both peers support a common protocol version."""
     return other.version >= MINIMUM_PROTOCOL_VERSION and other.minimum_version <= PROTOCOL_VERSION
 
--- a/src/foxwinch/peer/frames.py
+++ b/src/foxwinch/peer/frames.py
@@ -113,7 +113,7 @@
         self._writable.set()
 
     @property
-    def congested(self) -> bool:
+    def is_congested(self) -> bool:
         """Whether senders should wait for `drain` before they send more."""
         return not self._writable.is_set() or self._outgoing_bytes > WRITE_BUFFER_BYTES
 
--- a/src/foxwinch/peer/inbound.py
+++ b/src/foxwinch/peer/inbound.py
@@ -26,15 +26,15 @@
         self,
         node: NodeId,
         handlers: HandlerTable,
-        opened: Callable[["InboundConnection"], bool],
-        lost: Callable[["InboundConnection"], None],
+        on_opened: Callable[["InboundConnection"], bool],
+        on_closed: Callable[["InboundConnection"], None],
     ) -> None:
-        """Serve as `node`; `opened` returns whether another connection is allowed."""
+        """Serve as `node`; `on_opened` returns whether another connection is allowed."""
         super().__init__()
         self._node = node
         self._handlers = handlers
-        self._opened = opened
-        self._lost = lost
+        self._on_opened = on_opened
+        self._on_closed = on_closed
         self._sender: NodeId | None = None
         self._tasks: dict[int, asyncio.Task[None]] = {}
         self._credits: dict[int, asyncio.Semaphore] = {}
@@ -43,11 +43,11 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Wait up to `HELLO_SECONDS` for the hello, or abort if there are too many connections."""
         super().connection_made(transport)
-        if not self._opened(self):
+        if not self._on_opened(self):
             self.log.warning("peer_connection_refused", peer=self.remote(), cause="too many")
             self.abort()
             return
-        self._timer = self.loop.call_later(HELLO_SECONDS, self._check_silence)
+        self._timer = self.loop.call_later(HELLO_SECONDS, self._check_idle)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the requests that are running for the lost peer."""
@@ -56,27 +56,27 @@
             self._timer.cancel()
         for task in list(self._tasks.values()):
             task.cancel()
-        self._lost(self)
+        self._on_closed(self)
 
     def envelope_received(self, envelope: Envelope) -> None:
         """Process an envelope from the client."""
         kind = envelope.WhichOneof("body")
         if self._sender is None:
-            self._greet(envelope, kind)
+            self._handle_hello(envelope, kind)
         elif kind == "request":
-            self._start(envelope.correlation_id, envelope.request)
+            self._start_request(envelope.correlation_id, envelope.request)
         elif kind == "cancel":
-            self._cancel(envelope.correlation_id)
+            self._cancel_request(envelope.correlation_id)
         elif kind == "credit":
             self._add_credit(envelope.correlation_id, envelope.credit.answers)
         elif kind == "ping" and not envelope.ping.reply:
             self.send(envelopes.ping(reply=True))
 
-    def _greet(self, envelope: Envelope, kind: str | None) -> None:
+    def _handle_hello(self, envelope: Envelope, kind: str | None) -> None:
         if kind != "hello" or not envelope.hello.node:
             raise FrameError("first frame is not a valid hello")
         self.send(envelopes.hello(self._node))
-        if not envelopes.versions_agree(envelope.hello):
+        if not envelopes.are_versions_compatible(envelope.hello):
             self.log.warning(
                 "peer_version_refused", node=envelope.hello.node, version=envelope.hello.version
             )
@@ -85,7 +85,7 @@
         self._sender = NodeId(envelope.hello.node)
         self.hello_received()
 
-    def _start(self, correlation: int, request: PeerRequest) -> None:
+    def _start_request(self, correlation: int, request: PeerRequest) -> None:
         if correlation in self._tasks:
             raise FrameError(f"correlation ID {correlation} is already in use")
         if len(self._tasks) >= PENDING_REQUESTS:
@@ -97,7 +97,7 @@
         run = self._run_stream if request.stream else self._run
         self._tasks[correlation] = self.loop.create_task(run(correlation, request))
 
-    def _cancel(self, correlation: int) -> None:
+    def _cancel_request(self, correlation: int) -> None:
         task = self._tasks.get(correlation)
         if task is not None:
             task.cancel()
@@ -139,10 +139,10 @@
         assert self._sender is not None
         return PeerContext(self._sender, request.deadline_milliseconds / 1000)
 
-    def _check_silence(self) -> None:
+    def _check_idle(self) -> None:
         silent_seconds = self.loop.time() - self.received_at_seconds
         if self._sender is None or silent_seconds > INBOUND_SILENCE_SECONDS:
             self.log.warning("peer_connection_silent", peer=self.remote(), seconds=silent_seconds)
             self.abort()
             return
-        self._timer = self.loop.call_later(INBOUND_SILENCE_SECONDS, self._check_silence)
+        self._timer = self.loop.call_later(INBOUND_SILENCE_SECONDS, self._check_idle)
--- a/src/foxwinch/peer/outbound.py
+++ b/src/foxwinch/peer/outbound.py
@@ -16,7 +16,7 @@
     STREAM_CREDIT,
 )
 
-LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "connection lost before the response")
+RESPONSE_LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "connection lost before the response")
 OVERLOADED = not_run(Reason.OVERLOADED, "too many in-flight requests to this peer", 0.1)
 
 
@@ -27,50 +27,50 @@
         """Identify as `node` in the hello."""
         super().__init__()
         self._node = node
-        self.greeted: asyncio.Future[bool] = self.loop.create_future()
-        self._next_correlation = 0
-        self._calls: dict[int, asyncio.Future[bytes | Refused]] = {}
-        self._streams: dict[int, asyncio.Queue[PeerAnswer | None]] = {}
+        self.handshake: asyncio.Future[bool] = self.loop.create_future()
+        self._last_correlation_id = 0
+        self._pending_calls: dict[int, asyncio.Future[bytes | Refused]] = {}
+        self._pending_streams: dict[int, asyncio.Queue[PeerAnswer | None]] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._used_at_seconds = self.loop.time()
+        self._last_used_at_seconds = self.loop.time()
         self._pinged_at_seconds = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the hello and start the keep-alive timer."""
         super().connection_made(transport)
         self.send(envelopes.hello(self._node))
-        self._timer = self.loop.call_later(PING_SECONDS, self._check_life)
+        self._timer = self.loop.call_later(PING_SECONDS, self._check_keepalive)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail every in-flight request."""
         super().connection_lost(exc)
         if self._timer is not None:
             self._timer.cancel()
-        if not self.greeted.done():
-            self.greeted.set_result(False)
-        for future in self._calls.values():
+        if not self.handshake.done():
+            self.handshake.set_result(False)
+        for future in self._pending_calls.values():
             if not future.done():
-                future.set_result(LOST)
-        for queue in self._streams.values():
+                future.set_result(RESPONSE_LOST)
+        for queue in self._pending_streams.values():
             queue.put_nowait(None)
 
     def envelope_received(self, envelope: Envelope) -> None:
         """Process an envelope from the server."""
         kind = envelope.WhichOneof("body")
-        if not self.greeted.done():
-            self._greet(envelope, kind)
+        if not self.handshake.done():
+            self._handle_hello(envelope, kind)
         elif kind == "answer":
-            self._answered(envelope.correlation_id, envelope.answer)
+            self._handle_answer(envelope.correlation_id, envelope.answer)
         elif kind == "ping" and not envelope.ping.reply:
             self.send(envelopes.ping(reply=True))
 
     async def call(self, method: str, payload: bytes, deadline_seconds: float) -> bytes | Refused:
         """Send a request and return its response; the outcome is unknown after the deadline."""
-        if len(self._calls) >= PENDING_REQUESTS or self.congested:
+        if len(self._pending_calls) >= PENDING_REQUESTS or self.is_congested:
             return OVERLOADED
-        correlation = self._correlation()
+        correlation = self._next_correlation_id()
         future: asyncio.Future[bytes | Refused] = self.loop.create_future()
-        self._calls[correlation] = future
+        self._pending_calls[correlation] = future
         self.send(envelopes.request(correlation, method, payload, deadline_seconds, stream=False))
         try:
             async with asyncio.timeout(deadline_seconds):
@@ -82,64 +82,64 @@
             self.send(envelopes.cancel(correlation))
             raise
         finally:
-            del self._calls[correlation]
+            del self._pending_calls[correlation]
 
     async def stream(
         self, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncGenerator[bytes | Refused, None]:
         """Send a request and yield its responses until the end, a refusal or the deadline."""
-        if len(self._streams) >= PENDING_REQUESTS or self.congested:
+        if len(self._pending_streams) >= PENDING_REQUESTS or self.is_congested:
             yield OVERLOADED
             return
-        correlation = self._correlation()
+        correlation = self._next_correlation_id()
         queue: asyncio.Queue[PeerAnswer | None] = asyncio.Queue()
-        self._streams[correlation] = queue
-        ends_at_seconds = self.loop.time() + deadline_seconds
+        self._pending_streams[correlation] = queue
+        deadline_at = self.loop.time() + deadline_seconds
         self.send(envelopes.request(correlation, method, payload, deadline_seconds, stream=True))
-        whole = False
+        complete = False
         try:
-            async for item in self._answers(correlation, queue, ends_at_seconds):
-                whole = item.last
+            async for item in self._read_answers(correlation, queue, deadline_at):
+                complete = item.last
                 if not item.empty:
                     yield envelopes.read_answer(item)
-                if whole:
+                if complete:
                     return
-            whole = self.closed
-            late = self.loop.time() >= ends_at_seconds
+            complete = self.closed
+            is_late = self.loop.time() >= deadline_at
             yield (
                 outcome_unknown(Reason.DEADLINE, "deadline exceeded before the end of the stream")
-                if late
-                else LOST
+                if is_late
+                else RESPONSE_LOST
             )
         finally:
-            if not whole:
+            if not complete:
                 self.send(envelopes.cancel(correlation))
-            del self._streams[correlation]
+            del self._pending_streams[correlation]
 
-    async def _answers(
-        self, correlation: int, queue: asyncio.Queue[PeerAnswer | None], ends_at_seconds: float
+    async def _read_answers(
+        self, correlation: int, queue: asyncio.Queue[PeerAnswer | None], deadline_at: float
     ) -> AsyncIterator[PeerAnswer]:
         """Yield responses; stop early if the connection is lost or the deadline passes."""
-        taken = 0
+        consumed = 0
         while True:
             try:
-                async with asyncio.timeout_at(ends_at_seconds):
+                async with asyncio.timeout_at(deadline_at):
                     item = await queue.get()
             except TimeoutError:
                 return
             if item is None:
                 return
-            taken += 1
-            if taken == STREAM_CREDIT // 2:
-                self.send(envelopes.credit(correlation, taken))
-                taken = 0
+            consumed += 1
+            if consumed == STREAM_CREDIT // 2:
+                self.send(envelopes.credit(correlation, consumed))
+                consumed = 0
             yield item
 
-    def _greet(self, envelope: Envelope, kind: str | None) -> None:
+    def _handle_hello(self, envelope: Envelope, kind: str | None) -> None:
         if kind != "hello":
             raise FrameError("first frame is not a hello")
-        agreed = envelopes.versions_agree(envelope.hello)
-        self.greeted.set_result(agreed)
+        agreed = envelopes.are_versions_compatible(envelope.hello)
+        self.handshake.set_result(agreed)
         if agreed:
             self.hello_received()
             return
@@ -148,30 +148,30 @@
         )
         self.abort()
 
-    def _answered(self, correlation: int, body: PeerAnswer) -> None:
-        future = self._calls.get(correlation)
+    def _handle_answer(self, correlation: int, body: PeerAnswer) -> None:
+        future = self._pending_calls.get(correlation)
         if future is not None:
             if not future.done():
                 future.set_result(envelopes.read_answer(body))
             return
-        queue = self._streams.get(correlation)
+        queue = self._pending_streams.get(correlation)
         if queue is None:
             return  # cancelled or past its deadline
         if queue.qsize() > STREAM_CREDIT:
             raise FrameError("stream exceeds its credit")
         queue.put_nowait(body)
 
-    def _correlation(self) -> int:
-        self._used_at_seconds = self.loop.time()
-        self._next_correlation += 1
-        return self._next_correlation
+    def _next_correlation_id(self) -> int:
+        self._last_used_at_seconds = self.loop.time()
+        self._last_correlation_id += 1
+        return self._last_correlation_id
 
-    def _check_life(self) -> None:
+    def _check_keepalive(self) -> None:
         """Ping a quiet connection, abort an unresponsive one or close an idle one."""
         now = self.loop.time()
-        self._timer = self.loop.call_later(PING_SECONDS, self._check_life)
-        if not self._calls and not self._streams:
-            if now - self._used_at_seconds > IDLE_SECONDS:
+        self._timer = self.loop.call_later(PING_SECONDS, self._check_keepalive)
+        if not self._pending_calls and not self._pending_streams:
+            if now - self._last_used_at_seconds > IDLE_SECONDS:
                 self.close()
             self._pinged_at_seconds = 0.0
             return
--- a/src/foxwinch/peer/service.py
+++ b/src/foxwinch/peer/service.py
@@ -7,7 +7,7 @@
 from foxwinch.identifiers import NodeId
 from foxwinch.outcomes import Refused
 from foxwinch.peer.connections import ConnectionPool
-from foxwinch.peer.datagrams import DatagramSide
+from foxwinch.peer.datagrams import DatagramEndpoint
 from foxwinch.peer.handlers import HandlerTable
 from foxwinch.peer.inbound import InboundConnection
 from foxwinch.peer.limits import INBOUND_CONNECTIONS
@@ -38,7 +38,7 @@
         self._pool = ConnectionPool(node, host, self._tls)
         self._inbound: set[InboundConnection] = set()
         self._server: asyncio.Server | None = None
-        self._datagrams: DatagramSide | None = None
+        self._datagrams: DatagramEndpoint | None = None
 
     async def start(self) -> None:
         """Bind both sockets; raise `OSError` if the port is in use."""
@@ -75,23 +75,23 @@
     ) -> bytes | Refused:
         """Send a unary request and return its response."""
         loop = asyncio.get_running_loop()
-        ends_at_seconds = loop.time() + deadline_seconds
+        deadline_at = loop.time() + deadline_seconds
         connection = await self._pool.get(address, deadline_seconds)
         if isinstance(connection, Refused):
             return connection
-        return await connection.call(method, payload, max(0.0, ends_at_seconds - loop.time()))
+        return await connection.call(method, payload, max(0.0, deadline_at - loop.time()))
 
     async def stream(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncIterator[bytes | Refused]:
         """Send a streaming request and yield its responses; closing the iterator cancels it."""
         loop = asyncio.get_running_loop()
-        ends_at_seconds = loop.time() + deadline_seconds
+        deadline_at = loop.time() + deadline_seconds
         connection = await self._pool.get(address, deadline_seconds)
         if isinstance(connection, Refused):
             yield connection
             return
-        answers = connection.stream(method, payload, max(0.0, ends_at_seconds - loop.time()))
+        answers = connection.stream(method, payload, max(0.0, deadline_at - loop.time()))
         async with aclosing(answers):
             async for answer in answers:
                 yield answer
@@ -116,7 +116,7 @@
     async def _bind(self) -> None:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            lambda: InboundConnection(self._node, self._handlers, self._opened, self._lost),
+            lambda: InboundConnection(self._node, self._handlers, self._on_opened, self._on_closed),
             self._host,
             self._port,
             ssl=self._tls.server if self._tls else None,
@@ -124,7 +124,7 @@
         self._server = server
         try:
             _, self._datagrams = await loop.create_datagram_endpoint(
-                lambda: DatagramSide(self._handlers), (self._host, self._bound_port())
+                lambda: DatagramEndpoint(self._handlers), (self._host, self._bound_port())
             )
         except OSError:
             server.close()
@@ -136,11 +136,11 @@
             return self._port
         return int(self._server.sockets[0].getsockname()[1])
 
-    def _opened(self, connection: InboundConnection) -> bool:
+    def _on_opened(self, connection: InboundConnection) -> bool:
         if len(self._inbound) >= INBOUND_CONNECTIONS:
             return False
         self._inbound.add(connection)
         return True
 
-    def _lost(self, connection: InboundConnection) -> None:
+    def _on_closed(self, connection: InboundConnection) -> None:
         self._inbound.discard(connection)
