--- a/tests/configuration_cluster.py
+++ b/tests/configuration_cluster.py
@@ -50,12 +50,12 @@
 
 
 class FakeNode(NoPeers):
-    """One node's gossip, calls and membership; the oracle uses `highest_heard`."""
+    """One node's gossip, calls and membership; the oracle uses `highest_received`."""
 
     def __init__(self, cluster, number):
         self.cluster, self.number = cluster, number
         self.handlers, self.listeners, self.held = {}, [], LocalGossip()
-        self.highest_heard = 0
+        self.highest_received = 0
         self.member = Member(
             f"node-{number}", PeerAddress("127.0.0.1", number), f"zone-{number % 2}", "region",
             MemberState.ALIVE, 0,
@@ -80,7 +80,7 @@
         known = self.held.entries(entry.kind).get(entry.key)
         if known is None or known.version < entry.version:
             self.held.publish(entry)
-            self.highest_heard = max(self.highest_heard, entry.version)
+            self.highest_received = max(self.highest_received, entry.version)
             for other in self.cluster.nodes.values():
                 if other is not self:
                     self.spread(other, entry)
@@ -101,7 +101,7 @@
             known is None or known.version < entry.version
         ):
             self.held.publish(entry)
-            self.highest_heard = max(self.highest_heard, entry.version)
+            self.highest_received = max(self.highest_received, entry.version)
             for listener in self.listeners:
                 listener(entry)
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -22,7 +22,7 @@
 from foxwinch.emulator.faults import ServiceFaults
 from foxwinch.outcomes import Reason, Refused, RunState, not_run, outcome_unknown
 
-IN_FORCE_SECONDS = 5.0
+ACTIVATION_SECONDS = 5.0
 
 
 @pytest.fixture
@@ -44,22 +44,22 @@
     )  # fmt: skip
 
 
-def test_change_is_in_force_everywhere_in_time(cluster):
+def test_change_is_active_at_every_node_in_time(cluster):
     nodes = [cluster.start_node() for _ in range(7)]
     assert apply(cluster, nodes[0], "change-one", 1, document_with(7)) == ChangeAccepted(2)
-    cluster.run(asyncio.sleep(IN_FORCE_SECONDS))
+    cluster.run(asyncio.sleep(ACTIVATION_SECONDS))
     assert [rate_at(node) for node in nodes] == [(2, 7.0)] * 7
 
 
-def test_change_crosses_a_cut_by_the_table(cluster):
+def test_change_reaches_partitioned_nodes_through_the_table(cluster):
     nodes = [cluster.start_node() for _ in range(4)]
     cluster.cut = {3, 4}
     apply(cluster, nodes[0], "change-one", 1, document_with(7))
-    cluster.run(asyncio.sleep(IN_FORCE_SECONDS))
+    cluster.run(asyncio.sleep(ACTIVATION_SECONDS))
     assert rate_at(nodes[3]) == (2, 7.0)
 
 
-def test_race_names_the_newer_revision(cluster):
+def test_conflicting_change_reports_the_newer_revision(cluster):
     nodes = [cluster.start_node() for _ in range(2)]
     changes = [
         node.service.apply(ApplyConfiguration(f"racing-{rate}", 1, document_with(rate)))
@@ -77,7 +77,7 @@
     assert "revision 2 is in force" in refused[0].detail
 
 
-class LosesAnswers:
+class ResponseLosingStore:
     """A store whose next transactions take effect but lose their responses."""
 
     def __init__(self, records, losses):
@@ -95,22 +95,22 @@
         return not_run(Reason.STORE_UNAVAILABLE, "down")
 
 
-def test_lost_answer_is_settled_by_reading_back(cluster):
+def test_lost_response_is_resolved_by_reading_back(cluster):
     node = cluster.start_node()
-    node.service._store = ConfigurationStore(LosesAnswers(node.records, 1))
+    node.service._store = ConfigurationStore(ResponseLosingStore(node.records, 1))
     assert apply(cluster, node, "change-one", 1, document_with(7)) == ChangeAccepted(2)
     assert apply(cluster, node, "change-one", 1, document_with(7)) == ChangeAccepted(2)
     assert apply(cluster, node, "change-two", 1, document_with(8)).reason is Reason.CONFLICT
     assert rate_at(node) == (2, 7.0)
 
 
-def test_change_whose_fate_cannot_be_read_is_unknown(cluster):
+def test_change_with_undeterminable_outcome_is_reported_unknown(cluster):
     node = cluster.start_node()
-    records = LosesAnswers(node.records, 1)
+    records = ResponseLosingStore(node.records, 1)
 
     async def lose_then_fail(*transaction):
         records.read = records.unreadable
-        return await LosesAnswers.transact(records, *transaction)
+        return await ResponseLosingStore.transact(records, *transaction)
 
     records.transact = lose_then_fail
     node.service._store = ConfigurationStore(records)
@@ -122,7 +122,7 @@
     assert cluster.run(node.service.apply(again)) == ChangeAccepted(2)
 
 
-def test_unchecked_document_is_refused(cluster):
+def test_invalid_document_is_refused(cluster):
     node = cluster.start_node()
     broken = DOCUMENT.model_copy(update={"default_template": "absent"})
     outcome = apply(cluster, node, "change-one", 1, broken)
@@ -130,7 +130,7 @@
     assert "default_template" in outcome.detail
 
 
-def test_node_that_cannot_fetch_refuses_to_serve_older(cluster):
+def test_node_refuses_to_serve_a_stale_revision(cluster):
     nodes = [cluster.start_node() for _ in range(2)]
     nodes[1].records.gate.faults = ServiceFaults(down=True)
     apply(cluster, nodes[0], "change-one", 1, document_with(7))
@@ -142,18 +142,18 @@
     assert (outcome.reason, outcome.run_state) == (Reason.STALE_CONFIGURATION, RunState.NOT_RUN)
 
 
-def test_starting_node_learns_from_fellow_nodes_while_the_table_is_down(cluster):
+def test_starting_node_learns_from_peers_while_the_table_is_down(cluster):
     nodes = [cluster.start_node() for _ in range(2)]
     apply(cluster, nodes[0], "change-one", 1, document_with(7))
-    cluster.run(asyncio.sleep(IN_FORCE_SECONDS))
+    cluster.run(asyncio.sleep(ACTIVATION_SECONDS))
     late = cluster.start_node(down=True)
     assert rate_at(late) == (2, 7.0)
     cluster.cut = {4}
-    lonely = cluster.start_node(down=True)
-    assert lonely.service.current().reason is Reason.STALE_CONFIGURATION
+    isolated = cluster.start_node(down=True)
+    assert isolated.service.current().reason is Reason.STALE_CONFIGURATION
 
 
-def test_change_that_conflicts_with_its_own_repeat_is_not_called_not_run(cluster):
+def test_change_that_conflicts_with_its_own_retry_is_not_reported_as_not_run(cluster):
     node = cluster.start_node()
     transact = node.records.transact
 
@@ -178,7 +178,7 @@
     assert {row.node: row.held for row in rows} == {"node-1": 1, "node-2": 1, "node-3": None}
 
 
-def test_large_documents_travel_in_chunks_and_small_changes_small(cluster):
+def test_large_documents_are_chunked_and_small_changes_stay_small(cluster):
     template = DOCUMENT.tenants[0]
     tenants = tuple(
         template.model_copy(update={"name": f"tenant-{i}", "key_hashes": (f"{i * 7919:064x}",)})
@@ -198,7 +198,7 @@
     assert max(map(len, cluster.model.rows_of("configuration").values())) <= 33 * 1024
 
 
-def test_late_older_document_is_not_taken():
+def test_older_document_arriving_late_is_ignored():
     replica = ConfigurationReplica()
     for revision, rate in ((2, 7), (1, 3)):
         state = build_document_state(split_entries(document_with(rate)))
@@ -208,7 +208,7 @@
     assert replica.held.state.document.tenants[0].requests_per_second == 7.0
 
 
-def test_field_of_a_newer_version_is_left_out():
+def test_unknown_field_of_a_newer_version_is_ignored():
     entries = split_entries(DOCUMENT)
     entries["tenants/seat-reservations"] = '{"name":"seat-reservations","colour":"red"}'
     state = build_document_state(entries)
@@ -259,13 +259,13 @@
             if row.key.startswith("revision/")
         }
 
-    def none_of_those_reported_as_not_run_took_effect(self):
+    def check_not_run_changes_had_no_effect(self):
         """Check before a change is sent again, since it may take effect then."""
         not_run = {token for token, sent in self.sent.items() if sent[2] is RunState.NOT_RUN}
         assert not not_run & self.tokens_in_store(), "a change reported as not run took effect"
 
     def send(self, node, token, expected, rate):
-        self.none_of_those_reported_as_not_run_took_effect()
+        self.check_not_run_changes_had_no_effect()
         command = ApplyConfiguration(token, expected, document_with(rate), token in self.sent)
         outcome = self.cluster.run(node.service.apply(command))
         if isinstance(outcome, ChangeAccepted):
@@ -303,7 +303,7 @@
         self.cluster.run(asyncio.sleep(seconds))
 
     @invariant()
-    def never_back_and_never_below_what_was_heard(self):
+    def revision_never_decreases_or_lags_the_known_one(self):
         for node in self.cluster.nodes.values():
             served = rate_at(node)
             if isinstance(served, Refused):
@@ -311,7 +311,7 @@
                 continue
             revision, rate = served
             assert revision >= self.served.get(node.number, 0)
-            assert revision >= node.highest_heard
+            assert revision >= node.highest_received
             assert self.accepted.setdefault(revision, rate) == rate
             self.served[node.number] = revision
 
@@ -320,9 +320,9 @@
         cluster.loss, cluster.cut = 0.0, set()
         for node in cluster.nodes.values():
             node.records.gate.faults = ServiceFaults()
-        cluster.run(asyncio.sleep(2 * IN_FORCE_SECONDS))
+        cluster.run(asyncio.sleep(2 * ACTIVATION_SECONDS))
         views = {rate_at(node) for node in cluster.nodes.values()}
-        self.none_of_those_reported_as_not_run_took_effect()
+        self.check_not_run_changes_had_no_effect()
         cluster.close()
         assert cluster.failures == []
         assert len(views) <= 1, "nodes hold different configurations after the faults ended"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -230,13 +230,13 @@
     assert 0.9 * 40.0 * 20.0 <= sum(last_seconds) <= 40.0 * 20.0 * 1.05
 
 
-def test_idle_tenant_passes_at_any_node_at_once():
+def test_idle_tenant_is_admitted_at_any_node_immediately():
     fleet, _ = run_fleet([0.0] * 6, 10.0)
     for node in fleet.nodes:
         assert node.limiter.admit((LIMIT,), 9, 1.0, fleet.now) == Passed()
 
 
-def test_share_of_a_dead_node_returns_and_a_lone_node_may_not_rise():
+def test_lost_share_is_redistributed_and_an_isolated_node_may_not_grow():
     fleet, _ = run_fleet([400.0, 400.0, 400.0], 30.0)
     before = fleet.nodes[0].table.share(NAME, fleet.now)
     fleet.set_cut({fleet.nodes[0].name})
@@ -281,13 +281,13 @@
     assert limiter.admit((LIMIT,), 0, 1.0, later) == Passed()
 
 
-def test_node_that_has_just_started_has_saved_nothing():
+def test_new_node_has_no_accumulated_tokens():
     limiter = Limiter(lambda key, at: 1.0, 100.0)
     assert limiter.admit((LIMIT,), 0, 1.0, 100.0) == Passed()
     assert isinstance(limiter.admit((LIMIT,), 0, 1.0, 100.0), Limited)
 
 
-def test_no_storm_after_the_back_end_returns():
+def test_no_retry_storm_after_the_backend_recovers():
     small = Scenario(calls_per_second=16.0, served_per_second=20.0, end=130.0, clients=3)
     fixed, budget = (run_policy(small, policy, 3) for policy in (Policy.FIXED, Policy.BUDGET))
     assert budget.attempts_per_call_after_return <= 1.11
@@ -295,7 +295,7 @@
     assert budget.seconds_to_recover <= 5.0
 
 
-def test_tokens_are_settled_by_what_was_used():
+def test_tokens_are_settled_by_actual_usage():
     limit = Limit("tenant:one", 100.0, 1_000.0, 5.0)
     limiter = Limiter(lambda key, at: 1.0, 0.0)
     assert limiter.admit((limit,), 0, 50_000.0, 100.0) == Passed()
@@ -315,7 +315,7 @@
         assert value <= min(1.0, demand[key]) <= value * 1.1
 
 
-def test_repeats_are_a_part_of_first_attempts():
+def test_retries_are_a_fraction_of_first_attempts():
     budget, key = RetryBudget(ratio=0.1, burst=5.0), RetryKey("tenant", "worker")
     repeats = 0
     for _ in range(1_000):
@@ -330,7 +330,7 @@
     assert 0.0 <= wait <= min(2.0, 0.1 * 2.0**attempt)
 
 
-def test_circuit_opens_tries_once_and_closes():
+def test_circuit_breaker_opens_admits_one_trial_and_closes():
     circuit = CircuitBreaker()
     for second in range(5):
         assert circuit.try_call(float(second))
@@ -349,7 +349,7 @@
     assert circuit.try_call(later)
 
 
-def test_single_failures_leave_the_circuit_closed():
+def test_isolated_failures_leave_the_circuit_breaker_closed():
     circuit = CircuitBreaker()
     for second in range(100):
         if second % 3:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
 from foxwinch.membership.service import MembershipService
 
 
-def fleet_of(nodes: int, seed: int = 1, loss: float = 0.0, regions: int = 1) -> Fleet:
+def converged_fleet(nodes: int, seed: int = 1, loss: float = 0.0, regions: int = 1) -> Fleet:
     model = NetworkModel(loss=loss, world_loss=loss)
     fleet = Fleet(FleetShape(nodes, regions, 3 * regions), seed, model)
     fleet.start_all()
@@ -96,8 +96,8 @@
         fleet.network.model.loss = 0.5
 
 
-def test_a_crash_is_told_from_a_planned_stop() -> None:
-    fleet = fleet_of(12)
+def test_crash_is_distinguished_from_planned_stop() -> None:
+    fleet = converged_fleet(12)
     watcher, crashed, stopped = fleet.running()[:3]
     stopped.leave()
     fleet.run(2)
@@ -110,8 +110,8 @@
     assert state_at(watcher, crashed) is MemberState.DEAD
 
 
-def test_a_restarted_address_is_a_new_member_and_the_old_one_is_dead_at_once() -> None:
-    fleet = fleet_of(6)
+def test_restart_at_an_address_replaces_the_old_member_immediately() -> None:
+    fleet = converged_fleet(6)
     watcher, old = fleet.running()[:2]
     old.publish(GossipEntry(GossipKind.COORDINATOR, "digest/old", 1, b"x"))
     fleet.run(3)
@@ -124,8 +124,8 @@
     assert "digest/old" not in watcher.engine.entries(GossipKind.COORDINATOR)
 
 
-def test_a_paused_member_is_declared_dead_and_refutes_when_it_wakes() -> None:
-    fleet = fleet_of(6)
+def test_paused_member_is_declared_dead_and_refutes_after_resuming() -> None:
+    fleet = converged_fleet(6)
     watcher, paused = fleet.running()[:2]
     paused.pause()
     fleet.run(10)
@@ -137,8 +137,8 @@
     assert paused.engine.counters.condemnations == 0
 
 
-def test_a_region_cut_off_goes_on_and_merges_again() -> None:
-    fleet = fleet_of(18, regions=3)
+def test_isolated_region_continues_and_merges_after_the_partition() -> None:
+    fleet = converged_fleet(18, regions=3)
     far = RegionName("region-1")
     inside = next(node for node in fleet.running() if node.place.region == far)
     outside = next(node for node in fleet.running() if node.place.region != far)
@@ -158,15 +158,15 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_live_member_is_declared_dead_under_20_percent_loss(seed: int) -> None:
-    fleet = fleet_of(12, seed, loss=0.2)
+    fleet = converged_fleet(12, seed, loss=0.2)
     before = sum(node.engine.counters.condemnations for node in fleet.running())
     fleet.run(300)
     assert sum(node.engine.counters.suspicions for node in fleet.running()) > 0
     assert sum(node.engine.counters.condemnations for node in fleet.running()) == before
 
 
-def test_what_is_sent_stays_inside_the_budget_and_the_urgent_goes_first() -> None:
-    fleet = fleet_of(12)
+def test_traffic_stays_within_budget_and_urgent_entries_go_first() -> None:
+    fleet = converged_fleet(12)
     publisher = fleet.running()[0]
     for node in fleet.running():
         for number in range(100):
@@ -192,7 +192,7 @@
     ),
     room=st.integers(0, 1200),
 )
-def test_outbox_fits_the_room_and_empties(offers: list[tuple[int, int, int]], room: int) -> None:
+def test_outbox_respects_room_and_drains(offers: list[tuple[int, int, int]], room: int) -> None:
     outbox = Outbox()
     for number, (rank, size, transmissions) in enumerate(offers):
         outbox.offer(str(number), rank, bytes(size), transmissions)
@@ -210,7 +210,7 @@
 
 
 @given(st.binary(max_size=1400))
-def test_random_datagrams_are_refused_without_answer(payload: bytes) -> None:
+def test_malformed_datagrams_get_no_response(payload: bytes) -> None:
     engine = new_engine()
     if parse_datagram(payload) is None:
         assert engine.receive(addresses(2)[1], payload, 1.0) == []
@@ -221,8 +221,8 @@
 
 @settings(max_examples=200)
 @given(st.data())
-def test_damaged_datagrams_neither_crash_nor_grow_the_state(data: st.DataObject) -> None:
-    fleet = WARM
+def test_corrupted_datagrams_neither_crash_nor_grow_the_state(data: st.DataObject) -> None:
+    fleet = CAPTURED_DATAGRAMS
     engine = new_engine()
     payload = bytearray(data.draw(st.sampled_from(fleet)))
     for _ in range(data.draw(st.integers(0, 4))):
@@ -247,17 +247,17 @@
     return captured
 
 
-WARM = captured_datagrams()
+CAPTURED_DATAGRAMS = captured_datagrams()
 
 
-def test_entries_that_fit_no_datagram_are_refused() -> None:
+def test_oversized_entries_are_rejected() -> None:
     engine = new_engine()
     with pytest.raises(ValueError, match="allowed"):
         engine.publish(GossipEntry(GossipKind.USAGE, "k", 1, bytes(PAYLOAD_BYTES + 1)), 0.0)
 
 
 @pytest.mark.looptime
-async def test_services_join_spread_and_heal_a_partition_over_a_peer_port() -> None:
+async def test_services_join_gossip_and_recover_from_a_partition() -> None:
     network = MemoryNetwork(2, LinkFaults(loss=0.05))
     places = addresses(5)
     services, gossips = [], []
@@ -276,13 +276,15 @@
     await asyncio.sleep(30)
     dead = [m for m in services[0].members() if m.state is MemberState.DEAD]
     assert len(dead) == 3
-    heard: list[int] = []
-    gossips[0].subscribe(GossipKind.CONFIGURATION, lambda entry: heard.append(entry.version))
+    received_versions: list[int] = []
+    gossips[0].subscribe(
+        GossipKind.CONFIGURATION, lambda entry: received_versions.append(entry.version)
+    )
     gossips[4].publish(GossipEntry(GossipKind.CONFIGURATION, "head", 3, b"three"))
     network.heal()
     await asyncio.sleep(60)
     for service in services:
         assert {m.state for m in service.members()} == {MemberState.ALIVE}
-    assert heard == [3]
+    assert received_versions == [3]
     for service in services:
         await service.stop()
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -11,7 +11,7 @@
 from foxwinch.membership.service import MembershipService
 from foxwinch.peer.service import PeerService
 
-QUICK = MembershipParameters(
+FAST_PARAMETERS = MembershipParameters(
     tick_seconds=0.05,
     probe_period_seconds=0.1,
     probe_timeout_seconds=0.1,
@@ -41,7 +41,7 @@
         )
         addresses = [seed.proxy.address for seed in seeds]
         self.service = MembershipService(
-            this, self.peers, SystemClock(), addresses, parameters=QUICK
+            this, self.peers, SystemClock(), addresses, parameters=FAST_PARAMETERS
         )
         await self.service.start()
 
@@ -60,7 +60,7 @@
             await asyncio.sleep(0.01)
 
 
-async def test_nodes_join_lose_one_another_and_heal_over_sockets() -> None:
+async def test_nodes_join_and_recover_from_a_partition_over_sockets() -> None:
     nodes = [ProxiedNode(index) for index in range(4)]
     for node in nodes:
         await node.start(nodes[:1] if node is not nodes[0] else [])
@@ -68,11 +68,11 @@
     await until(lambda: all(node.states() == everyone for node in nodes))
     for node in nodes:
         node.proxy.program(loss=0.2, delay_seconds=0.003)
-    alone, *others = nodes[::-1]
-    alone.proxy.program(block_to_target=True, block_to_client=True)
+    isolated, *others = nodes[::-1]
+    isolated.proxy.program(block_to_target=True, block_to_client=True)
     for other in others:
-        other.proxy.block_source(alone.peers.address.host)
-    await until(lambda: all(o.states()[alone.name] is MemberState.DEAD for o in others))
+        other.proxy.block_source(isolated.peers.address.host)
+    await until(lambda: all(o.states()[isolated.name] is MemberState.DEAD for o in others))
     for node in nodes:
         node.proxy.heal()
     await until(lambda: all(node.states() == everyone for node in nodes))
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -65,7 +65,7 @@
         await other.stop()
 
 
-async def test_answers_match_their_requests_and_refusals_arrive_whole() -> None:
+async def test_answers_match_their_requests_and_refusals_arrive_intact() -> None:
     async with pair() as (one, other):
         payloads = [str(number).encode() for number in range(500)]
         answers = await asyncio.gather(*(one.call(other.address, "echo", p, 5) for p in payloads))
@@ -81,7 +81,7 @@
         assert await one.call(other.address, "echo", big, 5) == b"one:" + big
 
 
-async def test_streams_are_whole_longer_than_the_credit_and_bounded_for_a_slow_reader() -> None:
+async def test_streams_exceed_the_credit_and_are_bounded_for_a_slow_reader() -> None:
     produced = 0
 
     async def endless(context: PeerContext, payload: bytes) -> AsyncIterator[bytes | Refused]:
@@ -105,7 +105,7 @@
             assert await one.call(other.address, "echo", b"", 5) == b"one:"
 
 
-async def test_run_state_is_truthful() -> None:
+async def test_run_state_reflects_whether_the_request_was_sent() -> None:
     async with pair() as (one, other):
         late = await one.call(other.address, "hang", b"", 0.05)
         assert isinstance(late, Refused)
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.looptime
-async def test_memory_network_serves_and_keeps_streams_whole_under_loss() -> None:
+async def test_memory_network_keeps_streams_complete_under_loss() -> None:
     network, one, other = await memory_pair(LinkFaults(loss=0.2))
     port = network.ports[one]
     assert await port.call(other, "echo", b"p", 30) == b"one:p"
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.looptime
-async def test_memory_network_refusals_are_truthful() -> None:
+async def test_memory_network_reports_the_correct_run_state() -> None:
     network, one, other = await memory_pair()
     port = network.ports[one]
     assert await port.call(other, "echo", b"", 1) == b"one:"
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_paused_node_answers_after_it_wakes() -> None:
+async def test_paused_node_responds_after_resuming() -> None:
     network, one, other = await memory_pair()
     port = network.ports[one]
     network.pause(other)
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.looptime
-async def test_datagrams_are_lost_doubled_and_reordered_the_same_way_for_one_seed() -> None:
+async def test_datagram_faults_are_reproducible_for_a_seed() -> None:
     async def run() -> list[bytes]:
         network = MemoryNetwork(5, LinkFaults(loss=0.2, doubling=0.2, reordering=0.3))
         one, other = addresses(2)
--- a/tests/test_token_bucket.py
+++ b/tests/test_token_bucket.py
@@ -28,7 +28,7 @@
     assert [bucket.reserve(1.0, 0.0) for _ in range(3)] == [0.0, 0.5, 1.0]
 
 
-def test_hold_lets_nothing_pass_for_its_time():
+def test_pause_admits_nothing_for_its_duration():
     bucket = TokenBucket.full(10.0, 10.0, 0.0)
     bucket.pause_for(3.0, 0.0)
     assert bucket.wait_seconds(1.0, 0.0) == pytest.approx(3.1)
@@ -36,7 +36,7 @@
     assert bucket.try_take(1.0, 3.1)
 
 
-def test_charge_may_go_below_zero_and_gives_back():
+def test_charge_may_go_below_zero_and_be_returned():
     bucket = TokenBucket.full(1.0, 5.0, 0.0)
     bucket.charge(8.0, 0.0)
     assert not bucket.try_take(1.0, 3.0)
