--- a/src/foxwinch/bench/unit_costs.py
+++ b/src/foxwinch/bench/unit_costs.py
@@ -20,7 +20,7 @@
 from foxwinch.bench.commit import current_commit
 from foxwinch.bench.schedule.decision_cost import measure_decisions
 from foxwinch.core.limits.shares import PROPAGATION_SECONDS, ShareTable
-from foxwinch.core.limits.usage import DIGEST_ENTRIES, UsageDigest, decode, encode
+from foxwinch.core.limits.usage import MAX_DIGEST_ENTRIES, UsageDigest, decode, encode
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.records.ports import StoredRow
 from foxwinch.records.program_trees import TreeHead
@@ -107,7 +107,9 @@
     """Measure shares with every node busy for other tenants, as many as a digest tells."""
     table = ShareTable(NodeId("node-0"), 0.0)
     digests = [
-        UsageDigest({(n * DIGEST_ENTRIES + k) % tenants: 0.5 for k in range(DIGEST_ENTRIES)})
+        UsageDigest(
+            {(n * MAX_DIGEST_ENTRIES + k) % tenants: 0.5 for k in range(MAX_DIGEST_ENTRIES)}
+        )
         for n in range(nodes)
     ]
     names = [NodeId(f"node-{n}") for n in range(nodes)]
@@ -134,7 +136,7 @@
     return ShareCost(
         nodes,
         tenants,
-        DIGEST_ENTRIES,
+        MAX_DIGEST_ENTRIES,
         max(map(len, payloads)),
         median_seconds(tenants, shares),
         median_seconds(nodes - 1, tell),
--- a/src/foxwinch/configuration/messages.py
+++ b/src/foxwinch/configuration/messages.py
@@ -7,7 +7,7 @@
 
 GOSSIP_SLOTS = 8
 """Number of newest deltas kept in gossip, so that rapid successive changes need no fetch."""
-GOSSIP_BODY_BYTES = 480
+MAX_GOSSIP_BODY_BYTES = 480
 """Larger deltas are announced by revision only and fetched over TCP. A change of one tenant takes
 about 200 bytes, and several entries share a datagram of one MTU."""
 MAX_ENTRIES_COMPRESSED = 16
@@ -19,7 +19,7 @@
     message = ConfigurationChange(revision=change.revision)
     if len(change.delta.puts) + len(change.delta.deletes) <= MAX_ENTRIES_COMPRESSED:
         full_message = encode(change)
-        if len(full_message.body) <= GOSSIP_BODY_BYTES:
+        if len(full_message.body) <= MAX_GOSSIP_BODY_BYTES:
             message = full_message
     key = f"revision-{change.revision % GOSSIP_SLOTS}"
     return GossipEntry(GossipKind.CONFIGURATION, key, change.revision, message.SerializeToString())
--- a/src/foxwinch/configuration/service.py
+++ b/src/foxwinch/configuration/service.py
@@ -46,7 +46,7 @@
 from foxwinch.settings.cluster import ClusterConfiguration
 
 FETCH_METHOD = "configuration.fetch"
-FETCH_SECONDS = 2.0
+FETCH_TIMEOUT_SECONDS = 2.0
 POLL_SECONDS = 2.0
 """Time within which each zone sees an accepted change even without gossip. It is under half of the
 5 s within which a change must be active."""
@@ -244,7 +244,7 @@
         """Fetch missing changes from one peer; return whether it responded."""
         request = FetchConfigurationRequest(held_revision=self._replica.held_revision)
         answer = await self._ports.peer.call(
-            member.address, FETCH_METHOD, request.SerializeToString(), FETCH_SECONDS
+            member.address, FETCH_METHOD, request.SerializeToString(), FETCH_TIMEOUT_SECONDS
         )
         if isinstance(answer, Refused):
             return False
--- a/src/foxwinch/configuration/store.py
+++ b/src/foxwinch/configuration/store.py
@@ -40,7 +40,7 @@
 SNAPSHOT_REVISIONS = 64
 """Interval of snapshots in revisions. A node that is behind reads one full document and at most
 this many deltas."""
-STORE_SECONDS = 3.0
+STORE_TIMEOUT_SECONDS = 3.0
 """Timeout of a store operation; the store normally responds in tens of milliseconds."""
 KEPT_REVISIONS = 512
 """Number of revisions kept in the store, for which a lost response can be resolved by its token."""
@@ -130,7 +130,7 @@
         )
         writes.append(_put(HEAD_KEY, new_head.SerializeToString()))
         condition = RowCondition(_row(HEAD_KEY), head.row_version)
-        return await self._store.transact((condition,), tuple(writes), STORE_SECONDS)
+        return await self._store.transact((condition,), tuple(writes), STORE_TIMEOUT_SECONDS)
 
     async def prune(self, head: Revision) -> Refused | None:
         """Delete the rows of revisions older than the `KEPT_REVISIONS` newest ones."""
@@ -193,13 +193,13 @@
         return read.rows[0] if read.rows else None
 
     async def _range(self, first: str, end: str) -> RowsRead | Refused:
-        return await self._store.read(_row(first), end, STORE_SECONDS)
+        return await self._store.read(_row(first), end, STORE_TIMEOUT_SECONDS)
 
     async def _transact(self, writes: list[RowWrite]) -> Refused | None:
         """Write rows that have no concurrent writers, in several transactions."""
         for index in range(0, len(writes), ROWS_PER_TRANSACTION):
             batch = tuple(writes[index : index + ROWS_PER_TRANSACTION])
-            outcome = await self._store.transact((), batch, STORE_SECONDS)
+            outcome = await self._store.transact((), batch, STORE_TIMEOUT_SECONDS)
             if isinstance(outcome, Refused):
                 return outcome
         return None
--- a/src/foxwinch/core/limits/usage.py
+++ b/src/foxwinch/core/limits/usage.py
@@ -13,7 +13,7 @@
 
 from foxwinch._generated.limits_pb2 import UsageDigestMessage
 
-DIGEST_ENTRIES = 64
+MAX_DIGEST_ENTRIES = 64
 """Number of keys in a digest, those with the highest demand. Each takes 5 bytes, so a digest takes
 330 bytes."""
 MAX_DEMAND = 1.0
@@ -83,7 +83,7 @@
     def digest(self) -> UsageDigest:
         """Return the highest demands, quantized."""
         ranked = sorted(self._average.items(), key=lambda item: (-item[1], item[0]))
-        quantized = {key_hash(key): quantize(demand) for key, demand in ranked[:DIGEST_ENTRIES]}
+        quantized = {key_hash(key): quantize(demand) for key, demand in ranked[:MAX_DIGEST_ENTRIES]}
         return UsageDigest({name: demand_of_step(step) for name, step in quantized.items() if step})
 
 
--- a/src/foxwinch/core/membership/digest.py
+++ b/src/foxwinch/core/membership/digest.py
@@ -24,7 +24,7 @@
 
     def differing_buckets(self, other: list[int]) -> list[int]:
         """Return the indices of the buckets whose hashes differ from `other`."""
-        return [index for index, mine in enumerate(self.buckets) if mine != other[index]]
+        return [index for index, bucket in enumerate(self.buckets) if bucket != other[index]]
 
     def keys(self, bucket: int) -> list[str]:
         """Return the keys in one bucket."""
--- a/src/foxwinch/core/membership/engine.py
+++ b/src/foxwinch/core/membership/engine.py
@@ -19,9 +19,9 @@
     SuspectMember,
 )
 from foxwinch.core.membership.entry import (
-    KEY_BYTES,
+    MAX_KEY_BYTES,
+    MAX_PAYLOAD_BYTES,
     OWNED_KINDS,
-    PAYLOAD_BYTES,
     GossipEntry,
     GossipKind,
 )
@@ -103,10 +103,13 @@
 
     def publish(self, entry: GossipEntry, now: float) -> list[Action]:
         """Gossip an entry; raise `ValueError` if it does not fit into a datagram."""
-        if not 0 < len(entry.key.encode()) <= KEY_BYTES or len(entry.payload) > PAYLOAD_BYTES:
+        if (
+            not 0 < len(entry.key.encode()) <= MAX_KEY_BYTES
+            or len(entry.payload) > MAX_PAYLOAD_BYTES
+        ):
             raise ValueError(
                 f"gossip entry {entry.key!r}: payload of {len(entry.payload)} bytes; "
-                f"allowed: {PAYLOAD_BYTES} bytes, and {KEY_BYTES} bytes of key"
+                f"allowed: {MAX_PAYLOAD_BYTES} bytes, and {MAX_KEY_BYTES} bytes of key"
             )
         if entry.owner is None and entry.kind in OWNED_KINDS:
             entry = replace(entry, owner=self.this_member().node)
--- a/src/foxwinch/core/membership/entry.py
+++ b/src/foxwinch/core/membership/entry.py
@@ -25,7 +25,7 @@
     key: str
     version: int
     payload: bytes
-    """Serialized protobuf message of the publishing subsystem, at most `PAYLOAD_BYTES`."""
+    """Serialized protobuf message of the publishing subsystem, at most `MAX_PAYLOAD_BYTES`."""
     owner: NodeId | None = None
     """Node that the entry describes; the entry is dropped once that node has left or died.
 
@@ -40,9 +40,9 @@
 GLOBAL_KINDS = frozenset({GossipKind.MEMBERSHIP, GossipKind.CONFIGURATION})
 OWNED_KINDS = frozenset({GossipKind.SHARD, GossipKind.COORDINATOR, GossipKind.USAGE})
 """Kinds that describe the publishing node; other kinds outlive the node that published them."""
-PAYLOAD_BYTES = 700
+MAX_PAYLOAD_BYTES = 700
 """Largest payload that fits into one datagram together with its key, owner and sender."""
-KEY_BYTES = 120
+MAX_KEY_BYTES = 120
 
 
 def replaces(new: GossipEntry, held: GossipEntry | None) -> bool:
--- a/src/foxwinch/core/membership/parameters.py
+++ b/src/foxwinch/core/membership/parameters.py
@@ -4,7 +4,7 @@
 
 UDP_HEADER_BYTES = 28
 """IPv4 and UDP headers, which count against the byte budget."""
-DATAGRAM_BYTES = 1_200
+MAX_DATAGRAM_BYTES = 1_200
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/foxwinch/core/membership/receiver.py
+++ b/src/foxwinch/core/membership/receiver.py
@@ -22,7 +22,7 @@
 
 MAX_RELAYED_PROBES = 256
 """Maximum number of pending indirect probes relayed for other nodes."""
-JOIN_MEMBERS = 8
+MAX_JOIN_MEMBERS = 8
 """Members sent to a joining node; anti-entropy sends the rest."""
 DIVERGED_FRACTION = 0.25
 """Fraction of differing buckets above which the next anti-entropy round runs early."""
@@ -145,7 +145,7 @@
             return  # the joining node retries
         fields = []
         if local:
-            members = self._rng.sample(self._state.table.present_others(), JOIN_MEMBERS)
+            members = self._rng.sample(self._state.table.present_others(), MAX_JOIN_MEMBERS)
             fields = [self._state.member_field(member.node) or b"" for member in members]
         fields += self._global_fields(range(len(self._state.global_digest.buckets)), now)
         self._sender.send(source, GossipDatagram(join=Join(reply=True)), now, fields)
--- a/src/foxwinch/core/membership/sender.py
+++ b/src/foxwinch/core/membership/sender.py
@@ -7,7 +7,7 @@
 from foxwinch.core.membership.actions import SendDatagram
 from foxwinch.core.membership.entry import GossipKind
 from foxwinch.core.membership.outbox import Outbox
-from foxwinch.core.membership.parameters import DATAGRAM_BYTES, UDP_HEADER_BYTES
+from foxwinch.core.membership.parameters import MAX_DATAGRAM_BYTES, UDP_HEADER_BYTES
 from foxwinch.core.membership.state import GossipState
 from foxwinch.core.membership.wire import sender_field
 from foxwinch.identifiers import PeerAddress
@@ -67,12 +67,12 @@
         parts = [sender_field(self._state.table.this), body.SerializeToString()]
         size = sum(map(len, parts))
         for field in fields:
-            if size + len(field) <= DATAGRAM_BYTES:
+            if size + len(field) <= MAX_DATAGRAM_BYTES:
                 parts.append(field)
                 size += len(field)
         if outbox is not None:
             taken = self._take_updates(
-                outbox, DATAGRAM_BYTES - size, balance - size - UDP_HEADER_BYTES
+                outbox, MAX_DATAGRAM_BYTES - size, balance - size - UDP_HEADER_BYTES
             )
             parts += taken
             size += sum(map(len, taken))
@@ -97,7 +97,7 @@
             if not pending or not self.has_balance(now):
                 return
             size, count = head, 0
-            while count < len(pending) and size + len(pending[count]) <= DATAGRAM_BYTES:
+            while count < len(pending) and size + len(pending[count]) <= MAX_DATAGRAM_BYTES:
                 size += len(pending[count])
                 count += 1
             self.send(address, GossipDatagram(), now, pending[:count])
--- a/src/foxwinch/core/membership/table.py
+++ b/src/foxwinch/core/membership/table.py
@@ -59,9 +59,9 @@
         self._replace(self.this, now)
         return self.this
 
-    def remove_absent_before(self, seconds: float) -> list[Member]:
-        """Drop and return the members that have been absent since before `seconds`."""
-        old = [n for n, since in self._absent_since_seconds.items() if since < seconds]
+    def remove_absent_before(self, cutoff_seconds: float) -> list[Member]:
+        """Drop and return the members that have been absent since before `cutoff_seconds`."""
+        old = [n for n, since in self._absent_since_seconds.items() if since < cutoff_seconds]
         for node in old:
             del self._absent_since_seconds[node]
         self._others = None
--- a/src/foxwinch/core/membership/wire.py
+++ b/src/foxwinch/core/membership/wire.py
@@ -3,9 +3,9 @@
 from google.protobuf.message import DecodeError
 
 from foxwinch._generated.membership_pb2 import GossipDatagram, GossipRecord, MemberRecord
-from foxwinch.core.membership.entry import KEY_BYTES, PAYLOAD_BYTES, GossipEntry, GossipKind
+from foxwinch.core.membership.entry import MAX_KEY_BYTES, MAX_PAYLOAD_BYTES, GossipEntry, GossipKind
 from foxwinch.core.membership.member import Member, MemberState
-from foxwinch.core.membership.parameters import DATAGRAM_BYTES
+from foxwinch.core.membership.parameters import MAX_DATAGRAM_BYTES
 from foxwinch.identifiers import NodeId, PeerAddress, RegionName, ZoneName
 
 _STATES = (
@@ -18,9 +18,9 @@
 _SENDER_TAG = b"\x0a"
 _MEMBERS_TAG = b"\x3a"
 _ENTRIES_TAG = b"\x42"
-NAME_BYTES = 80
+MAX_NAME_BYTES = 80
 """Longest node, zone or region name accepted in a datagram."""
-HIGHEST_NUMBER = 2**63 - 1
+MAX_NUMBER = 2**63 - 1
 """Highest incarnation or version accepted in a datagram."""
 
 
@@ -48,7 +48,7 @@
 
 def parse_datagram(payload: bytes) -> GossipDatagram | None:
     """Return the decoded datagram, or None if it is malformed."""
-    if len(payload) > DATAGRAM_BYTES:
+    if len(payload) > MAX_DATAGRAM_BYTES:
         return None
     try:
         datagram = GossipDatagram.FromString(payload)
@@ -73,9 +73,9 @@
 def read_member(record: MemberRecord) -> Member | None:
     """Return the member, or None if the record is invalid or unknown to this version."""
     names = (record.node, record.zone, record.region, record.host)
-    if not all(0 < len(name) <= NAME_BYTES for name in names):
+    if not all(0 < len(name) <= MAX_NAME_BYTES for name in names):
         return None
-    if not 0 < record.port < 65_536 or record.incarnation > HIGHEST_NUMBER:
+    if not 0 < record.port < 65_536 or record.incarnation > MAX_NUMBER:
         return None
     if not 0 <= record.state < len(_STATES):
         return None
@@ -91,9 +91,9 @@
 
 def read_entry(record: GossipRecord) -> GossipEntry | None:
     """Return the entry, or None if it is too large or its kind is unknown to this version."""
-    if record.kind not in GossipKind._value2member_map_ or record.version > HIGHEST_NUMBER:
+    if record.kind not in GossipKind._value2member_map_ or record.version > MAX_NUMBER:
         return None
-    if not 0 < len(record.key) <= KEY_BYTES or len(record.payload) > PAYLOAD_BYTES:
+    if not 0 < len(record.key) <= MAX_KEY_BYTES or len(record.payload) > MAX_PAYLOAD_BYTES:
         return None
     owner = NodeId(record.owner) if record.owner else None
     return GossipEntry(GossipKind(record.kind), record.key, record.version, record.payload, owner)
--- a/src/foxwinch/emulator/memory_port.py
+++ b/src/foxwinch/emulator/memory_port.py
@@ -8,7 +8,12 @@
 from foxwinch.identifiers import NodeId
 from foxwinch.outcomes import Reason, Refused, not_run, outcome_unknown
 from foxwinch.peer.handlers import HandlerTable
-from foxwinch.peer.limits import CONNECT_SECONDS, DATAGRAM_BYTES, SILENCE_SECONDS, STREAM_CREDIT
+from foxwinch.peer.limits import (
+    CONNECT_TIMEOUT_SECONDS,
+    MAX_DATAGRAM_BYTES,
+    SILENCE_TIMEOUT_SECONDS,
+    STREAM_CREDIT,
+)
 from foxwinch.peer.ports import (
     DatagramHandler,
     PeerAddress,
@@ -78,8 +83,8 @@
 
     def send_datagram(self, address: PeerAddress, payload: bytes) -> None:
         """Send a datagram; raises `ValueError` above the limit, as the UDP side does."""
-        if len(payload) > DATAGRAM_BYTES:
-            raise ValueError(f"datagram of {len(payload)} bytes; allowed: {DATAGRAM_BYTES}")
+        if len(payload) > MAX_DATAGRAM_BYTES:
+            raise ValueError(f"datagram of {len(payload)} bytes; allowed: {MAX_DATAGRAM_BYTES}")
         if self.open:
             self._network.send_datagram(self.address, address, payload)
 
@@ -135,7 +140,7 @@
         if known is not None and known.open:
             return known
         try:
-            async with asyncio.timeout(min(CONNECT_SECONDS, deadline_seconds)):
+            async with asyncio.timeout(min(CONNECT_TIMEOUT_SECONDS, deadline_seconds)):
                 await self._cross(self.address, address)
                 await self._cross(address, self.address)
         except TimeoutError:
@@ -202,7 +207,7 @@
         ends_at_seconds: float,
     ) -> bytes | Refused | None:
         loop = asyncio.get_running_loop()
-        silent_until_seconds = loop.time() + SILENCE_SECONDS
+        silent_until_seconds = loop.time() + SILENCE_TIMEOUT_SECONDS
         while not getting.done():
             until = min(ends_at_seconds, silent_until_seconds)
             await asyncio.wait(
@@ -222,7 +227,7 @@
                 if self._is_silent(target):
                     self._connected.pop(target.address, None)
                     return LOST
-                silent_until_seconds = loop.time() + SILENCE_SECONDS
+                silent_until_seconds = loop.time() + SILENCE_TIMEOUT_SECONDS
         answer: bytes | Refused | None = getting.result()
         return answer
 
--- a/src/foxwinch/peer/connections.py
+++ b/src/foxwinch/peer/connections.py
@@ -4,7 +4,7 @@
 
 from foxwinch.identifiers import NodeId
 from foxwinch.outcomes import Reason, Refused, not_run
-from foxwinch.peer.limits import CONNECT_SECONDS, RECONNECT_PAUSE_SECONDS
+from foxwinch.peer.limits import CONNECT_TIMEOUT_SECONDS, RECONNECT_PAUSE_SECONDS
 from foxwinch.peer.outbound import OutboundConnection
 from foxwinch.peer.ports import PeerAddress
 from foxwinch.peer.tls import PeerTls
@@ -54,7 +54,7 @@
         loop = asyncio.get_running_loop()
         cause = "the protocol versions are incompatible or the peer closed the connection"
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 _, connection = await loop.create_connection(
                     lambda: OutboundConnection(self._node),
                     address.host,
@@ -66,7 +66,7 @@
                     self._add(address, connection)
                     return connection
         except TimeoutError:
-            cause = f"not connected within {CONNECT_SECONDS} s"
+            cause = f"not connected within {CONNECT_TIMEOUT_SECONDS} s"
         except OSError as error:  # includes TLS failures
             cause = error.strerror or type(error).__name__
         finally:
--- a/src/foxwinch/peer/frames.py
+++ b/src/foxwinch/peer/frames.py
@@ -8,7 +8,7 @@
 
 from foxwinch._generated.peer_pb2 import Envelope
 from foxwinch.log import EventLog
-from foxwinch.peer.limits import FRAME_BYTES, HELLO_FRAME_BYTES, WRITE_BUFFER_BYTES
+from foxwinch.peer.limits import MAX_FRAME_BYTES, MAX_HELLO_FRAME_BYTES, WRITE_BUFFER_BYTES
 
 LENGTH_BYTES = 4
 
@@ -61,7 +61,7 @@
 
     def __init__(self) -> None:
         self.log = EventLog("peer")
-        self.decoder = FrameDecoder(HELLO_FRAME_BYTES)
+        self.decoder = FrameDecoder(MAX_HELLO_FRAME_BYTES)
         self.loop = asyncio.get_running_loop()
         self.closed = False
         self.received_at_seconds = self.loop.time()
@@ -101,8 +101,8 @@
         """Process an envelope; raise `FrameError` on a protocol violation."""
 
     def hello_received(self) -> None:
-        """Accept frames up to `FRAME_BYTES` after a valid hello."""
-        self.decoder.limit_bytes = FRAME_BYTES
+        """Accept frames up to `MAX_FRAME_BYTES` after a valid hello."""
+        self.decoder.limit_bytes = MAX_FRAME_BYTES
 
     def pause_writing(self) -> None:
         """Block senders, because the transport's buffer is full."""
--- a/src/foxwinch/peer/inbound.py
+++ b/src/foxwinch/peer/inbound.py
@@ -11,9 +11,9 @@
 from foxwinch.peer.frames import FrameError, FrameProtocol
 from foxwinch.peer.handlers import HandlerTable
 from foxwinch.peer.limits import (
-    HELLO_SECONDS,
-    INBOUND_SILENCE_SECONDS,
-    PENDING_REQUESTS,
+    HELLO_TIMEOUT_SECONDS,
+    INBOUND_IDLE_TIMEOUT_SECONDS,
+    MAX_PENDING_REQUESTS,
     STREAM_CREDIT,
 )
 from foxwinch.peer.ports import PeerContext
@@ -41,13 +41,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait up to `HELLO_SECONDS` for the hello, or abort if there are too many connections."""
+        """Start the hello timeout, or abort if there are too many connections."""
         super().connection_made(transport)
         if not self._on_opened(self):
             self.log.warning("peer_connection_refused", peer=self.remote(), cause="too many")
             self.abort()
             return
-        self._timer = self.loop.call_later(HELLO_SECONDS, self._check_idle)
+        self._timer = self.loop.call_later(HELLO_TIMEOUT_SECONDS, self._check_idle)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the requests that are running for the lost peer."""
@@ -88,7 +88,7 @@
     def _start_request(self, correlation: int, request: PeerRequest) -> None:
         if correlation in self._tasks:
             raise FrameError(f"correlation ID {correlation} is already in use")
-        if len(self._tasks) >= PENDING_REQUESTS:
+        if len(self._tasks) >= MAX_PENDING_REQUESTS:
             refusal = not_run(Reason.OVERLOADED, "too many open requests on this connection", 0.1)
             self.send(envelopes.answer(correlation, refusal, last=True))
             return
@@ -141,8 +141,8 @@
 
     def _check_idle(self) -> None:
         silent_seconds = self.loop.time() - self.received_at_seconds
-        if self._sender is None or silent_seconds > INBOUND_SILENCE_SECONDS:
+        if self._sender is None or silent_seconds > INBOUND_IDLE_TIMEOUT_SECONDS:
             self.log.warning("peer_connection_silent", peer=self.remote(), seconds=silent_seconds)
             self.abort()
             return
-        self._timer = self.loop.call_later(INBOUND_SILENCE_SECONDS, self._check_idle)
+        self._timer = self.loop.call_later(INBOUND_IDLE_TIMEOUT_SECONDS, self._check_idle)
--- a/src/foxwinch/peer/outbound.py
+++ b/src/foxwinch/peer/outbound.py
@@ -9,10 +9,10 @@
 from foxwinch.peer import envelopes
 from foxwinch.peer.frames import FrameError, FrameProtocol
 from foxwinch.peer.limits import (
-    IDLE_SECONDS,
-    PENDING_REQUESTS,
+    IDLE_TIMEOUT_SECONDS,
+    MAX_PENDING_REQUESTS,
     PING_SECONDS,
-    SILENCE_SECONDS,
+    SILENCE_TIMEOUT_SECONDS,
     STREAM_CREDIT,
 )
 
@@ -66,7 +66,7 @@
 
     async def call(self, method: str, payload: bytes, deadline_seconds: float) -> bytes | Refused:
         """Send a request and return its response; the outcome is unknown after the deadline."""
-        if len(self._pending_calls) >= PENDING_REQUESTS or self.is_congested:
+        if len(self._pending_calls) >= MAX_PENDING_REQUESTS or self.is_congested:
             return OVERLOADED
         correlation = self._next_correlation_id()
         future: asyncio.Future[bytes | Refused] = self.loop.create_future()
@@ -88,7 +88,7 @@
         self, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncGenerator[bytes | Refused, None]:
         """Send a request and yield its responses until the end, a refusal or the deadline."""
-        if len(self._pending_streams) >= PENDING_REQUESTS or self.is_congested:
+        if len(self._pending_streams) >= MAX_PENDING_REQUESTS or self.is_congested:
             yield OVERLOADED
             return
         correlation = self._next_correlation_id()
@@ -171,7 +171,7 @@
         now = self.loop.time()
         self._timer = self.loop.call_later(PING_SECONDS, self._check_keepalive)
         if not self._pending_calls and not self._pending_streams:
-            if now - self._last_used_at_seconds > IDLE_SECONDS:
+            if now - self._last_used_at_seconds > IDLE_TIMEOUT_SECONDS:
                 self.close()
             self._pinged_at_seconds = 0.0
             return
@@ -179,6 +179,6 @@
             if now - self.received_at_seconds >= PING_SECONDS:
                 self._pinged_at_seconds = now
                 self.send(envelopes.ping(reply=False))
-        elif now - self._pinged_at_seconds >= SILENCE_SECONDS - PING_SECONDS:
+        elif now - self._pinged_at_seconds >= SILENCE_TIMEOUT_SECONDS - PING_SECONDS:
             self.log.warning("peer_connection_silent", peer=self.remote())
             self.abort()
--- a/src/foxwinch/peer/service.py
+++ b/src/foxwinch/peer/service.py
@@ -10,7 +10,7 @@
 from foxwinch.peer.datagrams import DatagramEndpoint
 from foxwinch.peer.handlers import HandlerTable
 from foxwinch.peer.inbound import InboundConnection
-from foxwinch.peer.limits import INBOUND_CONNECTIONS
+from foxwinch.peer.limits import MAX_INBOUND_CONNECTIONS
 from foxwinch.peer.ports import DatagramHandler, PeerAddress, StreamHandler, UnaryHandler
 from foxwinch.peer.tls import PeerTls, build_peer_tls
 from foxwinch.settings.process import TlsSettings
@@ -137,7 +137,7 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def _on_opened(self, connection: InboundConnection) -> bool:
-        if len(self._inbound) >= INBOUND_CONNECTIONS:
+        if len(self._inbound) >= MAX_INBOUND_CONNECTIONS:
             return False
         self._inbound.add(connection)
         return True
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,10 +10,10 @@
 from foxwinch.bench.fleet.network import NetworkModel
 from foxwinch.bench.fleet.node import HollowNode
 from foxwinch.core.membership.engine import MembershipEngine
-from foxwinch.core.membership.entry import PAYLOAD_BYTES, GossipEntry, GossipKind
+from foxwinch.core.membership.entry import MAX_PAYLOAD_BYTES, GossipEntry, GossipKind
 from foxwinch.core.membership.member import Member, MemberState
 from foxwinch.core.membership.outbox import Outbox
-from foxwinch.core.membership.parameters import DATAGRAM_BYTES, UDP_HEADER_BYTES
+from foxwinch.core.membership.parameters import MAX_DATAGRAM_BYTES, UDP_HEADER_BYTES
 from foxwinch.core.membership.wire import parse_datagram
 from foxwinch.emulator.clock import VirtualClock
 from foxwinch.emulator.network import LinkFaults, MemoryNetwork, addresses
@@ -180,7 +180,7 @@
     sent = [n.engine.counters.bytes_sent - b for n, b in zip(fleet.running(), before, strict=True)]
     parameters = fleet.parameters
     allowed = parameters.budget_bytes_per_second * 30 + parameters.budget_burst_bytes
-    assert max(sent) <= allowed + DATAGRAM_BYTES + UDP_HEADER_BYTES
+    assert max(sent) <= allowed + MAX_DATAGRAM_BYTES + UDP_HEADER_BYTES
     assert (
         min(sent) > 0.8 * parameters.budget_bytes_per_second * 30
     )  # the pending updates use it up
@@ -253,7 +253,7 @@
 def test_oversized_entries_are_rejected() -> None:
     engine = new_engine()
     with pytest.raises(ValueError, match="allowed"):
-        engine.publish(GossipEntry(GossipKind.USAGE, "k", 1, bytes(PAYLOAD_BYTES + 1)), 0.0)
+        engine.publish(GossipEntry(GossipKind.USAGE, "k", 1, bytes(MAX_PAYLOAD_BYTES + 1)), 0.0)
 
 
 @pytest.mark.looptime
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -18,7 +18,7 @@
 from foxwinch.identifiers import NodeId
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.peer.frames import encode_frame
-from foxwinch.peer.limits import DATAGRAM_BYTES, HELLO_FRAME_BYTES
+from foxwinch.peer.limits import MAX_DATAGRAM_BYTES, MAX_HELLO_FRAME_BYTES
 from foxwinch.peer.ports import PeerAddress, PeerContext
 from foxwinch.peer.service import PeerService
 from foxwinch.peer.tls import build_peer_tls
@@ -151,11 +151,11 @@
     async with pair() as (one, other):
         received: list[tuple[PeerAddress, bytes]] = []
         other.handle_datagrams(lambda source, payload: received.append((source, payload)))
-        one.send_datagram(other.address, bytes(DATAGRAM_BYTES))
+        one.send_datagram(other.address, bytes(MAX_DATAGRAM_BYTES))
         await until(lambda: bool(received))
-        assert received == [(one.address, bytes(DATAGRAM_BYTES))]
+        assert received == [(one.address, bytes(MAX_DATAGRAM_BYTES))]
         with pytest.raises(ValueError, match="allowed"):
-            one.send_datagram(other.address, bytes(DATAGRAM_BYTES + 1))
+            one.send_datagram(other.address, bytes(MAX_DATAGRAM_BYTES + 1))
 
 
 HELLO = encode_frame(Envelope(hello=PeerHello(version=1, minimum_version=1, node="x")))
@@ -163,7 +163,7 @@
     "not a hello": encode_frame(Envelope(request=PeerRequest(method="echo"))),
     "hello without a name": encode_frame(Envelope(hello=PeerHello(version=1))),
     "older version": encode_frame(Envelope(hello=PeerHello(version=0, node="x"))),
-    "oversize before the hello": (HELLO_FRAME_BYTES + 1).to_bytes(4, "big"),
+    "oversize before the hello": (MAX_HELLO_FRAME_BYTES + 1).to_bytes(4, "big"),
     "oversize after the hello": HELLO + b"\xff\xff\xff\xff",
     "empty frame": HELLO + bytes(4),
     "no protobuf": HELLO + b"\x00\x00\x00\x03\xff\xff\xff",
