--- a/src/foxwinch/core/membership/receiver.py
+++ b/src/foxwinch/core/membership/receiver.py
@@ -179,7 +179,7 @@
         )
 
     def _request_refutation(self, source: PeerAddress, sender: Member, now: float) -> None:
-        """Send a live member its suspected or dead record, so that it can refute it."""
+        """Send a member that is held as suspected or dead its record, so that it can refute it."""
         fields = self._record_to_refute(sender)
         if fields and self._sender.has_balance(now):
             self._sender.send(source, GossipDatagram(), now, fields)
