--- a/src/foxwinch/configuration/store.py
+++ b/src/foxwinch/configuration/store.py
@@ -1,8 +1,8 @@
-"""The configuration's rows in the shared store, all in one partition.
+"""Rows of the configuration in the shared store, all in one partition.
 
-`head` names the newest revision. `revision/N` holds revision N as the difference from N-1,
-`snapshot/N` now and then the whole document. Bodies too large for a row are in `body/N-TOKEN/I`,
-written before the row that refers to them.
+`head` names the newest revision. `revision/N` holds revision N as a delta from N-1, and
+`snapshot/N`, written at intervals, holds the full document. Bodies too large for a row are stored
+in `body/N-TOKEN/I` before the row that refers to them.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 from foxwinch._generated.configuration_pb2 import ConfigurationChange, ConfigurationHead
 from foxwinch.core.configuration.change import Change, decode, encode
-from foxwinch.core.configuration.document import Unreadable
+from foxwinch.core.configuration.document import InvalidDocument
 from foxwinch.identifiers import Revision
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.records.ports import (
@@ -32,22 +32,23 @@
 SNAPSHOT = "snapshot/"
 BODY = "body/"
 AFTER_SLASH = "0"
-"""The character after a slash: in place of it, it ends the range of keys with a prefix."""
+"""The character after the slash, which replaces it to form the end of a prefix's key range."""
 AFTER_KEY = "\x01"
 ROW_BODY_BYTES = 32 * 1024
-"""Larger bodies are cut into rows of this size; stores commonly bound rows at 64 KiB."""
+"""Larger bodies are split into rows of this size; stores commonly limit rows to 64 KiB."""
 ROWS_PER_TRANSACTION = 8
 SNAPSHOT_REVISIONS = 64
-"""A node that was away reads one whole document and at most so many differences."""
-STORE_SECONDS = 3.0
-"""The store answers in tens of milliseconds; past this it counts as down."""
+"""Interval of snapshots in revisions. A node that is behind reads one full document and at most
+this many deltas."""
+STORE_TIMEOUT_SECONDS = 3.0
+"""Timeout of a store operation; the store normally responds in tens of milliseconds."""
 KEPT_REVISIONS = 512
-"""Revisions kept in the store; a lost answer can be settled by its token for so long."""
+"""Number of revisions kept in the store, for which a lost response can be resolved by its token."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredHead:
-    """The head row; revision 0 stands for a store without a configuration."""
+    """The head row; revision 0 means that the store holds no configuration."""
 
     revision: Revision
     snapshot: Revision
@@ -55,14 +56,13 @@
 
 
 class ConfigurationStore:
-    """Reads and writes the rows; every failure is a `Refused`."""
+    """Reads and writes the configuration rows; every failure is returned as a `Refused`."""
 
     def __init__(self, store: RecordStore) -> None:
-        """Keep the rows in `store`."""
         self._store = store
 
     async def head(self) -> StoredHead | Refused:
-        """Read the head."""
+        """Read the head row."""
         row = await self._read(HEAD_KEY)
         if isinstance(row, Refused):
             return row
@@ -75,8 +75,8 @@
             Revision(message.revision), Revision(message.snapshot_revision), row.version
         )
 
-    async def token_of(self, revision: Revision) -> str | Refused | None:
-        """Read the token of the change that made a revision; None when the row is gone."""
+    async def read_token(self, revision: Revision) -> str | Refused | None:
+        """Read the token of the change that created a revision; return None if its row is gone."""
         row = await self._read(_revision_key(revision))
         if isinstance(row, Refused):
             return row
@@ -86,7 +86,7 @@
         return message if isinstance(message, Refused) else message.token
 
     async def changes_after(self, held: Revision, head: StoredHead) -> list[Change] | Refused:
-        """Read what brings a node from `held` to the head: whole first where that is nearer."""
+        """Read the changes from `held` to the head, starting with a snapshot that is newer."""
         changes: list[Change] = []
         start = held
         if held < head.snapshot:
@@ -94,33 +94,33 @@
             if isinstance(row, Refused):
                 return row
             if row is None or row.value is None:
-                return _damaged(f"snapshot {head.snapshot} is missing")
-            snapshot = await self._change_of(row.value)
+                return _corrupted(f"snapshot {head.snapshot} is missing")
+            snapshot = await self._decode_change(row.value)
             if isinstance(snapshot, Refused):
                 return snapshot
             changes.append(snapshot)
             start = head.snapshot
-        read = await self._range(_revision_key(Revision(start + 1)), _end_of(REVISION))
+        read = await self._range(_revision_key(Revision(start + 1)), _range_end(REVISION))
         if isinstance(read, Refused):
             return read
         for found in read.rows:
-            change = await self._change_of(found.value or b"")
+            change = await self._decode_change(found.value or b"")
             if isinstance(change, Refused):
                 return change
             changes.append(change)
         return changes
 
     async def commit(
-        self, change: Change, whole: Change | None, head: StoredHead
+        self, change: Change, full_change: Change | None, head: StoredHead
     ) -> Written | Conflict | Refused:
-        """Make `change` the head if the head is still `head`; `whole` also makes a snapshot."""
+        """Commit `change` if the head is still `head`; `full_change` is stored as a snapshot."""
         revision_row = await self._store_body(change)
         if isinstance(revision_row, Refused):
             return revision_row
         writes = [_put(_revision_key(change.revision), revision_row.SerializeToString())]
         snapshot = head.snapshot
-        if whole is not None:
-            snapshot_row = await self._store_body(whole)
+        if full_change is not None:
+            snapshot_row = await self._store_body(full_change)
             if isinstance(snapshot_row, Refused):
                 return snapshot_row
             snapshot = change.revision
@@ -130,10 +130,10 @@
         )
         writes.append(_put(HEAD_KEY, new_head.SerializeToString()))
         condition = RowCondition(_row(HEAD_KEY), head.row_version)
-        return await self._store.transact((condition,), tuple(writes), STORE_SECONDS)
+        return await self._store.transact((condition,), tuple(writes), STORE_TIMEOUT_SECONDS)
 
     async def prune(self, head: Revision) -> Refused | None:
-        """Delete rows that nobody needs: older than the kept revisions."""
+        """Delete the rows of revisions older than the `KEPT_REVISIONS` newest ones."""
         oldest = max(head - KEPT_REVISIONS, 0)
         for section in (REVISION, SNAPSHOT, BODY):
             read = await self._range(section, f"{section}{oldest:012d}")
@@ -145,22 +145,24 @@
         return None
 
     async def _store_body(self, change: Change) -> ConfigurationChange | Refused:
-        """Write a large body in rows of its own; return the row that refers to them."""
+        """Write a large body to separate rows and return the row that refers to them."""
         message = encode(change)
-        part = _part(message)
+        body_kind = _body_kind(message)
         body = message.body
         if len(body) <= ROW_BODY_BYTES:
             return message
-        pieces = [body[i : i + ROW_BODY_BYTES] for i in range(0, len(body), ROW_BODY_BYTES)]
-        writes = [_put(_body_key(change, part, index), piece) for index, piece in enumerate(pieces)]
+        chunks = [body[i : i + ROW_BODY_BYTES] for i in range(0, len(body), ROW_BODY_BYTES)]
+        writes = [
+            _put(_body_key(change, body_kind, index), chunk) for index, chunk in enumerate(chunks)
+        ]
         refused = await self._transact(writes)
         if refused is not None:
             return not_run(refused.reason, refused.detail, refused.retry_after_seconds)
         message.body = b""
-        message.chunk_count = len(pieces)
+        message.chunk_count = len(chunks)
         return message
 
-    async def _change_of(self, value: bytes) -> Change | Refused:
+    async def _decode_change(self, value: bytes) -> Change | Refused:
         message = _parse_change(value)
         if isinstance(message, Refused):
             return message
@@ -170,17 +172,19 @@
                 return body
             message.body = body
         change = decode(message)
-        return _damaged(change.problem) if isinstance(change, Unreadable) else change
+        return _corrupted(change.problem) if isinstance(change, InvalidDocument) else change
 
     async def _read_body(self, message: ConfigurationChange) -> bytes | Refused:
-        prefix = _body_prefix(Revision(message.revision), message.token, _part(message))
-        read = await self._range(prefix, _end_of(prefix))
+        prefix = _body_prefix(Revision(message.revision), message.token, _body_kind(message))
+        read = await self._range(prefix, _range_end(prefix))
         if isinstance(read, Refused):
             return read
-        pieces = [row.value or b"" for row in read.rows]
-        if len(pieces) != message.chunk_count:
-            return _damaged(f"revision {message.revision} lacks rows of its body")
-        return b"".join(pieces)
+        chunks = [row.value or b"" for row in read.rows]
+        if len(chunks) != message.chunk_count:
+            return _corrupted(
+                f"revision {message.revision} has {len(chunks)} of {message.chunk_count} body rows"
+            )
+        return b"".join(chunks)
 
     async def _read(self, key: str) -> StoredRow | Refused | None:
         read = await self._range(key, key + AFTER_KEY)
@@ -189,13 +193,13 @@
         return read.rows[0] if read.rows else None
 
     async def _range(self, first: str, end: str) -> RowsRead | Refused:
-        return await self._store.read(_row(first), end, STORE_SECONDS)
+        return await self._store.read(_row(first), end, STORE_TIMEOUT_SECONDS)
 
     async def _transact(self, writes: list[RowWrite]) -> Refused | None:
-        """Write rows that nobody changes at the same time."""
+        """Write rows that have no concurrent writers, in several transactions."""
         for index in range(0, len(writes), ROWS_PER_TRANSACTION):
             batch = tuple(writes[index : index + ROWS_PER_TRANSACTION])
-            outcome = await self._store.transact((), batch, STORE_SECONDS)
+            outcome = await self._store.transact((), batch, STORE_TIMEOUT_SECONDS)
             if isinstance(outcome, Refused):
                 return outcome
         return None
@@ -209,7 +213,7 @@
     return RowWrite(_row(key), value)
 
 
-def _end_of(prefix: str) -> str:
+def _range_end(prefix: str) -> str:
     return prefix[:-1] + AFTER_SLASH
 
 
@@ -221,31 +225,31 @@
     return f"{SNAPSHOT}{revision:012d}"
 
 
-def _body_prefix(revision: Revision, token: str, part: str) -> str:
-    return f"{BODY}{revision:012d}-{token}-{part}/"
+def _body_prefix(revision: Revision, token: str, body_kind: str) -> str:
+    return f"{BODY}{revision:012d}-{token}-{body_kind}/"
 
 
-def _part(message: ConfigurationChange) -> str:
+def _body_kind(message: ConfigurationChange) -> str:
     return "delta" if message.base_revision else "whole"
 
 
-def _body_key(change: Change, part: str, index: int) -> str:
-    return f"{_body_prefix(change.revision, change.token, part)}{index:06d}"
+def _body_key(change: Change, body_kind: str, index: int) -> str:
+    return f"{_body_prefix(change.revision, change.token, body_kind)}{index:06d}"
 
 
 def _parse_head(value: bytes) -> ConfigurationHead | Refused:
     try:
         return ConfigurationHead.FromString(value)
     except DecodeError as error:
-        return _damaged(f"head: {error}")
+        return _corrupted(f"head: {error}")
 
 
 def _parse_change(value: bytes) -> ConfigurationChange | Refused:
     try:
         return ConfigurationChange.FromString(value)
     except DecodeError as error:
-        return _damaged(f"revision: {error}")
+        return _corrupted(f"revision: {error}")
 
 
-def _damaged(detail: str) -> Refused:
+def _corrupted(detail: str) -> Refused:
     return Refused(Reason.INTERNAL, RunState.NOT_RUN, f"configuration in the store: {detail}")
--- a/src/foxwinch/core/membership/outbox.py
+++ b/src/foxwinch/core/membership/outbox.py
@@ -1,10 +1,10 @@
-"""News that a node passes on a few times, the most important first."""
+"""Queue of gossip updates, each retransmitted a limited number of times."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
-class _News:
+class _Update:
     rank: int
     sent: int
     transmissions: int
@@ -13,50 +13,49 @@
 
 
 class Outbox:
-    """Items waiting to be piggybacked; each leaves after its number of transmissions."""
+    """Updates waiting to be piggybacked; each is removed after its number of transmissions."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        self.enough = 1_000
-        """Transmissions after which any item leaves: the number of receivers there are."""
-        self._news: dict[str, _News] = {}
-        self._offered = 0
+        self.max_transmissions = 1_000
+        """Upper bound on the transmissions of any update: the number of possible receivers."""
+        self._updates: dict[str, _Update] = {}
+        self._sequence = 0
 
     def __len__(self) -> int:
-        """Return the number of items waiting."""
-        return len(self._news)
+        """Return the number of queued updates."""
+        return len(self._updates)
 
     def offer(self, key: str, rank: int, field: bytes, transmissions: int) -> None:
-        """Wait with `field`, in place of an older item under the same key."""
-        self._offered += 1
-        self._news[key] = _News(rank, 0, transmissions, field, self._offered)
+        """Queue `field`, replacing an older update under the same key."""
+        self._sequence += 1
+        self._updates[key] = _Update(rank, 0, transmissions, field, self._sequence)
 
     def drop(self, key: str) -> None:
-        """Forget an item."""
-        self._news.pop(key, None)
+        """Remove the update under `key`, if any."""
+        self._updates.pop(key, None)
 
-    def urgent(self, highest_rank: int) -> bool:
-        """Tell whether an item of at most that rank waits."""
-        return any(news.rank <= highest_rank for news in self._news.values())
+    def has_urgent(self, highest_rank: int) -> bool:
+        """Return whether an update of at most `highest_rank` is queued."""
+        return any(update.rank <= highest_rank for update in self._updates.values())
 
     def take(self, room_bytes: float, highest_rank: int) -> list[bytes]:
-        """Return fields that fit the room: lowest rank first, then least often sent."""
-        if not self._news or room_bytes <= 0:
+        """Return the fields that fit into `room_bytes`, by rank and then by times sent."""
+        if not self._updates or room_bytes <= 0:
             return []
         taken = []
-        for key, news in sorted(self._news.items(), key=_precedence):
-            if news.rank > highest_rank:
+        for key, update in sorted(self._updates.items(), key=_sort_key):
+            if update.rank > highest_rank:
                 break
-            if len(news.field) > room_bytes:
+            if len(update.field) > room_bytes:
                 continue
-            room_bytes -= len(news.field)
-            taken.append(news.field)
-            news.sent += 1
-            if news.sent >= min(news.transmissions, self.enough):
-                del self._news[key]
+            room_bytes -= len(update.field)
+            taken.append(update.field)
+            update.sent += 1
+            if update.sent >= min(update.transmissions, self.max_transmissions):
+                del self._updates[key]
         return taken
 
 
-def _precedence(item: tuple[str, _News]) -> tuple[int, int, int]:
-    news = item[1]
-    return news.rank, news.sent, news.order
+def _sort_key(item: tuple[str, _Update]) -> tuple[int, int, int]:
+    update = item[1]
+    return update.rank, update.sent, update.order
