--- a/src/foxwinch/commands/__init__.py
+++ b/src/foxwinch/commands/__init__.py
@@ -1,1 +1,1 @@
-"""What changes state: one module for each command."""
+"""Commands that change state, one module for each."""
--- a/src/foxwinch/commands/abandon_program.py
+++ b/src/foxwinch/commands/abandon_program.py
@@ -1,4 +1,4 @@
-"""An operator abandons a program that this node serves."""
+"""Abandon a program that this node serves, at the request of an operator."""
 
 from foxwinch.commands.end_program import end_program
 from foxwinch.commands.held_family import HeldFamily
@@ -16,11 +16,11 @@
     """Implements `foxwinch.commands.operator.ProgramAbandons`."""
 
     def __init__(self, owner: ProgramOwner) -> None:
-        """Abandon programs of the owner's families."""
+        """Abandon programs of the families that `owner` serves."""
         self._owner = owner
 
     async def abandon(self, program_id: ProgramId) -> Accepted | Refused:
-        """Cancel the program's calls, end its child programs and release its engine memory."""
+        """Cancel the program's calls, end its child programs and release its engine cache."""
         held = await self._owner.locate(root_of(program_id))
         if isinstance(held, Refused):
             return held
--- a/src/foxwinch/commands/adopt.py
+++ b/src/foxwinch/commands/adopt.py
@@ -1,7 +1,8 @@
-"""Takes over the programs of nodes that are gone, when nobody else asks for them.
+"""Take over the programs of failed nodes that receive no further requests.
 
-Without it a program whose node has died would never be found idle, and its engine memory would stay
-held. Every partition of the store is looked over by one node: the live member that ranks first.
+Otherwise a program whose node has failed would never expire, and its engine cache would never be
+released. Each store partition is scanned by one node: the alive member with the highest rendezvous
+hash.
 """
 
 from collections.abc import Sequence
@@ -18,16 +19,16 @@
 from foxwinch.records.partitions import PARTITIONS, partition_name
 
 LOOK_SECONDS = 60.0
-"""Every partition is read once in so long: at the design size some 3 KB/s a node."""
+"""Interval in which each partition is read once; about 3 KB/s per node at the design size."""
 PRESENT = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 log = EventLog("programs")
 
 
 class FamilyAdoption(PeriodicWork):
-    """Looks for families of nodes that are gone."""
+    """Scans for families of nodes that are no longer members."""
 
     def __init__(self, owner: ProgramOwner, membership: MembershipView) -> None:
-        """Take families over into `owner`."""
+        """Take families over on behalf of `owner`."""
         super().__init__(owner)
         self._membership = membership
 
--- a/src/foxwinch/commands/apply_configuration.py
+++ b/src/foxwinch/commands/apply_configuration.py
@@ -32,32 +32,32 @@
 from foxwinch.settings.cluster import ClusterConfiguration
 
 ATTEMPTS = 5
-"""With the waits below, an operator has an answer within about 20 s of a store that is down."""
+"""With the backoff below, an operator gets an answer within about 20 s while the store is down."""
 ATTEMPT_BACKOFF = Backoff(base_seconds=0.2, cap_seconds=2.0)
 TOKEN_PATTERN = re.compile(r"[A-Za-z0-9-]{8,64}")
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyConfiguration:
-    """An operator's change: a whole document in place of revision `expected`."""
+    """A request to replace revision `expected` of the configuration with a whole document."""
 
     token: str
-    """Chosen by the operator's client; sending a change again under it applies it once."""
+    """Idempotency token chosen by the operator's client."""
     expected: Revision
-    """The revision that the operator read; 0 proposes the first document."""
+    """The revision that the operator read; 0 for the first document."""
     document: ClusterConfiguration
     repeated: bool = False
-    """True when the token was sent before: then nothing short of proof is called not run."""
+    """True for a token that was sent before; `not_run` is then reported only if it is proven."""
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyPorts:
-    """What applying a change needs of the node."""
+    """The dependencies of `apply_configuration`."""
 
     clock: Clock
     store: ConfigurationStore
     load: Callable[[StoredHead], Awaitable[HeldConfiguration | Refused | None]]
-    """Bring the node to the head and return what it holds; None when the table holds nothing."""
+    """Bring the node up to the head; returns its configuration, or None when the table is empty."""
 
 
 @dataclass(slots=True)
@@ -69,10 +69,10 @@
 async def apply_configuration(
     ports: ApplyPorts, command: ApplyConfiguration
 ) -> tuple[ChangeAccepted, Change | None] | Refused:
-    """Accept a change, or refuse it truthfully.
+    """Commit a change by compare-and-set on the expected revision.
 
-    `CONFLICT` names the newer revision; `UNKNOWN` says that the same token must be sent again to
-    learn what became of the change. The second value is the change when this run made it.
+    `CONFLICT` names the newer revision. With run state `UNKNOWN`, the caller must send the same
+    token again to learn the outcome. The second value is the change if this invocation made it.
     """
     state = _check(command)
     if isinstance(state, Refused):
@@ -92,7 +92,7 @@
         await ports.clock.sleep(max(wait, min(outcome.retry_after_seconds or 0.0, 2.0)))
     assert failure is not None
     if progress.may_have_run:
-        detail = "the table did not say whether the change was accepted; send the token again"
+        detail = "the store did not confirm whether the change was accepted; resend the same token"
         return outcome_unknown(Reason.STORE_UNAVAILABLE, detail)
     return not_run(Reason.STORE_UNAVAILABLE, failure.detail, failure.retry_after_seconds or 5.0)
 
@@ -122,7 +122,7 @@
     if isinstance(base, Refused):
         return base
     if (base.revision if base else 0) != command.expected:
-        return not_run(Reason.CONFLICT, "the node does not hold the revision to build on", 0.1)
+        return not_run(Reason.CONFLICT, "the node does not have the expected base revision", 0.1)
     change = _change(command, state, base)
     if isinstance(change, (ChangeAccepted, Refused)):
         return change
@@ -146,9 +146,10 @@
     if isinstance(outcome, Written):
         return ChangeAccepted(change.revision)
     if not isinstance(outcome, Refused):
-        # A call that was delivered twice conflicts with itself: only the head's token tells.
+        # A write that was delivered twice conflicts with itself; the head's token shows which
+        # change was committed.
         progress.may_have_run = True
-        return not_run(Reason.CONFLICT, "the head has moved on", 0.0)
+        return not_run(Reason.CONFLICT, "a newer revision was committed concurrently", 0.0)
     progress.may_have_run |= outcome.run_state is not RunState.NOT_RUN
     return outcome
 
@@ -172,7 +173,7 @@
 async def _settled(
     ports: ApplyPorts, command: ApplyConfiguration, head: StoredHead, progress: _Progress
 ) -> ChangeAccepted | ChangeRejected | Refused:
-    """The revision is taken: by this very change, or by another one."""
+    """Determine whether the target revision was committed by this change or by another one."""
     target = Revision(command.expected + 1)
     token = await ports.store.token_of(target)
     if isinstance(token, Refused):
@@ -181,7 +182,7 @@
     if isinstance(outcome, (ChangeAccepted, ChangeRejected)):
         return outcome
     if progress.may_have_run:
-        detail = f"the row of revision {target} is no longer kept"
+        detail = f"the row of revision {target} is no longer stored"
         return outcome_unknown(Reason.OUTCOME_UNKNOWN, detail)
     return ChangeRejected(head.revision)
 
--- a/src/foxwinch/commands/attempts.py
+++ b/src/foxwinch/commands/attempts.py
@@ -1,15 +1,15 @@
-"""What several attempts of one call say together."""
+"""Combine the run states of several attempts of one call."""
 
 from foxwinch.outcomes import Reason, Refused, RunState
 
 CERTAINTY = (RunState.NOT_RUN, RunState.UNKNOWN, RunState.RAN)
-"""From no effect to a certain one: the furthest of all attempts is true of the call."""
+"""Run states in rising order; a call has the highest run state of its attempts."""
 
 
 def with_earlier(end: Refused, earlier: Refused | None) -> Refused:
-    """Return the last refusal with a run state that is true of all attempts.
+    """Return the last refusal with the highest run state of all attempts.
 
-    A call of which one attempt may have run is never told to be `not_run`.
+    If any attempt may have run, the call is never reported as `not_run`.
     """
     if earlier is None or CERTAINTY.index(end.run_state) >= CERTAINTY.index(earlier.run_state):
         return end
@@ -17,9 +17,9 @@
 
 
 def before_first(rerun: bool) -> Refused | None:
-    """Return what is known before this owner's first attempt.
+    """Return the outcome of attempts before this owner's first one, or None if there were none.
 
-    A call that an earlier owner has admitted may have run there, whatever becomes of it here.
+    A call that an earlier owner admitted may have run there, regardless of its outcome here.
     """
     if not rerun:
         return None
--- a/src/foxwinch/commands/call_lifecycle.py
+++ b/src/foxwinch/commands/call_lifecycle.py
@@ -1,7 +1,7 @@
-"""What every call goes through: turn, start, intent, outcome.
+"""The steps common to all calls: turn, start, intent, outcome.
 
-The intent is committed before anything is dispatched and the outcome before the caller is told
-the end. A call that is refused before its intent leaves no trace in the journal.
+The intent is committed before anything is dispatched, and the outcome before the caller receives
+the final event. A call that is refused before its intent is not recorded in the journal.
 """
 
 import asyncio
@@ -30,12 +30,12 @@
     RunState.UNKNOWN: CallOutcome.FAILED_UNKNOWN,
 }
 RETRY_UNCOMMITTED_SECONDS = 1.0
-"""When a caller whose outcome could not be committed in time should ask again."""
+"""Retry-After for a caller whose outcome was not committed in time."""
 
 
 @dataclass(slots=True)
 class CallLifecycle:
-    """Takes one call from its arrival to its committed end."""
+    """Takes one call from its arrival to its committed outcome."""
 
     ports: ProgramPorts
     family: HeldFamily
@@ -69,14 +69,15 @@
         return started.admitted
 
     def refuse(self, refused: Refused) -> None:
-        """End a call whose intent was never sent to the journal."""
+        """End a call whose intent has not been sent to the journal."""
         self.family.table.withdraw(self.program, self.running.call_id)
         self.running.end(refused)
 
     async def commit_intent(self, following: list[JournalRecord] | None = None) -> bool:
-        """Commit the intent, with the program's creation where that is still open.
+        """Commit the intent, along with the program's creation if that is uncommitted.
 
-        `following` is committed with it. On False the call has ended and nothing was dispatched.
+        `following` is committed in the same batch. Returns False if the call has ended instead;
+        nothing was dispatched in that case.
         """
         assert self.admitted is not None
         creation = self.family.uncommitted.get(self.program.program_id)
@@ -95,18 +96,18 @@
         return False
 
     async def _cancel_intent(self, records: list[JournalRecord], refused: Refused) -> None:
-        """Note that nothing was dispatched, since the intent may be in the journal."""
+        """Record that nothing was dispatched, because the intent may be in the journal."""
         self.running.end(not_run(refused.reason, refused.detail, refused.retry_after_seconds))
         outcome = self.failed(not_run(refused.reason, refused.detail), Amount())
         records = [*records, *self._closing_records(outcome)]
         await self.family.commit_until_done(records, lambda _: None)
 
     def step(self, state: CallState) -> None:
-        """Note a step of the call."""
+        """Set the state of the call."""
         self.family.table.step(self.program, self.running.call_id, state)
 
     async def commit_outcome(self, outcome: CallOutcome, final: FinalEvent) -> None:
-        """Commit the outcome, then tell the end."""
+        """Commit the outcome, then send the final event to the followers."""
         self.step(CallState.COMMITTING)
         outcome.finished_at_seconds = self.ports.clock.wall()
         done = await self.family.commit_until_done(
@@ -125,7 +126,7 @@
                 self.ports.grants.finish(self.program.program_id)
 
     def forgive_cancellation(self) -> None:
-        """Let the task go on after `RunningCall.cancel` cut its wait."""
+        """Clear the task's cancellation after `RunningCall.cancel` interrupted a wait."""
         task = asyncio.current_task()
         if task is not None and task.cancelling():
             task.uncancel()
@@ -142,7 +143,7 @@
         )
 
     def close(self) -> None:
-        """Let the program's next call go; runs when the call's task ends, however it ends."""
+        """Remove the call and start the program's next one; runs whenever the call's task ends."""
         family, program = self.family, self.program
         family.running.pop(self.running.call_id, None)
         if family.lost:
@@ -171,7 +172,7 @@
             Refused(
                 refused.reason,
                 RunState.UNKNOWN,
-                "the call has ended but its outcome is not committed: " + refused.detail,
+                "the call has ended but its outcome is not committed yet: " + refused.detail,
                 RETRY_UNCOMMITTED_SECONDS,
             )
         )
--- a/src/foxwinch/commands/call_retries.py
+++ b/src/foxwinch/commands/call_retries.py
@@ -1,7 +1,7 @@
-"""Whether a model call is dispatched to a back end, and whether and when it is dispatched again.
+"""Circuit breakers and retry budgets for the model calls of one node.
 
-One object serves all calls of a node: a circuit for each back end and a budget of repeats for each
-tenant at a back end. A call that is not repeated keeps the run state of what was tried.
+There is one circuit breaker per backend and one retry budget per tenant and backend. A call that
+is not retried keeps the run state of its last attempt.
 """
 
 from collections.abc import Callable
@@ -19,39 +19,39 @@
 
 BACKOFF = Backoff(base_seconds=0.1, cap_seconds=2.0)
 RETRY_AFTER_SECONDS = 1.0
-"""When a caller may come back that was refused because the budget of repeats is spent."""
+"""Retry-After for a call that was refused because the retry budget is exhausted."""
 CIRCUITS_MAXIMUM = 4_096
-"""Above the workers of the largest document."""
+"""Greater than the number of workers in the largest configuration."""
 BACKEND_REASONS = frozenset({Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED})
-"""The back end did not do its work: counted by its circuit and paid for by the budget."""
+"""Failures of the backend: they count in its circuit breaker, and retries draw on the budget."""
 UNSETTLED_REASONS = frozenset({Reason.CANCELLED, Reason.BUDGET_EXHAUSTED})
-"""The call was cut from this side, which says nothing of the back end."""
+"""Ends that this node caused and that are no evidence about the backend's health."""
 
 
 class CallRetries:
-    """Circuits and budgets of one node; times are seconds on the monotonic clock."""
+    """Circuit breakers and retry budgets of one node; times are monotonic seconds."""
 
     def __init__(self, registry: CollectorRegistry | None = None) -> None:
-        """Start with closed circuits and full budgets; metrics go to `registry`."""
+        """Start with closed circuits and full budgets; register the metrics with `registry`."""
         self._budget = RetryBudget()
         self._circuits: LRUCache[WorkerId, Circuit] = LRUCache(CIRCUITS_MAXIMUM)
         self._retries = Counter(
-            "foxwinch_call_retries", "Repeated dispatches of model calls", registry=registry
+            "foxwinch_call_retries", "Model call dispatches that were retries", registry=registry
         )
         self._refusals = Counter(
             "foxwinch_call_retry_refusals",
-            "Dispatches of model calls that were not tried",
+            "Model call dispatches that were refused by a circuit breaker or a retry budget",
             ["cause"],
             registry=registry,
         )
 
     def refuse_dispatch(self, worker: WorkerId, now: float) -> Refused | None:
-        """Return why nothing may be sent to a back end now; None lets one call pass."""
+        """Return a refusal if the worker's circuit is open; None admits one call."""
         circuit = self._circuit(worker)
         if circuit.try_call(now):
             return None
         self._refusals.labels("circuit_open").inc()
-        detail = f"worker {worker} has failed too often and is left alone for a moment"
+        detail = f"the circuit breaker of worker {worker} is open after repeated failures"
         wait = circuit.wait_seconds(now)
         return not_run(Reason.BACKEND_UNAVAILABLE, detail, wait)
 
@@ -62,7 +62,7 @@
         now: float,
         uniform: Callable[[], float],
     ) -> None:
-        """Tell the back end's circuit how a dispatch ended; `uniform` draws from 0 up to 1."""
+        """Record the end of a dispatch in the worker's circuit; `uniform` draws from [0, 1)."""
         circuit = self._circuit(worker)
         if isinstance(end, GenerateFinished):
             circuit.succeeded(now)
@@ -72,14 +72,14 @@
             circuit.succeeded(now)
 
     def first_attempt(self, tenant: TenantName, worker: WorkerId) -> None:
-        """Count a first attempt, of which a part may be repeated."""
+        """Add a first attempt to the retry budget, which allows a fraction of them as retries."""
         self._budget.first_attempt(RetryKey(tenant, worker))
 
     def may_repeat(self, tenant: TenantName, worker: WorkerId, end: Refused, sent: bool) -> bool:
-        """Tell whether a call may be dispatched again after `end` at a back end.
+        """Return whether a call may be retried after it ended with `end` at a worker.
 
-        Repeats that no back end has caused cost nothing: after a change of the steward, and when
-        nothing was sent because of an open circuit.
+        Retries that no backend failure caused are free: those after a change of the steward, and
+        those after an open circuit, where nothing was sent.
         """
         paid = sent and end.reason in BACKEND_REASONS
         if paid and not self._budget.try_repeat(RetryKey(tenant, worker)):
@@ -100,6 +100,6 @@
 
 
 def come_back(refused: Refused) -> Refused:
-    """Return the refusal of a call that is not repeated, with a time to come back."""
+    """Return the refusal with a Retry-After, for a call that is not retried."""
     retry = refused.retry_after_seconds or RETRY_AFTER_SECONDS
     return replace(refused, retry_after_seconds=retry)
--- a/src/foxwinch/commands/drain_worker.py
+++ b/src/foxwinch/commands/drain_worker.py
@@ -1,4 +1,4 @@
-"""Drain a worker, or take it back: no new work for it, what runs on it ends."""
+"""Drain a worker, or return it to service: it gets no new work, and running calls finish."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainWorker:
-    """An operator wants a worker empty (`draining`), or working again."""
+    """A request to drain a worker, or to return it to service when `draining` is false."""
 
     worker: WorkerId
     draining: bool = True
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerDrainAccepted:
-    """The order spreads by gossip; the worker's steward acts on it within seconds."""
+    """The drain state was published by gossip; the worker's steward applies it within seconds."""
 
     worker: WorkerId
     draining: bool
@@ -28,7 +28,7 @@
 def drain_worker(
     configuration: ConfigurationView, gossip: GossipView, command: DrainWorker
 ) -> WorkerDrainAccepted | Refused:
-    """Spread the order; `NOT_FOUND` for a worker outside the configuration."""
+    """Publish the drain state; `NOT_FOUND` for a worker that is not in the configuration."""
     snapshot = configuration.current()
     if isinstance(snapshot, Refused):
         return snapshot
--- a/src/foxwinch/commands/end_program.py
+++ b/src/foxwinch/commands/end_program.py
@@ -1,4 +1,4 @@
-"""Finish or abandon a program: its calls end, its child programs go, its engine memory is freed."""
+"""Finish or abandon a program: end its calls and child programs, and release its engine cache."""
 
 import asyncio
 
@@ -16,10 +16,10 @@
 async def end_program(
     ports: ProgramPorts, held: HeldFamily, program: Program, abandoned: bool, reason: str
 ) -> Refused | None:
-    """End a program; None when it has ended (or had before).
+    """End a program; returns None once it has ended, or if it had ended before.
 
-    Finishing waits for nothing: while calls wait or run it is a `CONFLICT`. Abandoning cancels
-    them; a tool call that is running is waited for, since it may take effect.
+    Finishing does not wait: it is a `CONFLICT` while calls wait or run. Abandoning cancels the
+    calls, but waits for a running tool call, which may take effect.
     """
     if program.finished is not None:
         return None
--- a/src/foxwinch/commands/execute.py
+++ b/src/foxwinch/commands/execute.py
@@ -1,4 +1,4 @@
-"""Carry out requests on programs that this node owns."""
+"""Execute requests on programs that this node serves."""
 
 import hashlib
 from collections.abc import AsyncIterator
@@ -33,32 +33,32 @@
 from foxwinch.settings.cluster import ClusterConfiguration, TemplateSettings
 
 MAXIMUM_WAITING_CALLS = 64
-"""Calls of one program that may wait for their turn."""
+"""Limit on queued calls per program."""
 WAITING_RETRY_SECONDS = 1.0
 NOT_FOUND = not_run(Reason.NOT_FOUND, "the program is not known")
 CALL_NOT_FOUND = not_run(Reason.NOT_FOUND, "the call is not known")
 LEAVING = not_run(
-    Reason.DRAINING, "the program's node is about to stop; another one takes over", 0.5
+    Reason.DRAINING, "the node that serves the program is draining; another one takes over", 0.5
 )
 CALL_UNSETTLED = Refused(
     Reason.NOT_OWNER,
     RunState.UNKNOWN,
-    "the program has changed hands and what became of the call is not settled yet",
+    "the program has moved to another node and the outcome of the call is not known yet",
     retry_after_seconds=1.0,
 )
-"""The call is known and its driver has ended: its outcome may be committed already."""
+"""For a known call whose driver has ended: its outcome may have been committed elsewhere."""
 
 
 class ProgramExecutor:
-    """Carries out requests on the programs of families served here."""
+    """Executes requests on programs whose families this node serves."""
 
     def __init__(self, owner: ProgramOwner) -> None:
-        """Use the owner's ports."""
+        """Execute with the ports of `owner`."""
         self._owner = owner
         self._ports = owner.ports
 
     def execute(self, held: HeldFamily, request: ProgramRequest) -> AsyncIterator[ProgramEvent]:
-        """Start a request and iterate over its events."""
+        """Execute a request and iterate over its events."""
         match request:
             case ModelCallRequest():
                 return self._model_call(held, request)
@@ -76,7 +76,7 @@
                 return self._read(held, request)
 
     async def _read(self, held: HeldFamily, request: HistoryRequest) -> AsyncIterator[ProgramEvent]:
-        """Read a program once it is certain that no other node has taken it over."""
+        """Read a program after confirming that no other node has taken it over."""
         refused = await held.confirm_read()
         if refused is not None:
             yield refused
@@ -181,12 +181,12 @@
     def _open(
         self, held: HeldFamily, program: Program, intent: CallIntent, offset: int
     ) -> RunningCall | AsyncIterator[ProgramEvent]:
-        """Queue a new call, or return the events of the one that its key names already."""
+        """Queue a new call, or return the events of the call that has the same idempotency key."""
         if program.program_id in held.ending:
             detail = "the program is being finished or abandoned"
             return one_event(not_run(Reason.PROGRAM_FINISHED, detail))
         if len(program.waiting) >= MAXIMUM_WAITING_CALLS:
-            detail = f"{MAXIMUM_WAITING_CALLS} calls of the program are waiting already"
+            detail = f"the program already has {MAXIMUM_WAITING_CALLS} waiting calls"
             return one_event(not_run(Reason.OVERLOADED, detail, WAITING_RETRY_SECONDS))
         found = held.table.submit(
             program, intent.call_id, intent.idempotency_key, intent.request_hash
@@ -224,7 +224,7 @@
         if running is None:
             return one_event(CALL_UNSETTLED)
         if running.rerun and offset > 0:
-            detail = "the answer is being made anew after the loss of a node: read from offset 0"
+            detail = "the answer is being regenerated after a node failure: read from offset 0"
             return one_event(not_run(Reason.CONFLICT, detail))
         return running.follow(offset)
 
@@ -246,7 +246,7 @@
                 yield refused or NOT_FOUND
                 return
         if known.created.template != request.template:
-            detail = "a program of this name exists under another template"
+            detail = "a program with this name exists with another template"
             yield not_run(Reason.CONFLICT, detail)
             return
         yield program_details(known)
@@ -262,7 +262,7 @@
     def _create_on_first_use(
         self, held: HeldFamily, document: ClusterConfiguration, request: ModelCallRequest
     ) -> Program | Refused:
-        """Create a program by its first call; it is committed with that call's intent."""
+        """Create a program implicitly; its creation is committed with the first call's intent."""
         if is_single_call(request.program_id) and not request.single_call:
             return NOT_FOUND
         template = find_template(document, request.tenant, document.default_template)
--- a/src/foxwinch/commands/forward.py
+++ b/src/foxwinch/commands/forward.py
@@ -1,4 +1,7 @@
-"""Send a request on to the node that serves its program, with one hop; serve what others send."""
+"""Forward requests to the node that serves the program, and serve requests of other nodes.
+
+A request is forwarded at most once.
+"""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import aclosing
@@ -18,30 +21,30 @@
 
 METHOD = "program"
 DEADLINE_SECONDS = 3_600.0
-"""Longest stream of one request; the serving node ends calls much earlier by class and budget."""
+"""Deadline of one forwarded stream; class deadlines and budgets end calls much earlier."""
 UNREACHABLE_RETRY_SECONDS = 1.0
 
 
 class Forwarder:
-    """Both ends of the hop between the node that a caller reached and the one that serves."""
+    """The client and server side of forwarding between nodes."""
 
     def __init__(self, peers: PeerPort) -> None:
-        """Use the streams between nodes."""
+        """Forward over the streams of `peers`."""
         self._peers = peers
         self._served = 0
 
     @property
     def served(self) -> int:
-        """Return the requests of other nodes whose answers are not wholly sent."""
+        """Return the number of in-flight requests that other nodes forwarded to this one."""
         return self._served
 
     def serve(self, execute_here: Callable[[ProgramRequest], AsyncIterator[ProgramEvent]]) -> None:
-        """Serve requests that other nodes send on."""
+        """Serve forwarded requests by means of `execute_here`."""
 
         async def handle(context: PeerContext, payload: bytes) -> AsyncIterator[bytes | Refused]:
             request = decode_request(payload)
             if request is None:
-                yield not_run(Reason.INVALID_REQUEST, "the operation is not known to this node")
+                yield not_run(Reason.INVALID_REQUEST, "this node does not support the operation")
                 return
             events = execute_here(request)
             self._served += 1
@@ -57,13 +60,13 @@
     async def forward(
         self, served: ServedElsewhere, request: ProgramRequest
     ) -> AsyncIterator[ProgramEvent]:
-        """Send a request to the node that serves it and iterate over the events that come back.
+        """Forward a request to the node that serves it and iterate over the returned events.
 
-        Closing the iterator closes the stream, so that the other node sees its follower go.
+        Closing the iterator closes the stream, so that the other node detects the disconnect.
         """
         address = parse_address(served.address)
         if address is None:
-            yield not_run(Reason.PEER_UNREACHABLE, "the other node has no peer side")
+            yield not_run(Reason.PEER_UNREACHABLE, "the other node has no peer address")
             return
         answers = self._peers.stream(address, METHOD, encode_request(request), DEADLINE_SECONDS)
         async with aclosing(cast(Any, answers)):
@@ -86,6 +89,6 @@
 
 
 def _lost_hop(refused: Refused) -> Refused:
-    """Tell when to come back: another node will have taken over."""
+    """Add a Retry-After by which another node has taken over."""
     retry = refused.retry_after_seconds or UNREACHABLE_RETRY_SECONDS
     return Refused(refused.reason, refused.run_state, refused.detail, retry)
--- a/src/foxwinch/commands/forward_codec.py
+++ b/src/foxwinch/commands/forward_codec.py
@@ -1,4 +1,4 @@
-"""Requests and events between nodes, as protobuf messages."""
+"""Encode and decode forwarded requests and their events as protobuf messages."""
 
 import json
 from typing import cast
@@ -46,7 +46,7 @@
 
 
 def encode_request(request: ProgramRequest) -> bytes:
-    """Return a request as bytes."""
+    """Encode a request as a `ForwardRequest`."""
     message = ForwardRequest(
         tenant=request.tenant,
         program_id=request.program_id,
@@ -87,7 +87,7 @@
 
 
 def decode_request(payload: bytes) -> ProgramRequest | None:
-    """Read a request; None when its kind is not known here."""
+    """Decode a request; returns None if this node does not know its kind."""
     message = ForwardRequest.FromString(payload)
     tenant = TenantName(message.tenant)
     program_id = ProgramId(message.program_id)
@@ -132,7 +132,7 @@
 
 
 def encode_event(event: ProgramEvent) -> bytes:
-    """Return an event as bytes."""
+    """Encode an event as a `ForwardEvent`."""
     match event:
         case CallChunks():
             chunks = ForwardChunks(chunks=[_chunk_message(chunk) for chunk in event.chunks])
@@ -168,7 +168,7 @@
 
 
 def decode_event(payload: bytes) -> ProgramEvent | None:
-    """Read an event; None when its kind is not known here."""
+    """Decode an event; returns None if this node does not know its kind."""
     message = ForwardEvent.FromString(payload)
     match message.WhichOneof("event"):
         case "chunks":
@@ -219,7 +219,7 @@
 
 
 def _refused(message: ForwardRefused) -> Refused:
-    """Read a refusal; reasons and run states that a newer node sends are taken at the safest."""
+    """Decode a refusal; values unknown to this version become `INTERNAL` and `UNKNOWN`."""
     known = message.reason in Reason._value2member_map_
     run_state = cast(RunState, RunState._value2member_map_.get(message.run_state, RunState.UNKNOWN))
     retry = message.retry_after_seconds if message.HasField("retry_after_seconds") else None
--- a/src/foxwinch/commands/held_family.py
+++ b/src/foxwinch/commands/held_family.py
@@ -1,4 +1,4 @@
-"""A family of programs that this node serves: its state, running calls and commits."""
+"""A program family that this node serves: its state, running calls and commits."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -14,19 +14,19 @@
 from foxwinch.records.families import FamilyJournal
 
 READ_RETRY_SECONDS = 0.5
-"""When to read again after the store has not confirmed a read."""
+"""Retry-After for a read that the store did not confirm."""
 COMMIT_RETRY_SECONDS = 0.2
-"""First pause between tries to commit an outcome; doubles up to `COMMIT_RETRY_LIMIT_SECONDS`."""
+"""First backoff between attempts to commit; doubles up to `COMMIT_RETRY_LIMIT_SECONDS`."""
 COMMIT_RETRY_LIMIT_SECONDS = 2.0
-TAKEN_OVER = "another node has taken the program over"
+TAKEN_OVER = "another node has taken over the program"
 TAKEN_OVER_RETRY_SECONDS = 0.2
-"""The next try is sent on to the node that serves the program now."""
+"""Retry-After for a taken-over program; the retry is forwarded to the node that serves it."""
 COMMIT_PATIENCE_SECONDS = 2.0
-"""How long a caller waits for an outcome to be committed before it is told `unknown`."""
+"""Time after which an outcome that is not yet committed is reported as `unknown`."""
 
 
 class HeldFamily:
-    """A program with its sub-agents, until another node serves them."""
+    """A root program and its descendants, while this node serves them."""
 
     def __init__(
         self,
@@ -37,17 +37,17 @@
         log: EventLog,
         on_lost: Callable[["HeldFamily"], None],
     ) -> None:
-        """Serve the family of `root`; `on_lost` runs soon after another node is found to do so."""
+        """Serve the family of `root`; `on_lost` runs after another node has taken it over."""
         self.root = root
         self.table = table
         self.journal = journal
         self.running: dict[CallId, RunningCall] = {}
         self.uncommitted: dict[ProgramId, JournalRecord] = {}
-        """Creations that go into the journal with the program's first call."""
+        """Creation records that are committed with the program's first call."""
         self.ending: set[ProgramId] = set()
-        """Programs that are being finished or abandoned: they take no new calls."""
+        """Programs that are being finished or abandoned and accept no new calls."""
         self.closing = False
-        """True while this node is leaving and finishes only what it has accepted."""
+        """True while this node drains and only finishes calls that it has accepted."""
         self.lost = False
         self.opened_at_seconds = clock.monotonic()
         self._clock = clock
@@ -57,11 +57,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of the family runs or waits here."""
+        """Whether no call of the family runs or waits on this node."""
         return not self.running and not self.ending
 
     async def commit(self, records: Sequence[JournalRecord]) -> Refused | None:
-        """Append records and apply them; returns the refusal when they are not committed."""
+        """Append records and apply them; returns a refusal if they are not committed."""
         if self.lost:
             return lost_family(RunState.NOT_RUN)
         refused = await self.journal.append(records)
@@ -71,9 +71,9 @@
         return refused
 
     async def confirm_read(self) -> Refused | None:
-        """Prove that no other node has taken the family over; returns why that was not possible.
+        """Confirm that this node still serves the family; returns a refusal if it cannot.
 
-        A node that was cut off or has slept would else read out what is no longer the newest.
+        Without this, a node that was partitioned or suspended could serve stale reads.
         """
         refused = await self.journal.confirm()
         if refused is None:
@@ -85,10 +85,10 @@
     async def commit_until_done(
         self, records: Sequence[JournalRecord], on_delay: Callable[[Refused], None]
     ) -> bool:
-        """Commit an outcome, however long it takes; False when the family is lost first.
+        """Retry a commit until it succeeds; returns False if the family is taken over first.
 
-        `on_delay` is called once when the wait is longer than a caller should bear. A record that
-        is committed twice after an unknown first try is dropped when it is applied.
+        `on_delay` is called once, after `COMMIT_PATIENCE_SECONDS` or when the journal is fenced. A
+        record that is committed twice after an unknown first attempt is ignored when applied.
         """
         asked_at = self._clock.monotonic()
         pause = COMMIT_RETRY_SECONDS
@@ -107,22 +107,22 @@
             pause = min(pause * 2, COMMIT_RETRY_LIMIT_SECONDS)
 
     def apply(self, records: Sequence[JournalRecord]) -> None:
-        """Apply committed records; a dropped one leaves a log line."""
+        """Apply committed records; records that change nothing are logged."""
         for record in records:
             created = ProgramId(record.program_created.program_id)
             if self.uncommitted.pop(created, None) is not None:
-                continue  # applied when its first call arrived
+                continue  # it was applied when the first call arrived
             applied = self.table.apply(record)
             if isinstance(applied, Dropped):
                 self._log.warning("record_dropped", family=self.root, cause=applied.cause)
 
     def _look_for_loss(self, refused: Refused | None) -> None:
-        """Give the family up once whoever asked has dealt with the refusal."""
+        """Release a fenced family after the caller of the commit has handled the refusal."""
         if refused is not None and refused.reason is Reason.FENCED:
             asyncio.get_running_loop().call_soon(self._on_lost, self)
 
     def advance(self, program_id: ProgramId) -> None:
-        """Give the next waiting call of a program its turn."""
+        """Start the next waiting call of a program."""
         program = self.table.find(program_id)
         call_id = self.table.next_waiting(program) if program is not None else None
         running = self.running.get(call_id) if call_id is not None else None
@@ -130,7 +130,7 @@
             running.turn.set_result(None)
 
     def lose(self) -> list[asyncio.Task[None]]:
-        """Stop all calls: another node serves the family now; returns the tasks that are ending."""
+        """End all calls because another node serves the family; returns the cancelled tasks."""
         self.lost = True
         calls = list(self.running.values())
         for call in calls:
@@ -142,7 +142,7 @@
 
 
 def lost_family(run_state: RunState) -> Refused:
-    """Return the refusal of a call whose family has gone to another node."""
+    """Return the refusal of a call whose family another node has taken over."""
     if run_state is RunState.NOT_RUN:
         return not_run(Reason.NOT_OWNER, TAKEN_OVER, TAKEN_OVER_RETRY_SECONDS)
     return Refused(Reason.NOT_OWNER, run_state, TAKEN_OVER, TAKEN_OVER_RETRY_SECONDS)
--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -1,8 +1,8 @@
 """Run one model call: grant, intent, dispatch, stream, outcome.
 
-The grant comes before the intent, so that a call that finds no worker is refused without a trace
-in the journal. A stream that breaks is resumed behind the chunks that were already sent, on the
-worker that the stewards grant next.
+The grant precedes the intent, so that a call without a worker is refused without a journal entry.
+A broken stream is resumed after the chunks that were already received, on the next worker that the
+stewards grant.
 """
 
 import asyncio
@@ -30,13 +30,13 @@
 from foxwinch.workers.ports import Grant, GrantRequest, GrantUsage
 
 MAXIMUM_ATTEMPTS = 3
-"""Dispatches of one model call, the first included: a zone that returns must not meet a storm."""
+"""Dispatches of one model call, including the first; avoids a retry storm on a recovering zone."""
 RETRIED_REASONS = frozenset({Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED, Reason.FENCED})
 
 
 @dataclass(frozen=True, slots=True)
 class CallTerms:
-    """What the configuration says of a call."""
+    """Settings of a model call from the cluster configuration."""
 
     class_name: ClassName
     deadline_seconds: float
@@ -45,13 +45,13 @@
 
 @dataclass(slots=True)
 class ModelCallDriver:
-    """Drives one model call; see the module."""
+    """Drives one model call from its turn to its outcome."""
 
     ports: ProgramPorts
     life: CallLifecycle
     terms: CallTerms
     admitted: CallAdmitted | None = None
-    """Given when the call is run again after a takeover."""
+    """Set from the start when the call is rerun after a takeover."""
     messages: tuple[Message, ...] = ()
     prompt_estimate: int = 0
     prefix_hashes: tuple[int, ...] = ()
@@ -61,10 +61,10 @@
     last_grant: Grant | None = None
     share: Admitted | None = None
     sent: bool = False
-    """False when the last attempt was kept back by the worker's circuit."""
+    """False if the worker's open circuit stopped the last attempt."""
 
     async def run(self, intent: CallIntent | None) -> None:
-        """Run the call; without an intent it is a call that an earlier owner has admitted."""
+        """Run the call; `intent` is None for a call that an earlier owner admitted."""
         try:
             if intent is None or await self._prepare(intent):
                 await self._finish(await self._attempts())
@@ -77,7 +77,7 @@
             self.life.close()
 
     async def _prepare(self, intent: CallIntent) -> bool:
-        """Go through turn, start, limits, grant and intent; False when the call has ended."""
+        """Run the steps up to the committed intent; returns False if the call has ended."""
         await self.life.wait_turn()
         admitted = self.life.start(intent)
         if isinstance(admitted, Refused):
@@ -99,7 +99,7 @@
         self.grant = grant
         if await self.life.commit_intent():
             return True
-        self._settle_grant(not_run(Reason.STORE_UNAVAILABLE, "the intent was not stored"))
+        self._settle_grant(not_run(Reason.STORE_UNAVAILABLE, "the intent was not committed"))
         return False
 
     async def _acquire(self) -> Grant | Refused:
@@ -128,7 +128,7 @@
         return grant
 
     def _read_prompt(self) -> None:
-        """Prepare what does not change between attempts."""
+        """Render the prompt once for all attempts."""
         if self.messages:
             return
         prompt = [*self.life.program.history, *self._held_admitted().appended]
@@ -138,7 +138,7 @@
         self.prefix_hashes = block_hashes(rendered)
 
     async def _attempts(self) -> GenerateFinished | Refused:
-        """Dispatch, and retry within the bound."""
+        """Dispatch the call, with up to `MAXIMUM_ATTEMPTS` attempts."""
         attempt = 1
         retries = self.ports.retries
         earlier = before_first(self.life.running.rerun)
@@ -165,7 +165,7 @@
             attempt += 1
 
     async def _dispatch(self, worker: WorkerId, attempt: int) -> GenerateFinished | Refused:
-        """Send the call to the granted worker, unless its circuit is open."""
+        """Send the call to the granted worker unless its circuit is open."""
         clock, retries = self.ports.clock, self.ports.retries
         refused = retries.refuse_dispatch(worker, clock.monotonic())
         self.sent = refused is None
@@ -205,11 +205,11 @@
                         else:
                             return event
         except TimeoutError:
-            detail = "budget: the program's wall time is used up"
+            detail = "budget: the program's wall time is exhausted"
             return Refused(Reason.BUDGET_EXHAUSTED, RunState.RAN, detail)
         finally:
             self.service_seconds += self.ports.clock.monotonic() - started_at
-        return Refused(Reason.BACKEND_FAILED, RunState.UNKNOWN, "the stream ended early")
+        return Refused(Reason.BACKEND_FAILED, RunState.UNKNOWN, "the engine's stream ended early")
 
     def _order(self, grant: Grant) -> GenerateOrder:
         admitted = self._held_admitted()
@@ -237,7 +237,7 @@
         await self.life.commit_outcome(self._succeeded(final), final)
 
     async def _fail(self, refused: Refused) -> None:
-        """Record a failure; a call that gave a part of its answer certainly ran."""
+        """Commit a failure; a call that produced a partial answer counts as `RAN`."""
         if self.chunk_tokens and refused.run_state is not RunState.RAN:
             refused = Refused(
                 refused.reason, RunState.RAN, refused.detail, refused.retry_after_seconds
@@ -247,7 +247,7 @@
         )
 
     async def _cancelled(self) -> None:
-        """End a call whose caller has gone or whose program is being abandoned."""
+        """End a call whose caller has disconnected or whose program is being abandoned."""
         self.life.forgive_cancellation()
         running = self.life.running
         dispatched = self.life.running.started is not None
@@ -331,6 +331,6 @@
 
 
 def _engine_message(message: HistoryMessage) -> Message:
-    """Return a message for the engine; content that is not text comes with the further fields."""
+    """Return a message for the engine; non-text content is among the extra fields."""
     extra = json.loads(message.extra_json) if message.extra_json else {}
     return Message(message.role, message.content, extra)
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -1,4 +1,4 @@
-"""The operators' commands, passed on to the node that each concerns."""
+"""Operator commands, routed to the node that must execute them."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 ABANDON_METHOD = "operator.abandon"
 COMMAND_SECONDS = 5.0
 GONE = frozenset({Reason.PEER_UNREACHABLE, Reason.NOT_OWNER})
-"""Refusals after which the node that was asked does not serve the program."""
+"""Refusals which show that the asked node does not serve the program."""
 log = EventLog("operator")
 
 
@@ -35,41 +35,41 @@
     """Changes of the cluster configuration."""
 
     async def apply(self, command: ApplyConfiguration) -> ChangeAccepted | Refused:
-        """Put a document in force if `expected` is still the newest; `CONFLICT` names the newer."""
+        """Apply a document if `expected` is still the newest revision; else `CONFLICT`."""
         ...
 
     async def revisions_at_nodes(self) -> Sequence[NodeRevision]:
-        """Return the revision at each node."""
+        """Return the configuration revision of each node."""
         ...
 
 
 class WorkerDrains(Protocol):
-    """Workers that operators take out of service."""
+    """Drains of workers."""
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
-        """Give the worker no new work from any node of the region."""
+        """Stop the dispatch of new calls to a worker, on all nodes of the region."""
         ...
 
 
 class ProgramAbandons(Protocol):
-    """Programs of this node that operators abandon."""
+    """Abandonment of programs that this node serves."""
 
     async def abandon(self, program_id: ProgramId) -> Accepted | Refused:
-        """Abandon a program that this node serves and release what it holds."""
+        """Abandon a program that this node serves and release its resources."""
         ...
 
 
 class FixedConfiguration:
-    """A configuration that cannot be changed while the process runs."""
+    """A configuration that is fixed for the lifetime of the process."""
 
     def __init__(self, node: NodeId, zone: ZoneName) -> None:
-        """Stand for the fixed revision at this node."""
+        """Report the fixed revision for this node."""
         revision = LocalConfiguration.REVISION
         self._row = NodeRevision(node, zone, MemberState.ALIVE, revision, revision, serving=True)
 
     async def apply(self, command: ApplyConfiguration) -> ChangeAccepted | Refused:
-        """Refuse: there is no store to keep a change."""
-        detail = "this node runs without a shared store, which keeps the configuration"
+        """Refuse, since there is no store for changes."""
+        detail = "this node has no shared store, so its configuration cannot be changed"
         return not_run(Reason.STORE_UNAVAILABLE, detail)
 
     async def revisions_at_nodes(self) -> Sequence[NodeRevision]:
@@ -78,34 +78,34 @@
 
 
 class FixedWorkers:
-    """Workers that cannot be drained."""
+    """Workers without a steward, which cannot be drained."""
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
-        """Refuse: nothing stewards the workers."""
+        """Refuse, since the workers have no steward."""
         return not_run(Reason.NOT_FOUND, f"worker {worker} has no steward here")
 
 
 class NoAbandons:
-    """A node that keeps no programs beyond their call."""
+    """A node that has no programs beyond single calls."""
 
     async def abandon(self, program_id: ProgramId) -> Accepted | Refused:
-        """Refuse: not found."""
+        """Refuse with `NOT_FOUND`."""
         return not_run(Reason.NOT_FOUND, f"program {program_id} is not known")
 
 
 @dataclass(frozen=True, slots=True)
 class LocalCommands:
-    """What this node carries out itself."""
+    """Commands that this node executes itself."""
 
     drain_node: Callable[[], None]
-    """Begins the planned stop of this node; harmless when it has begun."""
+    """Starts to drain this node; idempotent."""
     configuration: ConfigurationChanges
     workers: WorkerDrains
     programs: ProgramAbandons
 
 
 class OperatorCommands:
-    """Carries commands out here or at the node they concern."""
+    """Executes operator commands on this node or forwards them to another one."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
         peers: PeerPort | None,
         local: LocalCommands,
     ) -> None:
-        """Pass on by `peers`; registers the handlers by which fellow nodes pass on to this one."""
+        """Forward over `peers`, and register handlers for commands forwarded by other nodes."""
         self._membership = membership
         self._locate = locate
         self._peers = peers
@@ -124,7 +124,7 @@
             peers.handle(ABANDON_METHOD, self._serve_abandon)
 
     async def drain_node(self, node: NodeId) -> Accepted | Refused:
-        """Begin the planned stop of a node, this one or another."""
+        """Start to drain a node, either this one or another."""
         if node == self._membership.this_member().node:
             return self._drain_this_node()
         for member in self._membership.members():
@@ -133,12 +133,12 @@
         return not_run(Reason.NOT_FOUND, f"node {node} is not a member")
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
-        """Give a worker no new work."""
+        """Stop the dispatch of new calls to a worker."""
         log.info("worker_drain_asked", worker=worker)
         return await self._local.workers.drain_worker(worker)
 
     async def abandon_program(self, program_id: ProgramId) -> Accepted | Refused:
-        """Abandon a program at the node that serves it, or here when that one is gone."""
+        """Abandon a program on the node that serves it, or on this node if that one is gone."""
         root = root_of(program_id)
         located = await self._locate(root)
         if isinstance(located, Refused):
@@ -152,7 +152,7 @@
         return await self._local.programs.abandon(program_id)
 
     async def apply_configuration(self, command: ApplyConfiguration) -> ChangeAccepted | Refused:
-        """Put a checked document in force if `expected` is still the newest revision."""
+        """Apply a validated document if `expected` is still the newest revision."""
         return await self._local.configuration.apply(command)
 
     async def _abandon_at(
@@ -160,7 +160,7 @@
     ) -> Accepted | Refused:
         address = parse_address(served.address)
         if address is None:
-            return not_run(Reason.PEER_UNREACHABLE, "the other node has no peer side")
+            return not_run(Reason.PEER_UNREACHABLE, "the other node has no peer address")
         return await self._pass_on(address, ABANDON_METHOD, program_id.encode())
 
     def _drain_this_node(self) -> Accepted:
@@ -172,14 +172,14 @@
         self, address: PeerAddress, method: str, payload: bytes
     ) -> Accepted | Refused:
         if self._peers is None:
-            return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
+            return not_run(Reason.PEER_UNREACHABLE, "this node has no peer connections")
         answer = await self._peers.call(address, method, payload, COMMAND_SECONDS)
         return answer if isinstance(answer, Refused) else Accepted()
 
     async def _serve_drain(self, context: PeerContext, payload: bytes) -> bytes | Refused:
         this = self._membership.this_member().node
         if payload.decode() != this:
-            return not_run(Reason.NOT_FOUND, f"this address is node {this} now")
+            return not_run(Reason.NOT_FOUND, f"this address now belongs to node {this}")
         self._drain_this_node()
         return b""
 
--- a/src/foxwinch/commands/periodic.py
+++ b/src/foxwinch/commands/periodic.py
@@ -1,4 +1,4 @@
-"""Work of an owner that goes on until the node stops."""
+"""Base class for background tasks that run until the node stops."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -7,24 +7,24 @@
 
 
 class PeriodicWork(ABC):
-    """A service of one task."""
+    """A background service with a single task."""
 
     def __init__(self, owner: ProgramOwner) -> None:
-        """Work on the programs of `owner` once started."""
+        """Prepare a task over the programs of `owner`; `start` runs it."""
         self._owner = owner
         self._clock = owner.ports.clock
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start working."""
+        """Start the task."""
         self._task = self._owner.spawn_task(self._run())
 
     async def stop(self) -> None:
-        """Stop working."""
+        """Cancel the task and wait until it has ended."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     @abstractmethod
     async def _run(self) -> None:
-        """Work for ever."""
+        """Run until cancelled."""
--- a/src/foxwinch/commands/ports.py
+++ b/src/foxwinch/commands/ports.py
@@ -1,4 +1,4 @@
-"""What the commands of programs need of a node."""
+"""Ports that the program commands depend on."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramPorts:
-    """The ports that the commands of programs use."""
+    """The dependencies of the program commands."""
 
     clock: Clock
     configuration: ConfigurationView
@@ -29,16 +29,16 @@
     engine: GeneratePort
     tools: ToolPort
     history_bytes: int = DEFAULT_HISTORY_BYTES
-    """Longest history of one program."""
+    """Maximum size of a program's history in bytes."""
     retries: CallRetries = field(default_factory=CallRetries)
-    """Circuits and budgets of repeats, shared by all calls of the node."""
+    """Circuit breakers and retry budgets, shared by all calls of the node."""
 
 
 class LocateFamily(Protocol):
-    """Finds the node that serves a family; one that nobody serves is served here from then on."""
+    """Locates the node that serves a family; this node starts to serve an unserved one."""
 
     async def __call__(
         self, root: ProgramId, over: NodeId | None = None
     ) -> HeldFamily | ServedElsewhere | Refused:
-        """Return the family, or the node that serves it unless that is `over`."""
+        """Return the family, or the node that serves it; take it over if that node is `over`."""
         ...
--- a/src/foxwinch/commands/program_owner.py
+++ b/src/foxwinch/commands/program_owner.py
@@ -1,7 +1,7 @@
-"""The programs that this node serves: their families, their calls, and how calls end.
+"""The programs that this node serves: their families and the lifetimes of their calls.
 
 A family is opened by the first request for one of its programs. It is served until another node
-takes it over, or until all its programs are over and nobody may read them any more.
+takes it over, or until all its programs have ended and their retention time has passed.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
         self.ports = ports
         self.log = EventLog("programs")
         self.closing = False
-        """True while this node is leaving: what is idle is left to other nodes."""
+        """True while this node drains and leaves idle families to other nodes."""
         self._families: dict[ProgramId, HeldFamily] = {}
         self._opening: dict[ProgramId, asyncio.Task[HeldFamily | ServedElsewhere | Refused]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -48,9 +48,9 @@
     async def locate(
         self, root: ProgramId, over: NodeId | None = None
     ) -> HeldFamily | ServedElsewhere | Refused:
-        """Return the family of a root, served from now on if no other node serves it.
+        """Return the family of a root, and start to serve it if no other node does.
 
-        A family that node `over` serves is taken over.
+        A family that the node `over` serves is taken over.
         """
         held = self._families.get(root)
         if held is not None:
@@ -64,7 +64,7 @@
         return await asyncio.shield(opening)
 
     def held(self, root: ProgramId) -> HeldFamily | None:
-        """Return a family if this node serves it."""
+        """Return a family, or None if this node does not serve it."""
         return self._families.get(root)
 
     def families(self) -> Iterator[HeldFamily]:
@@ -72,11 +72,11 @@
         return iter(list(self._families.values()))
 
     def held_count(self) -> int:
-        """Return how many families this node serves."""
+        """Return the number of families that this node serves."""
         return len(self._families)
 
     def drop(self, held: HeldFamily) -> None:
-        """Give a family up: its running calls end truthfully, its programs leave memory."""
+        """Release a family: end its running calls with their true run state and free its memory."""
         if self._families.get(held.root) is not held:
             return
         del self._families[held.root]
@@ -92,7 +92,7 @@
         return self._serve(root, opened)
 
     def _serve(self, root: ProgramId, opened: OpenedFamily) -> HeldFamily:
-        """Rebuild a family's programs and settle what was left running."""
+        """Rebuild a family's programs from the journal and recover the calls that were running."""
         table = ProgramTable(opened.records)
         held = HeldFamily(root, table, opened.journal, self.ports.clock, self.log, self.drop)
         self._families[root] = held
@@ -119,13 +119,13 @@
         return running
 
     def drive(self, running: RunningCall, work: Coroutine[Any, Any, None]) -> None:
-        """Run a call's driver in a task of its own."""
+        """Run a call's driver in its own task."""
         running.task = self.spawn_task(work, running)
 
     def spawn_task(
         self, work: Coroutine[Any, Any, None], running: RunningCall | None = None
     ) -> asyncio.Task[None]:
-        """Run work whose failure is logged and, for a call, told to its followers."""
+        """Run a task whose failure is logged and, for a call, reported to its followers."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
 
@@ -137,14 +137,14 @@
         return task
 
     async def run_apart(self, work: Coroutine[Any, Any, Result]) -> Result:
-        """Wait for work that goes on to its end even when the one who waits is cancelled."""
+        """Await work that runs to completion even if the awaiting task is cancelled."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return await asyncio.shield(task)
 
     async def stop(self) -> None:
-        """Drop every family and end every task."""
+        """Release all families and cancel all tasks."""
         for held in self.families():
             self.drop(held)
         tasks = list(self._tasks)
@@ -153,7 +153,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def wait_idle(self) -> None:
-        """Return when no call is running."""
+        """Wait until no call is running."""
         while self.running_calls():
             await self.ports.clock.sleep(IDLE_POLL_SECONDS)
 
@@ -173,7 +173,7 @@
             )
 
     def _unfollowed(self, running: RunningCall) -> None:
-        """React to the last caller going: keyed calls wait a while for it to come back."""
+        """Handle the last caller's disconnect; a keyed call runs on so that it can reconnect."""
         running.unfollowed_at_seconds = self.ports.clock.monotonic()
         if running.cancellable and not running.keyed:
             self.log.info("call_cancelled", call=running.call_id, cause=CLIENT_GONE)
@@ -225,4 +225,4 @@
 
 
 def _internal(run_state: RunState) -> Refused:
-    return Refused(Reason.INTERNAL, run_state, "the call ended by an internal error")
+    return Refused(Reason.INTERNAL, run_state, "the call failed because of an internal error")
--- a/src/foxwinch/commands/requests.py
+++ b/src/foxwinch/commands/requests.py
@@ -1,4 +1,4 @@
-"""Typed requests of callers, after authentication and checking."""
+"""Typed requests of callers, after authentication and validation."""
 
 from dataclasses import dataclass
 
@@ -8,35 +8,35 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelCallRequest:
-    """A model call of a program."""
+    """Call a model as part of a program."""
 
     tenant: TenantName
     program_id: ProgramId
     model: ModelName
     messages: tuple[HistoryMessage, ...]
-    """The whole history with the new messages at its end, or only the new ones: see `append`."""
+    """The whole history followed by the new messages, or only the new ones; see `append`."""
     append: bool
-    """True: `messages` follow the program's history; False: they repeat it from its start."""
+    """True if `messages` follow the program's history, False if they repeat it from its start."""
     maximum_tokens: int
     idempotency_key: str = ""
     resume_offset: int = 0
-    """Number of chunks that the caller already has of the answer under this key."""
+    """Number of chunks of the answer that the caller has already received under this key."""
     parameters_json: str = ""
-    """Sampling parameters and unknown fields in canonical JSON, passed through."""
+    """Sampling parameters and unknown fields as canonical JSON, passed through to the engine."""
     single_call: bool = False
-    """True: the program is created for this call and finished with it."""
+    """True if the program is created for this call and finishes with it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ToolCallRequest:
-    """A tool call of a program."""
+    """Call a tool as part of a program."""
 
     tenant: TenantName
     program_id: ProgramId
     tool: ToolName
     arguments_json: str
     tool_call_id: str = ""
-    """The model's identifier of the call that this answers; empty for the call's own."""
+    """The model's identifier of the tool call that this answers; empty for the call's own id."""
     idempotency_key: str = ""
 
 
@@ -58,7 +58,7 @@
     program_id: ProgramId
     """The parent."""
     template: str
-    """Empty for the parent's own template."""
+    """Empty for the parent's template."""
     idempotency_key: str = ""
 
 
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttachRequest:
-    """Follow a call that is running or has ended, from an offset in chunks."""
+    """Follow a running or ended call from an offset in chunks."""
 
     tenant: TenantName
     program_id: ProgramId
--- a/src/foxwinch/commands/router.py
+++ b/src/foxwinch/commands/router.py
@@ -1,7 +1,7 @@
-"""Carry a request out here, or send it on to the node that serves its program.
+"""Execute a request on this node, or forward it to the node that serves its program.
 
-A node that cannot be reached, or that has given the program up, is replaced at once: this node
-takes the program's family over.
+If that node is unreachable or has released the program, this node takes over the program's family
+immediately.
 """
 
 from collections.abc import AsyncIterator
@@ -22,14 +22,14 @@
 
 NOT_OWNER_RETRY_SECONDS = 0.2
 GONE = frozenset({Reason.PEER_UNREACHABLE, Reason.NOT_OWNER})
-"""Refusals after which the node that was asked certainly does not serve the program."""
+"""Refusals which show that the asked node does not serve the program."""
 
 
 class ProgramRouter:
-    """The way into the programs of a cluster from one node."""
+    """Entry point of one node to all programs of the cluster."""
 
     def __init__(self, owner: ProgramOwner, forwarder: Forwarder | None) -> None:
-        """Forward by `forwarder`; without one this node serves every program."""
+        """Forward over `forwarder`; without one, this node serves every program."""
         self._owner = owner
         self._executor = ProgramExecutor(owner)
         self._forwarder = forwarder
@@ -37,7 +37,7 @@
             forwarder.serve(self.execute_here)
 
     async def execute(self, request: ProgramRequest) -> AsyncIterator[ProgramEvent]:
-        """Carry a request out and iterate over its events."""
+        """Execute or forward a request and iterate over its events."""
         root = root_of(request.program_id)
         located = await self._owner.locate(root)
         if isinstance(located, ServedElsewhere) and self._forwarder is not None:
@@ -50,7 +50,7 @@
                 yield event
 
     async def execute_here(self, request: ProgramRequest) -> AsyncIterator[ProgramEvent]:
-        """Carry out a request that another node sent on; it is never sent on again."""
+        """Execute a request that another node forwarded; it is never forwarded again."""
         root = root_of(request.program_id)
         held = self._owner.held(root)
         if held is not None and self._owner.closing and held.idle:
@@ -64,18 +64,18 @@
                 yield event
 
     async def wait_sent(self) -> None:
-        """Return when every answer to a request that another node sent on is sent."""
+        """Wait until all answers to requests that other nodes forwarded are sent."""
         while self._forwarder is not None and self._forwarder.served:
             await self._owner.ports.clock.sleep(IDLE_POLL_SECONDS)
 
     def new_program_name(self, tenant: str) -> str:
-        """Return a fresh name."""
+        """Return a new unique program name."""
         return self._owner.ports.clock.identifier()
 
     async def _forward(
         self, root: ProgramId, served: ServedElsewhere, request: ProgramRequest
     ) -> AsyncIterator[ProgramEvent]:
-        """Send a request on; carry it out here when the other node certainly has not."""
+        """Forward a request; take the family over if the other node has certainly not run it."""
         assert self._forwarder is not None
         first = True
         async with aclosing(cast(Any, self._forwarder.forward(served, request))) as events:
@@ -106,5 +106,5 @@
 
 
 def _not_owner() -> Refused:
-    detail = "another node has just taken the program over"
+    detail = "another node has just taken over the program"
     return not_run(Reason.NOT_OWNER, detail, NOT_OWNER_RETRY_SECONDS)
--- a/src/foxwinch/commands/running_call.py
+++ b/src/foxwinch/commands/running_call.py
@@ -1,8 +1,8 @@
-"""A call between its arrival and its end, and those who follow its answer.
+"""A call between its arrival and its end, and the callers that follow its answer.
 
-One task drives the call and any number of callers follow it. Chunks are kept until the end, so a
-caller who reconnects can go on from any offset. Followers wake once for all chunks that came in
-together; there is no task and no lock for a chunk.
+One task drives the call, and any number of callers follow it. Chunks are kept until the end, so a
+caller that reconnects can resume from any offset. Followers wake up once for all chunks that
+arrived together; no task or lock is needed per chunk.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class RunningCall:
-    """One call that has not ended, or has just ended."""
+    """A call whose driver task has not finished."""
 
     def __init__(
         self,
@@ -35,23 +35,23 @@
         keyed: bool,
         on_unfollowed: Callable[["RunningCall"], None],
     ) -> None:
-        """Start without followers; `on_unfollowed` runs when the last one goes before the end."""
+        """Start without followers; `on_unfollowed` runs if the last one leaves before the end."""
         self.call_id = call_id
         self.program = program
         self.keyed = keyed
         self.cancellable = True
-        """False for calls that must not be cut when nobody follows them."""
+        """False for calls that run on without followers."""
         self.started: CallStarted | None = None
         self.chunks: list[CallChunk] = []
         self.final: FinalEvent | None = None
         self.followers = 0
         self.task: asyncio.Task[None] | None = None
         self.turn: asyncio.Future[None] | None = None
-        """Set while the call waits for its turn in the program."""
+        """Set while the call waits for earlier calls of the program."""
         self.intent_sent = False
-        """True once the intent may be in the journal: from then on the call may have an effect."""
+        """True once the intent may be in the journal; the call may take effect from then on."""
         self.rerun = False
-        """True when an earlier owner may have sent chunks of another run of this call."""
+        """True if an earlier owner may have sent chunks of another run of this call."""
         self.cancel_cause = ""
         self.unfollowed_at_seconds: float | None = None
         self._interruptible = False
@@ -59,25 +59,25 @@
         self._waiters: list[asyncio.Future[None]] = []
 
     def start(self, started: CallStarted) -> None:
-        """Tell that a worker was granted; a retry on another worker is not told again."""
+        """Publish the start event; retries on other workers do not publish it again."""
         if self.started is None:
             self.started = started
             self._wake()
 
     def add(self, chunk: CallChunk) -> None:
-        """Add a piece of the answer."""
+        """Append a chunk of the answer."""
         self.chunks.append(chunk)
         if self._waiters:
             self._wake()
 
     def end(self, final: FinalEvent) -> None:
-        """Tell the end; a second end is ignored."""
+        """Publish the final event; a second one is ignored."""
         if self.final is None:
             self.final = final
             self._wake()
 
     def cancel(self, cause: str) -> None:
-        """Ask the call to end; it does so at its next interruptible wait."""
+        """Request the cancellation of the call; it takes effect at an interruptible wait."""
         if self.cancel_cause or self.final is not None or self.task is None:
             return
         self.cancel_cause = cause
@@ -86,7 +86,7 @@
 
     @contextmanager
     def interruptible(self) -> Iterator[None]:
-        """Mark a wait that `cancel` may cut; raises `CancelledError` when it was asked before."""
+        """Mark a wait that `cancel` may interrupt; raises `CancelledError` if already cancelled."""
         if self.cancel_cause:
             raise asyncio.CancelledError(self.cancel_cause)
         self._interruptible = True
@@ -96,7 +96,7 @@
             self._interruptible = False
 
     async def follow(self, offset: int = 0) -> AsyncIterator[ProgramEvent]:
-        """Iterate over the events, chunks from number `offset` on."""
+        """Iterate over the events, with the chunks from index `offset` onwards."""
         self.followers += 1
         self.unfollowed_at_seconds = None
         told_start = False
--- a/src/foxwinch/commands/spawn.py
+++ b/src/foxwinch/commands/spawn.py
@@ -1,7 +1,7 @@
-"""Start a sub-agent: one call of the parent that creates a child program.
+"""Spawn a sub-agent: one call of the parent that creates a child program.
 
-Intent, creation and outcome go into the journal in one commit, so a child exists exactly when the
-call that started it has succeeded.
+Intent, creation and outcome are committed atomically, so the child exists if and only if the call
+that spawned it succeeded.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class SpawnDriver:
-    """Drives one spawn; see the module."""
+    """Drives one spawn call from its turn to its outcome."""
 
     ports: ProgramPorts
     life: CallLifecycle
--- a/src/foxwinch/commands/sweep.py
+++ b/src/foxwinch/commands/sweep.py
@@ -1,4 +1,4 @@
-"""What ends by itself: calls that nobody follows, programs left alone, families that are over."""
+"""Expiry of calls without followers, idle programs, ended programs and empty families."""
 
 from foxwinch.commands.end_program import end_program
 from foxwinch.commands.held_family import HeldFamily
@@ -10,15 +10,15 @@
 
 SWEEP_SECONDS = 1.0
 RECONNECT_SECONDS = 10.0
-"""How long a call with an idempotency key runs on after its caller has gone."""
+"""Time for which a call with an idempotency key runs on after its caller has disconnected."""
 EMPTY_SECONDS = 5.0
-"""A family without programs is kept so long: its first call may still be on its way."""
+"""Minimum lifetime of a family without programs, because its first call may be in flight."""
 RETENTION_SECONDS = 600.0
-"""How long a finished program can be read and its calls repeated by key."""
+"""Time for which a finished program can be read and its calls repeated by idempotency key."""
 
 
 class ProgramSweeper(PeriodicWork):
-    """Looks over all programs served here from time to time."""
+    """Periodically expires the calls, programs and families that this node serves."""
 
     async def _run(self) -> None:
         while True:
@@ -28,7 +28,7 @@
                 await self._remove_if_over(held)
 
     def sweep(self, held: HeldFamily) -> None:
-        """Look over one family."""
+        """Expire the calls and programs of one family."""
         now = self._clock.monotonic()
         for call in list(held.running.values()):
             left_at = call.unfollowed_at_seconds
@@ -44,7 +44,7 @@
                 held.table.forget(program.program_id)
 
     async def _remove_if_over(self, held: HeldFamily) -> None:
-        """Drop a family without programs, and remove what the store still keeps of it."""
+        """Release a family that has no programs left, and remove its journal from the store."""
         kept_seconds = self._clock.monotonic() - held.opened_at_seconds
         if len(held.table) or not held.idle or kept_seconds < EMPTY_SECONDS:
             return
--- a/src/foxwinch/commands/terms.py
+++ b/src/foxwinch/commands/terms.py
@@ -1,4 +1,4 @@
-"""What the cluster configuration says of a program and its calls."""
+"""Look up the settings of a program and its calls in the cluster configuration."""
 
 from dataclasses import dataclass
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ToolDeclaration:
-    """A tool as a program may use it."""
+    """A tool that a program may call."""
 
     terms: ToolTerms
     repeatable: bool
@@ -22,7 +22,7 @@
 def find_template(
     document: ClusterConfiguration, tenant: TenantName, name: str
 ) -> TemplateSettings | Refused:
-    """Find a template that the tenant may use."""
+    """Return a template, or a refusal if the tenant may not use it."""
     template = next((t for t in document.templates if t.name == name), None)
     if template is None:
         allowed = ", ".join(t.name for t in document.templates)
@@ -33,7 +33,7 @@
     if settings is not None and settings.classes and template.class_name not in settings.classes:
         return not_run(
             Reason.INVALID_REQUEST,
-            f"template = {name!r}: its class {template.class_name!r} is not among the tenant's",
+            f"template = {name!r}: the tenant may not use its class {template.class_name!r}",
         )
     return template
 
@@ -45,7 +45,7 @@
     now_seconds: float,
     parent: Program | None = None,
 ) -> ProgramCreated:
-    """Return the record of a new program; `now_seconds` is wall time."""
+    """Return the creation record of a new program; `now_seconds` is wall time."""
     budget = template.budget
     return ProgramCreated(
         program_id=program_id,
@@ -70,7 +70,7 @@
 def model_terms(
     document: ClusterConfiguration, program: Program, model: str
 ) -> CallTerms | Refused:
-    """Return the terms of a model call, or refuse a model that the template does not name."""
+    """Return the settings of a model call, or a refusal if the template does not list the model."""
     template = _template_of(document, program)
     if isinstance(template, Refused):
         return template
@@ -91,7 +91,7 @@
 def tool_declaration(
     document: ClusterConfiguration, program: Program, tool: str
 ) -> ToolDeclaration | Refused:
-    """Return how a tool is called, or refuse a tool that the template does not name."""
+    """Return the declaration of a tool, or a refusal if the template does not list it."""
     template = _template_of(document, program)
     if isinstance(template, Refused):
         return template
--- a/src/foxwinch/commands/tool_call.py
+++ b/src/foxwinch/commands/tool_call.py
@@ -1,7 +1,7 @@
 """Run one tool call: intent, dispatch, outcome.
 
-A tool that may not be repeated is dispatched again only when the attempt before certainly did not
-run. Tool calls are not cut when their caller goes: their effect is recorded whoever listens.
+A tool that is not repeatable is retried only if the previous attempt certainly did not run. A tool
+call is not cancelled when its caller disconnects, so that its effect is always recorded.
 """
 
 import asyncio
@@ -23,9 +23,9 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 
 MAXIMUM_ATTEMPTS = 3
-"""Dispatches of one repeatable tool call, the first included."""
+"""Dispatches of one tool call, including the first."""
 RETRY_SECONDS = 0.1
-"""First pause before a retry; doubles, with jitter."""
+"""Base of the exponential backoff between attempts, with jitter."""
 RETRIED_REASONS = frozenset(
     {Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED, Reason.TOOL_TIMEOUT, Reason.OVERLOADED}
 )
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ToolTerms:
-    """What the configuration says of a tool call."""
+    """Settings of a tool call from the cluster configuration."""
 
     class_name: ClassName
     timeout_seconds: float
@@ -44,17 +44,17 @@
 
 @dataclass(slots=True)
 class ToolCallDriver:
-    """Drives one tool call; see the module."""
+    """Drives one tool call from its turn to its outcome."""
 
     ports: ProgramPorts
     life: CallLifecycle
     terms: ToolTerms
     admitted: CallAdmitted | None = None
-    """Given when the call is run again after a takeover."""
+    """Set from the start when the call is rerun after a takeover."""
     share: Admitted | None = None
 
     async def run(self, intent: CallIntent | None) -> None:
-        """Run the call; without an intent it is a call that an earlier owner has admitted."""
+        """Run the call; `intent` is None for a call that an earlier owner admitted."""
         try:
             if intent is None or await self._prepare(intent):
                 await self._finish(await self._attempts())
@@ -115,12 +115,12 @@
             attempt += 1
 
     async def _call(self, order: ToolOrder) -> ToolResult | Refused:
-        """Call the tool; whatever the adapter does, the call ends at twice its time-out."""
+        """Call the tool; bounds the call at twice its timeout in case the adapter does not."""
         try:
             async with asyncio.timeout(2 * order.timeout_seconds):
                 return await self.ports.tools.call(order)
         except TimeoutError:
-            detail = f"tool {order.tool} gave no answer in time"
+            detail = f"tool {order.tool} did not answer before its timeout"
             return Refused(Reason.TOOL_TIMEOUT, RunState.UNKNOWN, detail)
 
     def _may_retry(self, end: Refused) -> bool:
--- a/src/foxwinch/commands/views.py
+++ b/src/foxwinch/commands/views.py
@@ -1,4 +1,4 @@
-"""Committed state as events: programs, and calls that have ended."""
+"""Convert committed programs and ended calls to events."""
 
 from collections.abc import AsyncIterator, Iterator
 
@@ -33,7 +33,7 @@
 
 
 def program_details(program: Program) -> ProgramDetails:
-    """Return a program as its tenant sees it."""
+    """Return the view of a program that its tenant may see."""
     parent = program.created.parent_program_id
     return ProgramDetails(
         program_id=program.program_id,
@@ -54,7 +54,7 @@
 async def ended_call(
     program: Program, call: Call, child: Program | None, offset: int
 ) -> AsyncIterator[ProgramEvent]:
-    """Iterate over the answer of a call that has ended, chunks from number `offset` on."""
+    """Iterate over the events of an ended call, with the chunks from index `offset` onwards."""
     outcome = call.outcome
     assert outcome is not None
     if outcome.result != CallOutcome.SUCCEEDED:
@@ -78,7 +78,7 @@
 
 
 def recorded_refusal(outcome: CallOutcome) -> Refused:
-    """Return the refusal that an outcome records."""
+    """Return the refusal recorded in an outcome."""
     known = outcome.reason in Reason._value2member_map_
     reason = Reason(outcome.reason) if known else Reason.INTERNAL
     run_state = RUN_STATE_OF_RESULT.get(outcome.result, RunState.UNKNOWN)
@@ -108,7 +108,7 @@
 
 
 def _chunks(outcome: CallOutcome) -> Iterator[CallChunk]:
-    """Cut the answer as it was sent; tool calls come whole with the last empty chunk."""
+    """Split the answer into the chunks that were sent; the last empty one has all tool calls."""
     answer = outcome.answer[0] if outcome.answer else HistoryMessage()
     lengths = list(outcome.chunk_lengths)
     tool_calls = tuple(from_history(answer).get("tool_calls") or ()) if answer.extra_json else ()
--- a/src/foxwinch/gateway/__init__.py
+++ b/src/foxwinch/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The caller side: HTTP by aiohttp."""
+"""HTTP API for callers, based on aiohttp."""
--- a/src/foxwinch/gateway/authentication.py
+++ b/src/foxwinch/gateway/authentication.py
@@ -1,4 +1,4 @@
-"""Bearer keys of tenants, known to a node only as hashes."""
+"""Authenticate tenants by bearer keys, of which a node has only the hashes."""
 
 import hashlib
 from dataclasses import dataclass
@@ -12,29 +12,29 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the SHA-256 of a key in hexadecimal, as the configuration holds it."""
+    """Return the hexadecimal SHA-256 of a key, as listed in the configuration."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """An authenticated caller and the configuration its request is checked against."""
+    """An authenticated caller, and the configuration against which its request is validated."""
 
     tenant: TenantName
     document: ClusterConfiguration
 
 
 class Authenticator:
-    """Finds tenants by their keys; keys are indexed once for each configuration revision."""
+    """Finds tenants by their keys, which are indexed once per configuration revision."""
 
     def __init__(self, configuration: ConfigurationView) -> None:
-        """Use the configuration in force at each request."""
+        """Look up keys in the configuration that is in force at each request."""
         self._configuration = configuration
         self._revision: Revision | None = None
         self._tenants: dict[str, TenantName] = {}
 
     def authenticate(self, header: str | None) -> Caller | Refused:
-        """Find the tenant of an `Authorization` header."""
+        """Return the caller of a request with this `Authorization` header."""
         snapshot = self._configuration.current()
         if isinstance(snapshot, Refused):
             return snapshot
--- a/src/foxwinch/gateway/chat.py
+++ b/src/foxwinch/gateway/chat.py
@@ -1,4 +1,4 @@
-"""`/v1/chat/completions` and `/v1/models` in the widely used shapes."""
+"""The OpenAI-compatible endpoints `/v1/chat/completions` and `/v1/models`."""
 
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayContext:
-    """What the handlers of the caller side share."""
+    """Dependencies shared by the request handlers."""
 
     authenticator: Authenticator
     execute: Execute
     clock: Clock
     limits: CallerLimits
     new_program_name: Callable[[str], str]
-    """Returns a fresh name for a tenant's program, owned by this node where that can be."""
+    """Returns a new unique name for a tenant's program, served by this node if possible."""
 
     def caller(self, request: web.Request) -> Caller | Refused:
         """Authenticate a request."""
@@ -45,14 +45,14 @@
 
 
 class ChatHandlers:
-    """Handlers of the chat-completions shape."""
+    """Handlers of the chat-completions API."""
 
     def __init__(self, context: GatewayContext) -> None:
-        """Serve by the shared context."""
+        """Handle requests with the shared `context`."""
         self._context = context
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Register the handlers."""
+        """Register the handlers with `router`."""
         router.add_post("/v1/chat/completions", self.complete)
         router.add_get("/v1/models", self.models)
         router.add_get("/v1/models/{model}", self.model)
@@ -66,7 +66,7 @@
         return web.json_response({"object": "list", "data": data})
 
     async def model(self, request: web.Request) -> web.StreamResponse:
-        """Show one model."""
+        """Describe one model."""
         caller = self._context.caller(request)
         if isinstance(caller, Refused):
             return error_response(caller)
@@ -76,7 +76,7 @@
         return web.json_response(_model_document(name))
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
-        """Run a model call of the program that the header names, or of a program of one."""
+        """Run a model call of the program named by the header, or of a new single-call program."""
         caller = self._context.caller(request)
         if isinstance(caller, Refused):
             return error_response(caller)
@@ -89,9 +89,10 @@
 async def run_chat(
     context: GatewayContext, request: web.Request, caller: Caller, name: str, append: bool
 ) -> web.StreamResponse:
-    """Run a model call whose body has the chat-completions shape.
+    """Run a model call whose body has the chat-completions format.
 
-    `append` tells how `messages` is read when the request does not say so itself.
+    `append` is the default for a request without the append header: whether `messages` follow the
+    program's history.
     """
     body = await read_json(request, context.limits)
     if isinstance(body, Refused):
--- a/src/foxwinch/gateway/chat_format.py
+++ b/src/foxwinch/gateway/chat_format.py
@@ -1,4 +1,7 @@
-"""Answers in the chat-completions shape; what repeats in every chunk is encoded once a stream."""
+"""Encode answers in the chat-completions format.
+
+The parts that are the same in every chunk are encoded once per stream.
+"""
 
 import json
 from collections.abc import Sequence
@@ -16,7 +19,7 @@
     """Encodes the server-sent events of one streamed answer."""
 
     def __init__(self, started: CallStarted, created_seconds: int, first: bool) -> None:
-        """`first` is False for a stream that goes on from an offset: the role was sent before."""
+        """Prepare a stream; `first` is False if it resumes from an offset, after the role."""
         common = (
             f'data: {{"id":"chatcmpl-{started.call_id}","object":"chat.completion.chunk",'
             f'"created":{created_seconds},"model":{json.dumps(started.target)},"choices":['
@@ -26,7 +29,7 @@
         self._role = b'"role":"assistant",' if first else b""
 
     def chunks(self, chunks: Sequence[CallChunk]) -> bytes:
-        """Return the events of chunks, to be written together."""
+        """Return the concatenated events of several chunks."""
         frames = []
         for chunk in chunks:
             content = encode_basestring_ascii(chunk.text).encode()
@@ -40,7 +43,7 @@
         return b"".join(frames)
 
     def end(self, finished: CallFinished, include_usage: bool) -> bytes:
-        """Return the closing events."""
+        """Return the final events of the stream."""
         reason = json.dumps(finished.finish_reason).encode()
         tail = self._delta_head + b'},"finish_reason":' + reason + b"}]}\n\n"
         if include_usage:
@@ -49,7 +52,7 @@
 
 
 def event(document: dict[str, Any]) -> bytes:
-    """Return one server-sent event."""
+    """Return a document as one server-sent event."""
     return b"data: " + _json(document) + b"\n\n"
 
 
@@ -59,7 +62,7 @@
     finished: CallFinished,
     created_seconds: int,
 ) -> dict[str, Any]:
-    """Return an answer that is not streamed."""
+    """Return the body of an answer that is not streamed."""
     message: dict[str, Any] = {
         "role": "assistant",
         "content": "".join([chunk.text for chunk in chunks]),
@@ -79,7 +82,7 @@
 
 
 def usage(finished: CallFinished) -> dict[str, Any]:
-    """Return the usage of an answer."""
+    """Return the `usage` object of an answer."""
     return {
         "prompt_tokens": finished.prompt_tokens,
         "completion_tokens": finished.completion_tokens,
--- a/src/foxwinch/gateway/connections.py
+++ b/src/foxwinch/gateway/connections.py
@@ -1,7 +1,8 @@
-"""Bounds on connections of callers: how many, how long a request takes to arrive, header sizes.
+"""Limits on caller connections: their number, the time to receive a request, header sizes.
 
-A connection that brings no whole header in time is closed by the server's keep-alive timer, which
-runs from the moment it is accepted; a body that does not arrive is bounded where it is read.
+A connection that does not deliver complete headers in time is closed by the server's keep-alive
+timer, which starts when the connection is accepted. The time to receive the body is limited where
+the body is read.
 """
 
 import asyncio
@@ -14,21 +15,21 @@
 
 HEADER_FIELDS = 64
 LINGERING_SECONDS = 1.0
-"""For the rest of a body that nobody will read, before the connection is closed."""
+"""Time to discard the rest of an unread body before the connection is closed."""
 BACKLOG = 1_024
 
 
 class RefusedConnection(asyncio.Protocol):
-    """Closes a connection at once."""
+    """Closes a connection immediately after it is accepted."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Close it, without waiting for the peer."""
+        """Abort the connection without waiting for the peer."""
         assert isinstance(transport, asyncio.Transport)
         transport.abort()
 
 
 class CallerSite(web.BaseSite):
-    """A listening socket that holds a bounded number of connections."""
+    """A listening socket with a limit on concurrent connections."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         connections: int,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Serve `runner`, which must be set up, with at most `connections` at a time."""
+        """Serve `runner`, which must be set up, with at most `connections` connections."""
         super().__init__(runner, ssl_context=tls, backlog=BACKLOG)
         self._host = host
         self._port = port
@@ -51,7 +52,7 @@
         return f"{scheme}://{self._host}:{self._port}"
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         await super().start()
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -71,7 +72,7 @@
 
 
 def server_options(limits: CallerLimits) -> dict[str, Any]:
-    """Return the options of the HTTP server that enforce the limits."""
+    """Return the aiohttp server options that enforce the limits."""
     return {
         "keepalive_timeout": limits.read_seconds,
         "lingering_time": min(LINGERING_SECONDS, limits.read_seconds),
--- a/src/foxwinch/gateway/errors.py
+++ b/src/foxwinch/gateway/errors.py
@@ -1,4 +1,4 @@
-"""Refusals as typed JSON errors in the widely used shape, with the run state beside."""
+"""Encode refusals as JSON errors in the OpenAI format, extended by the run state."""
 
 import json
 import math
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidField(Refused):
-    """A request field that is refused, named in the error's `param`."""
+    """A refusal of a request field, which is named in the error's `param`."""
 
     field: str = ""
 
 
 def invalid_field(field: str, value: object, allowed: str) -> InvalidField:
-    """Return a refusal that names the field, its value and what is allowed."""
+    """Return a refusal that names the field, its value and the allowed values."""
     shown = json.dumps(value, default=repr)
     if len(shown) > SHOWN_VALUE_CHARACTERS:
         shown = shown[:SHOWN_VALUE_CHARACTERS] + "..."
@@ -60,7 +60,7 @@
 
 
 def error_response(refused: Refused) -> web.Response:
-    """Return the HTTP response of a refusal, with Retry-After where trying again can help."""
+    """Return the HTTP response of a refusal, with `Retry-After` if a retry may succeed."""
     headers = {}
     if refused.retry_after_seconds is not None:
         headers["Retry-After"] = str(max(1, math.ceil(refused.retry_after_seconds)))
--- a/src/foxwinch/gateway/headers.py
+++ b/src/foxwinch/gateway/headers.py
@@ -1,4 +1,4 @@
-"""Headers of the caller side, and their checks."""
+"""Names and validation of the request and response headers."""
 
 from aiohttp import web
 
@@ -7,11 +7,11 @@
 from foxwinch.outcomes import Refused
 
 PROGRAM_HEADER = "X-Foxwinch-Program"
-"""Names the program of a call; without it a call is a program of one."""
+"""Name of the call's program; a call without it runs in a new single-call program."""
 APPEND_HEADER = "X-Foxwinch-Append"
-"""`true`: `messages` holds only what follows the program's history."""
+"""`true` if `messages` has only the messages that follow the program's history."""
 OFFSET_HEADER = "X-Foxwinch-Offset"
-"""Chunks that the caller already has of the answer under the idempotency key."""
+"""Number of chunks of the answer that the caller has received under the idempotency key."""
 CALL_HEADER = "X-Foxwinch-Call"
 WORKER_HEADER = "X-Foxwinch-Worker"
 IDEMPOTENCY_HEADER = "Idempotency-Key"
@@ -19,20 +19,20 @@
 
 
 def program_name(request: web.Request) -> str | Refused:
-    """Return the program named by the header, or an empty string."""
+    """Return the program name in the header, or an empty string if there is none."""
     name = request.headers.get(PROGRAM_HEADER, "")
     return check_name(PROGRAM_HEADER, name) if name else ""
 
 
 def check_name(field: str, name: str) -> str | InvalidField:
-    """Check a program's name as a caller gave it."""
+    """Return the name of an existing program, or a refusal if it is malformed."""
     if GIVEN_PATTERN.match(name):
         return name
     return invalid_field(field, name, NAME_RULE)
 
 
 def append_flag(request: web.Request, default: bool) -> bool | Refused:
-    """Return whether the messages follow the history."""
+    """Return whether the messages follow the program's history."""
     value = request.headers.get(APPEND_HEADER, str(default)).lower()
     if value in ("true", "false"):
         return value == "true"
@@ -40,7 +40,7 @@
 
 
 def idempotency_key(request: web.Request) -> str | Refused:
-    """Return the idempotency key, or an empty string."""
+    """Return the idempotency key, or an empty string if there is none."""
     key = request.headers.get(IDEMPOTENCY_HEADER, "")
     if len(key) <= MAXIMUM_KEY_CHARACTERS:
         return key
@@ -48,7 +48,7 @@
 
 
 def offset(field: str, value: str) -> int | Refused:
-    """Return a number of chunks."""
+    """Parse an offset in chunks."""
     if value.isascii() and value.isdecimal() and len(value) <= 9:
         return int(value)
     return invalid_field(field, value, "a number of chunks, 0 or more")
--- a/src/foxwinch/gateway/programs.py
+++ b/src/foxwinch/gateway/programs.py
@@ -46,11 +46,11 @@
     """Handlers of the program API."""
 
     def __init__(self, context: GatewayContext) -> None:
-        """Serve by the shared context."""
+        """Handle requests with the shared `context`."""
         self._context = context
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Register the handlers."""
+        """Register the handlers with `router`."""
         router.add_post(PATH, self.create)
         router.add_get(ONE, self._of_program(self._show))
         router.add_get(ONE + "/history", self._of_program(self._history))
@@ -84,7 +84,7 @@
     def _of_program(
         self, handler: Handler
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
-        """Return a handler that authenticates and checks the program's name first."""
+        """Wrap a handler with authentication and validation of the program name."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
             caller = self._context.caller(request)
--- a/src/foxwinch/gateway/request_body.py
+++ b/src/foxwinch/gateway/request_body.py
@@ -1,4 +1,4 @@
-"""Read and check the bodies of callers' requests within their limits."""
+"""Read and validate request bodies within the caller limits."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 OWN_FIELDS = frozenset(
     {"model", "messages", "stream", "stream_options", "max_tokens", "max_completion_tokens", "n"}
 )
-"""Fields that foxwinch reads itself; all others are passed through to the engine."""
+"""Fields that foxwinch interprets; all others are passed through to the engine."""
 CHECKED_TYPES: dict[str, tuple[tuple[type, ...], str]] = {
     "temperature": ((int, float), "a number"),
     "top_p": ((int, float), "a number"),
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatBody:
-    """A checked body in the chat-completions shape."""
+    """A validated body in the chat-completions format."""
 
     model: str
     messages: tuple[HistoryMessage, ...]
@@ -43,20 +43,20 @@
 
 
 async def read_json(request: web.Request, limits: CallerLimits) -> dict[str, Any] | Refused:
-    """Read a JSON object; a body that does not arrive in time is refused."""
+    """Read a JSON object; returns a refusal if the body is too long, late or malformed."""
     header_bytes = sum(len(name) + len(value) for name, value in request.raw_headers)
     if header_bytes > limits.header_bytes:
         return not_run(
             Reason.INVALID_REQUEST, f"headers are longer than {limits.header_bytes} bytes"
         )
     try:
-        if request.content.is_eof():  # the whole body has arrived: no timer is needed
+        if request.content.is_eof():  # the whole body has arrived; no timeout is needed
             data = await request.read()
         else:
             async with asyncio.timeout(limits.read_seconds):
                 data = await request.read()
     except TimeoutError:
-        detail = f"the body did not arrive within {limits.read_seconds:g} seconds"
+        detail = f"the body was not received within {limits.read_seconds:g} seconds"
         return not_run(Reason.INVALID_REQUEST, detail)
     except web.HTTPRequestEntityTooLarge:
         return not_run(Reason.INVALID_REQUEST, f"the body is longer than {limits.body_bytes} bytes")
@@ -72,7 +72,7 @@
 
 
 def check_chat_body(body: dict[str, Any], may_be_empty: bool) -> ChatBody | Refused:
-    """Check a body in the chat-completions shape; `may_be_empty` allows no messages."""
+    """Validate a body in the chat-completions format; `may_be_empty` permits no messages."""
     model = body.get("model")
     if not isinstance(model, str) or not model:
         return invalid_field("model", model, "the name of a model")
@@ -97,7 +97,7 @@
 
 
 def check_text(body: dict[str, Any], field: str, required: bool) -> str | Refused:
-    """Return a text field, empty when it is absent and not required."""
+    """Return a text field, or an empty string if it is absent and not required."""
     value = body.get(field)
     if value is None and not required:
         return ""
@@ -146,7 +146,7 @@
     if stream is not None and not isinstance(stream, bool):
         return invalid_field("stream", stream, "true or false")
     if body.get("n") not in (None, 1):
-        return invalid_field("n", body["n"], "1: a call gives one answer")
+        return invalid_field("n", body["n"], "1, since a call has one answer")
     for field, (types, allowed) in CHECKED_TYPES.items():
         value = body.get(field)
         if value is not None and (isinstance(value, bool) or not isinstance(value, types)):
--- a/src/foxwinch/gateway/respond.py
+++ b/src/foxwinch/gateway/respond.py
@@ -1,4 +1,4 @@
-"""Turn the events of a request into an HTTP response."""
+"""Convert the events of a request to an HTTP response."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -24,7 +24,7 @@
 from foxwinch.outcomes import Refused
 
 WRITE_SECONDS = 30.0
-"""How long a client may leave a full send buffer unread before its connection is cut."""
+"""Time that a client may leave the send buffer full before its connection is aborted."""
 EVENT_STREAM = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
 
 
@@ -35,7 +35,7 @@
     include_usage: bool,
     first: bool = True,
 ) -> web.StreamResponse:
-    """Stream an answer; a refusal before the first chunk becomes an error response."""
+    """Stream an answer as server-sent events; a refusal before the start is an error response."""
     response: web.StreamResponse | None = None
     encoder: ChunkEncoder | None = None
     unsent = b""
@@ -62,7 +62,7 @@
 async def respond_whole(
     events: AsyncIterator[ProgramEvent], created_seconds: int
 ) -> web.StreamResponse:
-    """Collect an answer and send it as one document."""
+    """Collect an answer and return it as one JSON document."""
     chunks: list[CallChunk] = []
     started: CallStarted | None = None
     async with aclosing(cast(Any, events)):
@@ -76,7 +76,7 @@
                 return web.json_response(document, headers=call_headers(started))
             elif isinstance(item, Refused):
                 return error_response(item)
-    raise AssertionError("a model call's events end with finished or refused")
+    raise AssertionError("the events of a model call must end with `CallFinished` or `Refused`")
 
 
 async def final_event(events: AsyncIterator[ProgramEvent]) -> ProgramEvent:
@@ -90,7 +90,7 @@
 
 
 def call_headers(started: CallStarted) -> dict[str, str]:
-    """Return the headers that name a call."""
+    """Return the response headers that identify a call."""
     return {
         PROGRAM_HEADER: name_of(started.program_id),
         CALL_HEADER: started.call_id,
@@ -99,7 +99,7 @@
 
 
 def tool_document(finished: ToolFinished) -> dict[str, Any]:
-    """Return the answer of a tool call."""
+    """Return the JSON document of a finished tool call."""
     return {
         "object": "tool.result",
         "call_id": finished.call_id,
@@ -108,7 +108,7 @@
 
 
 def program_document(details: ProgramDetails) -> dict[str, Any]:
-    """Return a program without its history."""
+    """Return the JSON document of a program, without its history."""
     parent = details.parent_program_id
     return {
         "object": "program",
@@ -144,7 +144,7 @@
 async def _write(
     request: web.Request, write: Callable[[bytes], Awaitable[None]], data: bytes
 ) -> None:
-    """Write; a client that does not read for too long is cut off."""
+    """Write data; abort the connection of a client that does not read for `WRITE_SECONDS`."""
     transport = request.transport
     if transport is None or transport.get_write_buffer_size() == 0:
         await write(data)
@@ -154,4 +154,4 @@
             await write(data)
     except TimeoutError:
         transport.abort()
-        raise ConnectionResetError("the client does not read") from None
+        raise ConnectionResetError("the client did not read the response in time") from None
--- a/src/foxwinch/gateway/typed_errors.py
+++ b/src/foxwinch/gateway/typed_errors.py
@@ -1,4 +1,4 @@
-"""Errors that the HTTP library or a fault raises, as typed JSON like every other refusal."""
+"""Convert exceptions of aiohttp and unexpected ones to the JSON errors of refusals."""
 
 from aiohttp import web
 from aiohttp.typedefs import Handler, Middleware
@@ -8,11 +8,11 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 
 log = EventLog("gateway")
-INTERNAL = Refused(Reason.INTERNAL, RunState.UNKNOWN, "an internal error; see the node's log")
+INTERNAL = Refused(Reason.INTERNAL, RunState.UNKNOWN, "internal error; see the node's log")
 
 
 def typed_errors() -> Middleware:
-    """Return the middleware."""
+    """Return the aiohttp middleware that converts exceptions to JSON errors."""
 
     @web.middleware
     async def apply(request: web.Request, handler: Handler) -> web.StreamResponse:
--- a/src/foxwinch/queries/__init__.py
+++ b/src/foxwinch/queries/__init__.py
@@ -1,1 +1,1 @@
-"""What only reads state: one module for each query."""
+"""Queries, which only read state, one module for each."""
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -1,4 +1,4 @@
-"""The operators' queries over all nodes of the region, asked of any one node."""
+"""Operator queries over all nodes of the region, answered by any node."""
 
 import asyncio
 from collections.abc import Sequence
@@ -26,9 +26,9 @@
 FACTS_METHOD = "operator.facts"
 PROGRAM_METHOD = "operator.program"
 FACTS_SECONDS = 2.0
-"""A node that does not answer within this is named as silent; far above a region's round trip."""
+"""Timeout after which a node is listed as silent; far above the round trip within a region."""
 NODES_AT_ONCE = 32
-"""Nodes asked side by side, so that a query over hundreds of nodes causes no burst."""
+"""Limit on concurrent requests, so that a query over hundreds of nodes causes no burst."""
 DEFAULT_PROGRAMS = 100
 MAXIMUM_PROGRAMS = 1_000
 ASKED_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalFacts:
-    """What this node reports of itself."""
+    """The state that this node reports about itself."""
 
     node: NodeFacts
     workers: WorkerFacts
@@ -52,7 +52,7 @@
 
 
 class ClusterQueries:
-    """Asks every node for its facts and puts the answers together."""
+    """Requests the facts of every node and merges the answers."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         peers: PeerPort | None,
         local: LocalFacts,
     ) -> None:
-        """Ask the members by `peers`; registers the handlers by which fellow nodes ask."""
+        """Query the members over `peers`, and register handlers for the queries of other nodes."""
         self._membership = membership
         self._locate = locate
         self._peers = peers
@@ -71,20 +71,20 @@
             peers.handle(PROGRAM_METHOD, self._serve_program)
 
     async def nodes(self) -> Sequence[NodeStatus]:
-        """Return every known member, those that answered with their own status."""
+        """Return the status of every known member, with its own report if it answered."""
         facts = await self._ask_all(FactsRequest())
         answered = {answer.node.node: answer.node for answer in facts.answers}
         return [_merged(member, answered.get(member.node)) for member in self._members()]
 
     async def workers(self) -> ListWorkersResponse:
-        """Return the workers of all stewards in order of their names."""
+        """Return the workers of all stewards, sorted by name."""
         facts = await self._ask_all(FactsRequest(workers=True))
         found = [worker for answer in facts.answers for worker in answer.workers]
         found.sort(key=lambda worker: worker.worker)
         return ListWorkersResponse(workers=found, silent_nodes=facts.silent)
 
     async def programs(self, request: ListProgramsRequest) -> ListProgramsResponse:
-        """Return programs that match, the newest first."""
+        """Return the matching programs, newest first."""
         limit = _limit(request)
         facts = await self._ask_all(FactsRequest(programs=request))
         found = [program for answer in facts.answers for program in answer.programs]
@@ -93,7 +93,7 @@
         return ListProgramsResponse(programs=found[:limit], silent_nodes=facts.silent, more=more)
 
     async def program(self, program_id: ProgramId) -> ProgramDetail | Refused:
-        """Return one program, asked of the node that serves it, or as the store has it."""
+        """Return one program from the node that serves it, else from this node or the store."""
         located = await self._locate(root_of(program_id))
         if isinstance(located, Refused):
             return located
@@ -152,7 +152,7 @@
 
 
 def _merged(member: Member, answered: NodeStatus | None) -> NodeStatus:
-    """Return the member as this node sees it, with what the node says of itself."""
+    """Return a node's own report, with the membership fields as this node sees them."""
     status = NodeStatus()
     if answered is not None:
         status.CopyFrom(answered)
--- a/src/foxwinch/queries/configuration.py
+++ b/src/foxwinch/queries/configuration.py
@@ -1,4 +1,4 @@
-"""What configuration is in force, and which revision each node holds."""
+"""Query the configuration revision of each node."""
 
 import asyncio
 from collections.abc import Sequence
@@ -16,18 +16,18 @@
 STATUS_METHOD = "configuration.status"
 STATUS_SECONDS = 2.0
 PARALLEL_CALLS = 32
-"""570 nodes are asked in about twenty rounds of a few milliseconds."""
+"""With this limit, 570 nodes are queried in about twenty rounds of a few milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeRevision:
-    """The configuration at one node."""
+    """The configuration revision of one node."""
 
     node: NodeId
     zone: ZoneName
     state: MemberState
     held: Revision | None
-    """None when the node did not answer."""
+    """None if the node did not answer."""
     heard: Revision | None
     serving: bool
 
@@ -35,7 +35,7 @@
 async def revisions_at_nodes(
     membership: MembershipView, peer: PeerPort, this_revision: ConfigurationStatus
 ) -> Sequence[NodeRevision]:
-    """Ask every known member; a member that does not answer is listed without a revision."""
+    """Query every known member; one that does not answer is listed without a revision."""
     this = membership.this_member()
     places = asyncio.Semaphore(PARALLEL_CALLS)
 
--- a/src/foxwinch/queries/configuration_difference.py
+++ b/src/foxwinch/queries/configuration_difference.py
@@ -1,4 +1,4 @@
-"""How a proposed cluster configuration differs from the one in force."""
+"""Compare a proposed cluster configuration with the one in force."""
 
 import json
 from collections.abc import Iterator, Sequence
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One place where a proposed document differs from the one in force."""
+    """A value that differs between a proposed document and the one in force."""
 
     path: str
     in_force: str | None
-    """JSON of the value, None when it is absent."""
+    """The value as JSON, or None if it is absent."""
     proposed: str | None
 
 
 def parse_document(text: str) -> ClusterConfiguration | SettingsError:
-    """Read and check a document given as JSON."""
+    """Parse and validate a document given as JSON."""
     source = "configuration"
     try:
         values = json.loads(text)
@@ -35,7 +35,7 @@
 def differences(
     snapshot: ConfigurationSnapshot, proposed: ClusterConfiguration
 ) -> Sequence[Difference]:
-    """Compare a proposed document with the one in force; entries of a list go by their name."""
+    """Compare a proposed document with the one in force; list entries are matched by name."""
     old = dict(_leaves("", snapshot.document.model_dump(mode="json")))
     new = dict(_leaves("", proposed.model_dump(mode="json")))
     paths = sorted(path for path in old.keys() | new.keys() if old.get(path) != new.get(path))
--- a/src/foxwinch/queries/facts.py
+++ b/src/foxwinch/queries/facts.py
@@ -1,4 +1,4 @@
-"""What one node alone knows, as its parts report it to the operators' queries."""
+"""Ports by which a node's components report their state to operator queries."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -15,18 +15,18 @@
 
 
 class WorkerFacts(Protocol):
-    """The workers that this node dispatches to."""
+    """Reports the workers that this node is steward of."""
 
     def workers(self) -> Sequence[WorkerStatus]:
-        """Return a status for each worker that this node is steward of."""
+        """Return the status of each worker."""
         ...
 
 
 class ProgramFacts(Protocol):
-    """The programs that this node serves."""
+    """Reports the programs that this node serves."""
 
     def programs(self, request: ListProgramsRequest) -> Sequence[ProgramSummary]:
-        """Return programs that match, one more than the limit when there are more."""
+        """Return the matching programs, up to one more than the request's limit."""
         ...
 
     async def program(self, program_id: ProgramId) -> ProgramDetail | Refused:
@@ -35,18 +35,18 @@
 
 
 class NodeFacts(Protocol):
-    """This node itself."""
+    """Reports the node itself."""
 
     def status(self) -> NodeStatus:
-        """Return the node's own status."""
+        """Return the node's status."""
         ...
 
 
 class NoWorkers:
-    """A node that dispatches to no worker."""
+    """A node that is steward of no worker."""
 
     def workers(self) -> Sequence[WorkerStatus]:
-        """Return none."""
+        """Return an empty sequence."""
         return ()
 
 
@@ -54,9 +54,9 @@
     """A node that serves no program."""
 
     def programs(self, request: ListProgramsRequest) -> Sequence[ProgramSummary]:
-        """Return none."""
+        """Return an empty sequence."""
         return ()
 
     async def program(self, program_id: ProgramId) -> ProgramDetail | Refused:
-        """Refuse: not found."""
+        """Refuse with `NOT_FOUND`."""
         return not_run(Reason.NOT_FOUND, f"program {program_id} is not known")
--- a/src/foxwinch/queries/programs.py
+++ b/src/foxwinch/queries/programs.py
@@ -1,4 +1,4 @@
-"""The programs that this node serves, as operators see them: no content of histories."""
+"""Operator view of the programs that this node serves, without the content of their histories."""
 
 from collections.abc import Iterator, Sequence
 
@@ -22,19 +22,19 @@
 MAXIMUM_LIMIT = 1_000
 KIND_NAMES = {CallAdmitted.MODEL: "model", CallAdmitted.TOOL: "tool", CallAdmitted.SPAWN: "spawn"}
 TURN_REASON = "behind {count} earlier calls of the program"
-UNGRANTED_REASON = "its budget is reserved; it waits for a worker or for the commit of its intent"
+UNGRANTED_REASON = "budget reserved; waiting for a worker or for the commit of the intent"
 
 
 class OwnedPrograms:
     """Implements `foxwinch.queries.facts.ProgramFacts`."""
 
     def __init__(self, owner: ProgramOwner, node: NodeId) -> None:
-        """Read the owner's families; `node` is this node."""
+        """Report the families that `owner` serves; `node` is this node."""
         self._owner = owner
         self._node = node
 
     def programs(self, request: ListProgramsRequest) -> Sequence[ProgramSummary]:
-        """Return programs that match, newest first, one more than the limit when there are more."""
+        """Return the matching programs, newest first, up to one more than the limit."""
         limit = min(request.limit or DEFAULT_LIMIT, MAXIMUM_LIMIT)
         matching = [
             (held, program)
@@ -46,7 +46,7 @@
         return [self._summary(held, program) for held, program in matching[: limit + 1]]
 
     async def program(self, program_id: ProgramId) -> ProgramDetail | Refused:
-        """Return one program with its calls and why each waited and went where it did."""
+        """Return one program with its calls, and the reason for each call's wait and placement."""
         root = root_of(program_id)
         held = self._owner.held(root)
         if held is not None:
@@ -59,7 +59,7 @@
     def _detail(
         self, program: Program | None, program_id: ProgramId, held: HeldFamily | None
     ) -> ProgramDetail | Refused:
-        """Describe a program; one that is not served here as its journal tells."""
+        """Describe a program; `held` is None for one rebuilt from its journal."""
         if program is None:
             return not_run(Reason.NOT_FOUND, f"program {program_id} is not known")
         return ProgramDetail(
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -1,4 +1,4 @@
-"""Scripted engine, tool, journal and grants for tests of the program commands."""
+"""Scripted engine, tool service, journal, grants and limits for tests of program commands."""
 
 import asyncio
 from pathlib import Path
@@ -34,7 +34,7 @@
 
 
 class FakeEngine(IdleEngine):
-    """Answers with `words`, one each `pause_seconds`; `failures` end runs after some chunks."""
+    """Streams `words`, one per `pause_seconds`; `failures` end calls at the given chunk index."""
 
     def __init__(self):
         self.words = ["the ", "next ", "train"]
@@ -60,7 +60,7 @@
 
 
 class FakeTools:
-    """Runs a tool in a second; `answers` overrides the results in order."""
+    """Runs each tool call for `pause_seconds`; `answers` overrides the results in order."""
 
     def __init__(self):
         self.orders = []
@@ -74,7 +74,7 @@
 
 
 class FakeJournal(FamilyJournal):
-    """Keeps records; `refusals` are given in turn, None letting an append through."""
+    """Stores records in memory; `refusals` are returned in order, None accepts an append."""
 
     def __init__(self):
         self.records: list[JournalRecord] = []
@@ -108,7 +108,7 @@
 
 
 class FakeFamilies(Families):
-    """One journal for all families; `elsewhere` names the node that serves them instead."""
+    """One journal for all families; `elsewhere` is another node that serves them."""
 
     def __init__(self, journal):
         self.journal = journal
@@ -132,7 +132,7 @@
 
 
 class FakeGrants:
-    """Grants at once; `refusal` refuses; notes what is settled and finished."""
+    """Grants immediately unless `refusal` is set; records settled and finished grants."""
 
     def __init__(self):
         self.refusal: Refused | None = None
@@ -162,7 +162,7 @@
 
 
 class FakeLimits:
-    """Admits all; counts what is held."""
+    """Admits all calls; `held` is the number of calls that are not settled."""
 
     def __init__(self):
         self.held = 0
@@ -176,7 +176,7 @@
 
 
 class Rig:
-    """One owner of programs on fakes."""
+    """A program owner and router on top of the fakes."""
 
     def __init__(self, forwarder=None, seed=1):
         self.clock = VirtualClock(seed)
@@ -191,7 +191,7 @@
         self.router = ProgramRouter(self.owner, forwarder)
 
     async def reopen(self, records, name="p"):
-        """Serve the family anew from these records, as after the loss of its node."""
+        """Reopen the family from the given records, as after the failure of its node."""
         held = self.owner.held(scoped(TENANT, name))
         if held is not None:
             self.owner.drop(held)
@@ -218,7 +218,7 @@
 
 
 async def collect(events):
-    """Return the text of all chunks and the last event."""
+    """Return the concatenated text of all chunks, and the last event."""
     text, last = "", None
     async for event in events:
         if isinstance(event, CallChunks):
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -1,4 +1,4 @@
-"""Programs of nodes that are gone are taken over although nobody asks for them."""
+"""Programs of failed nodes are taken over without a request for them."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 async def adopted_by(rig, members, holder):
-    """Let a node look over every partition once; return what it has taken over."""
+    """Let a node scan every partition once; return the nodes whose families it took over."""
 
     async def served(partition):
         return [(PROGRAM, NodeId(holder))] if partition == partition_of(PROGRAM) else []
--- a/tests/test_call_retries.py
+++ b/tests/test_call_retries.py
@@ -1,4 +1,4 @@
-"""Repeats of model calls stay within their budget, and a failing worker is left alone."""
+"""Retries of model calls stay within their budget, and circuit breakers stop dispatches."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class TwoWorkers:
-    """Grants the bad worker first, and another one to a call that failed there."""
+    """Grants the bad worker first; a call that failed there is granted the good one, if any."""
 
     def __init__(self, rig, has_good):
         self.failed = set()
--- a/tests/test_drain_forwarding.py
+++ b/tests/test_drain_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that other nodes forward to a draining node are finished or refused truthfully."""
+"""Requests forwarded to a draining node are finished, or refused with the right run state."""
 
 import asyncio
 from dataclasses import replace
@@ -23,7 +23,7 @@
 
 
 async def served_by(virtual, *names):
-    """Let a node serve programs by their first calls."""
+    """Make a node serve programs by running their first calls on it."""
     for name in names:
         assert [event async for event in virtual.execute(call_of(name, "first"))]
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The caller side over HTTP: the `openai` client unchanged, the program API, limits, refusals."""
+"""The HTTP API for callers: the unmodified `openai` client, the program API, limits, refusals."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 HELLO = [{"role": "user", "content": "To Wrecsam, please."}]
 BODY = {"model": "rail-chat", "messages": HELLO, "max_tokens": 8}
 LIMITS = CallerLimits(body_bytes=20_000, header_bytes=2_048, history_bytes=10_000, connections=6)
-"""With the default time for a request to arrive: a machine that stalls is not a slow caller."""
+"""Has the default read timeout, so that a stalled test machine does not look like a slow caller."""
 IMPATIENT = LIMITS.model_copy(update={"read_seconds": 1.0})
 
 
--- a/tests/test_program_commands.py
+++ b/tests/test_program_commands.py
@@ -1,4 +1,4 @@
-"""Commands of programs on virtual time: what callers see, what is run, and what is recorded."""
+"""Program commands on virtual time: events for callers, dispatched work and journal records."""
 
 import asyncio
 
@@ -229,7 +229,7 @@
 
 
 async def take_over(rig):
-    """Lose the first node in the middle of a call; return the next one."""
+    """Drop the family in the middle of a call, and return a second node that reopens it."""
     rig.owner.drop(rig.owner.held(PROGRAM))
     later = Rig(seed=2)
     await later.reopen(rig.journal.records)
@@ -360,7 +360,7 @@
 
 
 def networked():
-    """Return a node that forwards to the one that serves the program, and that one."""
+    """Return the network, both addresses, a node that forwards, and the node that serves."""
     network = MemoryNetwork(seed=3)
     near, far = addresses(2)
     ports = [network.join(NodeId("near"), near), network.join(NodeId("far"), far)]
@@ -494,7 +494,7 @@
 
 
 async def left_running(call):
-    """Return the next node of a call in the middle of which the first was lost, and its records."""
+    """Lose a node in the middle of a call; return a second node and the first one's records."""
     first = Rig()
     await create(first)
     waiting = asyncio.create_task(collect(call(first)))
@@ -536,7 +536,7 @@
 @pytest.mark.parametrize("call", [keyed_model, keyed_tool])
 async def test_abandoning_after_a_takeover_does_not_hide_the_earlier_owners_run(call):
     later, records = await left_running(call)
-    # Ended before the call that is run again has had a turn of the loop.
+    # The program ends before the task of the rerun call has run for the first time.
     held = later.owner._serve(PROGRAM, OpenedFamily(later.journal, records))
     program = held.table.find(PROGRAM)
     assert await end_program(later.ports, held, program, True, "test") is None
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A caller's request goes through a node to a stand-in engine and comes back whole."""
+"""A request passes through a node to an emulated engine, and its answer returns complete."""
 
 import asyncio
 from pathlib import Path
@@ -29,7 +29,7 @@
 
 
 async def until_served(client):
-    """Wait until the workers have stewards, asking again when the node says to."""
+    """Wait until the workers have stewards, retrying after the node's Retry-After."""
     while True:
         async with client.post("/v1/chat/completions", json=CALL) as response:
             if response.status != 503:
