--- a/src/foxwinch/commands/abandon_program.py
+++ b/src/foxwinch/commands/abandon_program.py
@@ -16,11 +16,11 @@
     """Implements `foxwinch.commands.operator.ProgramAbandons`."""
 
     def __init__(self, owner: ProgramOwner) -> None:
-        """Abandon programs of the families that `owner` serves."""
+        """Abandon programs that `owner` serves."""
         self._owner = owner
 
     async def abandon(self, program_id: ProgramId) -> Accepted | Refused:
-        """Cancel the program's calls, end its child programs and release its engine cache."""
+        """Cancel the program's calls, end its child programs and release its KV cache."""
         held = await self._owner.locate(root_of(program_id))
         if isinstance(held, Refused):
             return held
--- a/src/foxwinch/commands/adopt.py
+++ b/src/foxwinch/commands/adopt.py
@@ -1,6 +1,6 @@
 """Take over the programs of failed nodes that receive no further requests.
 
-Otherwise a program whose node has failed would never expire, and its engine cache would never be
+Otherwise a program whose node has failed would never expire, and its KV cache would never be
 released. Each store partition is scanned by one node: the alive member with the highest rendezvous
 hash.
 """
@@ -25,10 +25,10 @@
 
 
 class FamilyAdoption(PeriodicWork):
-    """Scans for families of nodes that are no longer members."""
+    """Scans for program trees of nodes that are no longer members."""
 
     def __init__(self, owner: ProgramOwner, membership: MembershipView) -> None:
-        """Take families over on behalf of `owner`."""
+        """Take program trees over on behalf of `owner`."""
         super().__init__(owner)
         self._membership = membership
 
--- a/src/foxwinch/commands/call_retries.py
+++ b/src/foxwinch/commands/call_retries.py
@@ -78,8 +78,8 @@
     def may_repeat(self, tenant: TenantName, worker: WorkerId, end: Refused, sent: bool) -> bool:
         """Return whether a call may be retried after it ended with `end` at a worker.
 
-        Retries that no backend failure caused are free: those after a change of the steward, and
-        those after an open circuit, where nothing was sent.
+        Retries that no backend failure caused are free: those after a change of the coordinator,
+        and those after an open circuit, where nothing was sent.
         """
         paid = sent and end.reason in BACKEND_REASONS
         if paid and not self._budget.try_repeat(RetryKey(tenant, worker)):
--- a/src/foxwinch/commands/drain_worker.py
+++ b/src/foxwinch/commands/drain_worker.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerDrainAccepted:
-    """The drain state was published by gossip; the worker's steward applies it within seconds."""
+    """The drain state is published by gossip; the coordinator applies it within seconds."""
 
     worker: WorkerId
     draining: bool
--- a/src/foxwinch/commands/end_program.py
+++ b/src/foxwinch/commands/end_program.py
@@ -1,4 +1,4 @@
-"""Finish or abandon a program: end its calls and child programs, and release its engine cache."""
+"""Finish or abandon a program: end its calls and child programs, and release its KV cache."""
 
 import asyncio
 
--- a/src/foxwinch/commands/execute.py
+++ b/src/foxwinch/commands/execute.py
@@ -50,7 +50,7 @@
 
 
 class ProgramExecutor:
-    """Executes requests on programs whose families this node serves."""
+    """Executes requests on the program trees that this node serves."""
 
     def __init__(self, owner: ProgramOwner) -> None:
         """Execute with the ports of `owner`."""
--- a/src/foxwinch/commands/held_family.py
+++ b/src/foxwinch/commands/held_family.py
@@ -1,4 +1,4 @@
-"""A program family that this node serves: its state, running calls and commits."""
+"""A program tree that this node serves: its state, running calls and commits."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -37,7 +37,7 @@
         log: EventLog,
         on_lost: Callable[["HeldFamily"], None],
     ) -> None:
-        """Serve the family of `root`; `on_lost` runs after another node has taken it over."""
+        """Serve the program tree of `root`; `on_lost` runs after another node has taken it over."""
         self.root = root
         self.table = table
         self.journal = journal
@@ -57,7 +57,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no call of the family runs or waits on this node."""
+        """Whether no call of the program tree runs or waits on this node."""
         return not self.running and not self.ending
 
     async def commit(self, records: Sequence[JournalRecord]) -> Refused | None:
@@ -71,7 +71,7 @@
         return refused
 
     async def confirm_read(self) -> Refused | None:
-        """Confirm that this node still serves the family; returns a refusal if it cannot.
+        """Confirm that this node still serves the program tree; returns a refusal if it cannot.
 
         Without this, a node that was partitioned or suspended could serve stale reads.
         """
@@ -85,7 +85,7 @@
     async def commit_until_done(
         self, records: Sequence[JournalRecord], on_delay: Callable[[Refused], None]
     ) -> bool:
-        """Retry a commit until it succeeds; returns False if the family is taken over first.
+        """Retry a commit until it succeeds; returns False if the program tree is taken over first.
 
         `on_delay` is called once, after `COMMIT_PATIENCE_SECONDS` or when the journal is fenced. A
         record that is committed twice after an unknown first attempt is ignored when applied.
@@ -117,7 +117,7 @@
                 self._log.warning("record_dropped", family=self.root, cause=applied.cause)
 
     def _look_for_loss(self, refused: Refused | None) -> None:
-        """Release a fenced family after the caller of the commit has handled the refusal."""
+        """Release a fenced program tree after the caller of the commit has handled the refusal."""
         if refused is not None and refused.reason is Reason.FENCED:
             asyncio.get_running_loop().call_soon(self._on_lost, self)
 
@@ -130,7 +130,7 @@
             running.turn.set_result(None)
 
     def lose(self) -> list[asyncio.Task[None]]:
-        """End all calls because another node serves the family; returns the cancelled tasks."""
+        """End all calls when this node stops serving the tree; returns the cancelled tasks."""
         self.lost = True
         calls = list(self.running.values())
         for call in calls:
@@ -142,7 +142,7 @@
 
 
 def lost_family(run_state: RunState) -> Refused:
-    """Return the refusal of a call whose family another node has taken over."""
+    """Return the refusal of a call whose program tree another node has taken over."""
     if run_state is RunState.NOT_RUN:
         return not_run(Reason.NOT_OWNER, TAKEN_OVER, TAKEN_OVER_RETRY_SECONDS)
     return Refused(Reason.NOT_OWNER, run_state, TAKEN_OVER, TAKEN_OVER_RETRY_SECONDS)
--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -1,8 +1,8 @@
 """Run one model call: grant, intent, dispatch, stream, outcome.
 
 The grant precedes the intent, so that a call without a worker is refused without a journal entry.
-A broken stream is resumed after the chunks that were already received, on the next worker that the
-stewards grant.
+A broken stream is resumed after the chunks that were already received, on the worker of the next
+grant.
 """
 
 import asyncio
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The command is in force."""
+    """The command has been executed, or its execution has started."""
 
 
 class ConfigurationChanges(Protocol):
@@ -78,11 +78,11 @@
 
 
 class FixedWorkers:
-    """Workers without a steward, which cannot be drained."""
+    """Workers without a coordinator, which cannot be drained."""
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
-        """Refuse, since the workers have no steward."""
-        return not_run(Reason.NOT_FOUND, f"worker {worker} has no steward here")
+        """Refuse, since the workers have no coordinator."""
+        return not_run(Reason.NOT_FOUND, f"worker {worker} has no coordinator here")
 
 
 class NoAbandons:
--- a/src/foxwinch/commands/ports.py
+++ b/src/foxwinch/commands/ports.py
@@ -35,10 +35,10 @@
 
 
 class LocateFamily(Protocol):
-    """Locates the node that serves a family; this node starts to serve an unserved one."""
+    """Locates the node that serves a program tree; this node starts to serve an unserved one."""
 
     async def __call__(
         self, root: ProgramId, over: NodeId | None = None
     ) -> HeldFamily | ServedElsewhere | Refused:
-        """Return the family, or the node that serves it; take it over if that node is `over`."""
+        """Return the tree, or the node that serves it; take it over if that node is `over`."""
         ...
--- a/src/foxwinch/commands/program_owner.py
+++ b/src/foxwinch/commands/program_owner.py
@@ -1,7 +1,7 @@
-"""The programs that this node serves: their families and the lifetimes of their calls.
+"""The program trees that this node serves, and the lifetimes of their calls.
 
-A family is opened by the first request for one of its programs. It is served until another node
-takes it over, or until all its programs have ended and their retention time has passed.
+A program tree is opened by the first request for one of its programs. It is served until another
+node takes it over, or until all its programs have ended and their retention time has passed.
 """
 
 import asyncio
@@ -31,26 +31,26 @@
 
 
 class ProgramOwner:
-    """Holds the families of programs that this node serves."""
+    """Holds the program trees that this node serves."""
 
     def __init__(self, ports: ProgramPorts) -> None:
-        """Start without families."""
+        """Start without program trees."""
         self.ports = ports
         self.log = EventLog("programs")
         self.closing = False
-        """True while this node drains and leaves idle families to other nodes."""
+        """True while this node drains and leaves idle program trees to other nodes."""
         self._families: dict[ProgramId, HeldFamily] = {}
         self._opening: dict[ProgramId, asyncio.Task[HeldFamily | ServedElsewhere | Refused]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    # --- families ------------------------------------------------------------------------
+    # --- program trees -------------------------------------------------------------------
 
     async def locate(
         self, root: ProgramId, over: NodeId | None = None
     ) -> HeldFamily | ServedElsewhere | Refused:
-        """Return the family of a root, and start to serve it if no other node does.
+        """Return the program tree of a root, and start to serve it if no other node does.
 
-        A family that the node `over` serves is taken over.
+        A program tree that the node `over` serves is taken over.
         """
         held = self._families.get(root)
         if held is not None:
@@ -64,19 +64,19 @@
         return await asyncio.shield(opening)
 
     def held(self, root: ProgramId) -> HeldFamily | None:
-        """Return a family, or None if this node does not serve it."""
+        """Return a program tree, or None if this node does not serve it."""
         return self._families.get(root)
 
     def families(self) -> Iterator[HeldFamily]:
-        """Iterate over the families that this node serves."""
+        """Iterate over the program trees that this node serves."""
         return iter(list(self._families.values()))
 
     def held_count(self) -> int:
-        """Return the number of families that this node serves."""
+        """Return the number of program trees that this node serves."""
         return len(self._families)
 
     def drop(self, held: HeldFamily) -> None:
-        """Release a family: end its running calls with their true run state and free its memory."""
+        """Release a program tree: end its calls with their true run state and free its memory."""
         if self._families.get(held.root) is not held:
             return
         del self._families[held.root]
@@ -92,7 +92,7 @@
         return self._serve(root, opened)
 
     def _serve(self, root: ProgramId, opened: OpenedFamily) -> HeldFamily:
-        """Rebuild a family's programs from the journal and recover the calls that were running."""
+        """Rebuild a program tree from its journal and recover the calls that were running."""
         table = ProgramTable(opened.records)
         held = HeldFamily(root, table, opened.journal, self.ports.clock, self.log, self.drop)
         self._families[root] = held
@@ -144,7 +144,7 @@
         return await asyncio.shield(task)
 
     async def stop(self) -> None:
-        """Release all families and cancel all tasks."""
+        """Release all program trees and cancel all tasks."""
         for held in self.families():
             self.drop(held)
         tasks = list(self._tasks)
--- a/src/foxwinch/commands/router.py
+++ b/src/foxwinch/commands/router.py
@@ -1,6 +1,6 @@
 """Execute a request on this node, or forward it to the node that serves its program.
 
-If that node is unreachable or has released the program, this node takes over the program's family
+If that node is unreachable or has released the program, this node takes over the program tree
 immediately.
 """
 
@@ -75,7 +75,7 @@
     async def _forward(
         self, root: ProgramId, served: ServedElsewhere, request: ProgramRequest
     ) -> AsyncIterator[ProgramEvent]:
-        """Forward a request; take the family over if the other node has certainly not run it."""
+        """Forward a request; take over the tree if the other node has certainly not run it."""
         assert self._forwarder is not None
         first = True
         async with aclosing(cast(Any, self._forwarder.forward(served, request))) as events:
--- a/src/foxwinch/commands/sweep.py
+++ b/src/foxwinch/commands/sweep.py
@@ -1,4 +1,4 @@
-"""Expiry of calls without followers, idle programs, ended programs and empty families."""
+"""Expiry of calls without followers, idle programs, ended programs and empty program trees."""
 
 from foxwinch.commands.end_program import end_program
 from foxwinch.commands.held_family import HeldFamily
@@ -12,13 +12,13 @@
 RECONNECT_SECONDS = 10.0
 """Time for which a call with an idempotency key runs on after its caller has disconnected."""
 EMPTY_SECONDS = 5.0
-"""Minimum lifetime of a family without programs, because its first call may be in flight."""
+"""Minimum lifetime of a program tree without programs, because its first call may be in flight."""
 RETENTION_SECONDS = 600.0
 """Time for which a finished program can be read and its calls repeated by idempotency key."""
 
 
 class ProgramSweeper(PeriodicWork):
-    """Periodically expires the calls, programs and families that this node serves."""
+    """Periodically expires the calls, programs and program trees that this node serves."""
 
     async def _run(self) -> None:
         while True:
@@ -28,7 +28,7 @@
                 await self._remove_if_over(held)
 
     def sweep(self, held: HeldFamily) -> None:
-        """Expire the calls and programs of one family."""
+        """Expire the calls and programs of one program tree."""
         now = self._clock.monotonic()
         for call in list(held.running.values()):
             left_at = call.unfollowed_at_seconds
@@ -44,7 +44,7 @@
                 held.table.forget(program.program_id)
 
     async def _remove_if_over(self, held: HeldFamily) -> None:
-        """Release a family that has no programs left, and remove its journal from the store."""
+        """Release a tree that has no programs left, and remove its journal from the store."""
         kept_seconds = self._clock.monotonic() - held.opened_at_seconds
         if len(held.table) or not held.idle or kept_seconds < EMPTY_SECONDS:
             return
--- a/src/foxwinch/gateway/authentication.py
+++ b/src/foxwinch/gateway/authentication.py
@@ -28,7 +28,7 @@
     """Finds tenants by their keys, which are indexed once per configuration revision."""
 
     def __init__(self, configuration: ConfigurationView) -> None:
-        """Look up keys in the configuration that is in force at each request."""
+        """Look up keys in the configuration that is active at each request."""
         self._configuration = configuration
         self._revision: Revision | None = None
         self._tenants: dict[str, TenantName] = {}
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -26,7 +26,7 @@
 FACTS_METHOD = "operator.facts"
 PROGRAM_METHOD = "operator.program"
 FACTS_SECONDS = 2.0
-"""Timeout after which a node is listed as silent; far above the round trip within a region."""
+"""Timeout after which a node is listed as unresponsive; far above a region's round-trip time."""
 NODES_AT_ONCE = 32
 """Limit on concurrent requests, so that a query over hundreds of nodes causes no burst."""
 DEFAULT_PROGRAMS = 100
@@ -77,7 +77,7 @@
         return [_merged(member, answered.get(member.node)) for member in self._members()]
 
     async def workers(self) -> ListWorkersResponse:
-        """Return the workers of all stewards, sorted by name."""
+        """Return the workers of all coordinators, sorted by name."""
         facts = await self._ask_all(FactsRequest(workers=True))
         found = [worker for answer in facts.answers for worker in answer.workers]
         found.sort(key=lambda worker: worker.worker)
--- a/src/foxwinch/queries/configuration_difference.py
+++ b/src/foxwinch/queries/configuration_difference.py
@@ -1,4 +1,4 @@
-"""Compare a proposed cluster configuration with the one in force."""
+"""Compare a proposed cluster configuration with the active one."""
 
 import json
 from collections.abc import Iterator, Sequence
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A value that differs between a proposed document and the one in force."""
+    """A value that differs between a proposed document and the active one."""
 
     path: str
     in_force: str | None
@@ -35,7 +35,7 @@
 def differences(
     snapshot: ConfigurationSnapshot, proposed: ClusterConfiguration
 ) -> Sequence[Difference]:
-    """Compare a proposed document with the one in force; list entries are matched by name."""
+    """Compare a proposed document with the active one; list entries are matched by name."""
     old = dict(_leaves("", snapshot.document.model_dump(mode="json")))
     new = dict(_leaves("", proposed.model_dump(mode="json")))
     paths = sorted(path for path in old.keys() | new.keys() if old.get(path) != new.get(path))
--- a/src/foxwinch/queries/facts.py
+++ b/src/foxwinch/queries/facts.py
@@ -15,7 +15,7 @@
 
 
 class WorkerFacts(Protocol):
-    """Reports the workers that this node is steward of."""
+    """Reports the workers that this node coordinates."""
 
     def workers(self) -> Sequence[WorkerStatus]:
         """Return the status of each worker."""
@@ -43,7 +43,7 @@
 
 
 class NoWorkers:
-    """A node that is steward of no worker."""
+    """A node that coordinates no workers."""
 
     def workers(self) -> Sequence[WorkerStatus]:
         """Return an empty sequence."""
--- a/src/foxwinch/queries/programs.py
+++ b/src/foxwinch/queries/programs.py
@@ -29,7 +29,7 @@
     """Implements `foxwinch.queries.facts.ProgramFacts`."""
 
     def __init__(self, owner: ProgramOwner, node: NodeId) -> None:
-        """Report the families that `owner` serves; `node` is this node."""
+        """Report the program trees that `owner` serves; `node` is this node."""
         self._owner = owner
         self._node = node
 
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -108,7 +108,7 @@
 
 
 class FakeFamilies(Families):
-    """One journal for all families; `elsewhere` is another node that serves them."""
+    """One journal for all program trees; `elsewhere` is another node that serves them."""
 
     def __init__(self, journal):
         self.journal = journal
@@ -191,7 +191,7 @@
         self.router = ProgramRouter(self.owner, forwarder)
 
     async def reopen(self, records, name="p"):
-        """Reopen the family from the given records, as after the failure of its node."""
+        """Reopen the program tree from the given records, as after the failure of its node."""
         held = self.owner.held(scoped(TENANT, name))
         if held is not None:
             self.owner.drop(held)
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -28,7 +28,7 @@
 
 
 async def adopted_by(rig, members, holder):
-    """Let a node scan every partition once; return the nodes whose families it took over."""
+    """Let a node scan every partition once; return the nodes whose program trees it took over."""
 
     async def served(partition):
         return [(PROGRAM, NodeId(holder))] if partition == partition_of(PROGRAM) else []
--- a/tests/test_program_commands.py
+++ b/tests/test_program_commands.py
@@ -229,7 +229,7 @@
 
 
 async def take_over(rig):
-    """Drop the family in the middle of a call, and return a second node that reopens it."""
+    """Drop the program tree in the middle of a call, and return a second node that reopens it."""
     rig.owner.drop(rig.owner.held(PROGRAM))
     later = Rig(seed=2)
     await later.reopen(rig.journal.records)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -29,7 +29,7 @@
 
 
 async def until_served(client):
-    """Wait until the workers have stewards, retrying after the node's Retry-After."""
+    """Wait until the workers have coordinators, retrying after the node's Retry-After."""
     while True:
         async with client.post("/v1/chat/completions", json=CALL) as response:
             if response.status != 503:
