--- a/src/foxwinch/commands/call_retries.py
+++ b/src/foxwinch/commands/call_retries.py
@@ -34,7 +34,7 @@
     def __init__(self, registry: CollectorRegistry | None = None) -> None:
         """Start with closed circuits and full budgets; register the metrics with `registry`."""
         self._budget = RetryBudget()
-        self._circuits: LRUCache[WorkerId, Circuit] = LRUCache(CIRCUITS_MAXIMUM)
+        self._circuits: LRUCache[WorkerId, Circuit] = LRUCache(MAX_CIRCUITS)
         self._retries = Counter(
             "foxwinch_call_retries", "Model call dispatches that were retries", registry=registry
         )
--- a/src/foxwinch/commands/ports.py
+++ b/src/foxwinch/commands/ports.py
@@ -6,12 +6,12 @@
 from foxwinch.backends.ports import GeneratePort, ToolPort
 from foxwinch.clock import Clock
 from foxwinch.commands.call_retries import CallRetries
-from foxwinch.commands.held_family import HeldFamily
+from foxwinch.commands.served_tree import ServedTree
 from foxwinch.configuration.ports import ConfigurationView
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.limits.ports import LimitView
 from foxwinch.outcomes import Refused
-from foxwinch.records.families import Families, ServedElsewhere
+from foxwinch.records.program_trees import OwnedElsewhere, ProgramTreeStore
 from foxwinch.workers.ports import GrantView
 
 DEFAULT_HISTORY_BYTES = 4 * 1024 * 1024
@@ -23,7 +23,7 @@
 
     clock: Clock
     configuration: ConfigurationView
-    families: Families
+    trees: ProgramTreeStore
     grants: GrantView
     limits: LimitView
     engine: GeneratePort
--- a/src/foxwinch/commands/held_family.py
+++ b/src/foxwinch/commands/served_tree.py
@@ -6,12 +6,12 @@
 from foxwinch._generated.journal_pb2 import JournalRecord
 from foxwinch.clock import Clock
 from foxwinch.commands.running_call import RunningCall
-from foxwinch.core.program.requests import Dropped
+from foxwinch.core.program.requests import Ignored
 from foxwinch.core.program.table import ProgramTable
 from foxwinch.identifiers import CallId, ProgramId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
-from foxwinch.records.families import FamilyJournal
+from foxwinch.records.program_trees import TreeJournal
 
 READ_RETRY_SECONDS = 0.5
 """Retry-After for a read that the store did not confirm."""
@@ -32,10 +32,10 @@
         self,
         root: ProgramId,
         table: ProgramTable,
-        journal: FamilyJournal,
+        journal: TreeJournal,
         clock: Clock,
         log: EventLog,
-        on_lost: Callable[["HeldFamily"], None],
+        on_lost: Callable[["ServedTree"], None],
     ) -> None:
         """Serve the program tree of `root`; `on_lost` runs after another node has taken it over."""
         self.root = root
@@ -53,7 +53,7 @@
         self._clock = clock
         self._log = log
         self._on_lost = on_lost
-        journal.on_applied(self.apply)
+        journal.on_late_append(self.apply)
 
     @property
     def idle(self) -> bool:
@@ -63,7 +63,7 @@
     async def commit(self, records: Sequence[JournalRecord]) -> Refused | None:
         """Append records and apply them; returns a refusal if they are not committed."""
         if self.lost:
-            return lost_family(RunState.NOT_RUN)
+            return lost_tree(RunState.NOT_RUN)
         refused = await self.journal.append(records)
         if refused is None:
             self.apply(records)
@@ -113,7 +113,7 @@
             if self.uncommitted.pop(created, None) is not None:
                 continue  # it was applied when the first call arrived
             applied = self.table.apply(record)
-            if isinstance(applied, Dropped):
+            if isinstance(applied, Ignored):
                 self._log.warning("record_dropped", family=self.root, cause=applied.cause)
 
     def _look_for_loss(self, refused: Refused | None) -> None:
@@ -134,7 +134,7 @@
         self.lost = True
         calls = list(self.running.values())
         for call in calls:
-            call.end(lost_family(RunState.UNKNOWN if call.intent_sent else RunState.NOT_RUN))
+            call.end(lost_tree(RunState.UNKNOWN if call.intent_sent else RunState.NOT_RUN))
         tasks = [call.task for call in calls if call.task is not None]
         for task in tasks:
             task.cancel()
--- a/src/foxwinch/commands/sweep.py
+++ b/src/foxwinch/commands/sweep.py
@@ -1,10 +1,10 @@
 """Expiry of calls without followers, idle programs, ended programs and empty program trees."""
 
 from foxwinch.commands.end_program import end_program
-from foxwinch.commands.held_family import HeldFamily
 from foxwinch.commands.periodic import PeriodicWork
 from foxwinch.commands.program_owner import CLIENT_GONE
-from foxwinch.core.program.lifetime import cause_of_abandonment
+from foxwinch.commands.served_tree import ServedTree
+from foxwinch.core.program.lifetime import abandonment_reason
 from foxwinch.core.program.state import Program
 from foxwinch.outcomes import Reason
 
@@ -23,7 +23,7 @@
     async def _run(self) -> None:
         while True:
             await self._clock.sleep(SWEEP_SECONDS)
-            for held in self._owner.families():
+            for held in self._owner.trees():
                 self.sweep(held)
                 await self._remove_if_over(held)
 
@@ -36,7 +36,7 @@
                 call.cancel(CLIENT_GONE)
         wall = self._clock.wall()
         for program in list(held.table):
-            cause = cause_of_abandonment(program, wall)
+            cause = abandonment_reason(program, wall)
             if cause is not None:
                 if program.program_id not in held.ending:
                     self._owner.spawn_task(self._abandon(held, program, cause))
@@ -52,7 +52,7 @@
         if refused is None or refused.reason is Reason.FENCED:
             self._owner.drop(held)
 
-    async def _abandon(self, held: HeldFamily, program: Program, cause: str) -> None:
+    async def _abandon(self, held: ServedTree, program: Program, cause: str) -> None:
         refused = await end_program(self._owner.ports, held, program, True, cause)
         self._owner.log.info(
             "program_abandoned",
--- a/src/foxwinch/commands/tool_call.py
+++ b/src/foxwinch/commands/tool_call.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from foxwinch._generated.journal_pb2 import CallAdmitted, CallOutcome, HistoryMessage
-from foxwinch.backends.ports import ToolOrder, ToolResult
+from foxwinch.backends.ports import ToolRequest, ToolResult
 from foxwinch.commands.attempts import before_first, with_earlier
 from foxwinch.commands.call_lifecycle import CallLifecycle
 from foxwinch.commands.ports import ProgramPorts
@@ -59,7 +59,7 @@
             if intent is None or await self._prepare(intent):
                 await self._finish(await self._attempts())
         except asyncio.CancelledError:
-            if self.life.family.lost or not self.life.running.cancel_cause:
+            if self.life.tree.lost or not self.life.running.cancel_cause:
                 raise
             await self._cancelled()
         finally:
@@ -84,7 +84,7 @@
 
     async def _attempts(self) -> ToolResult | Refused:
         assert self.admitted is not None
-        order = ToolOrder(
+        order = ToolRequest(
             call_id=self.life.running.call_id,
             program_id=self.life.program.program_id,
             tool=ToolName(self.admitted.target),
@@ -109,7 +109,7 @@
             if isinstance(end, ToolResult):
                 return end
             earlier = with_earlier(end, earlier)
-            if attempt >= MAXIMUM_ATTEMPTS or not self._may_retry(end):
+            if attempt >= MAX_ATTEMPTS or not self._may_retry(end):
                 return earlier
             await self.ports.clock.sleep(RETRY_SECONDS * 2**attempt * self.ports.clock.uniform())
             attempt += 1
--- a/src/foxwinch/commands/adopt.py
+++ b/src/foxwinch/commands/tree_takeover.py
@@ -40,7 +40,7 @@
                     await self._look(partition_name(number))
 
     async def _look(self, partition: str) -> None:
-        served = await self._owner.ports.families.served(partition)
+        served = await self._owner.ports.trees.served(partition)
         if isinstance(served, Refused):
             return
         for root, node in self._orphans(served):
@@ -51,7 +51,7 @@
     def _orphans(
         self, served: Sequence[tuple[ProgramId, NodeId]]
     ) -> list[tuple[ProgramId, NodeId]]:
-        present = {m.node for m in self._membership.members() if m.state in PRESENT}
+        present = {m.node for m in self._membership.members() if m.state in PRESENT_STATES}
         return [(root, node) for root, node in served if node not in present]
 
     def _is_mine(self, number: int) -> bool:
--- a/src/foxwinch/core/program/state.py
+++ b/src/foxwinch/core/program/state.py
@@ -22,7 +22,7 @@
     ADMITTED = "admitted"
     """Its budget is reserved and its intent is being committed, or it waits for a worker."""
     GRANTED = "granted"
-    """A steward has granted a worker."""
+    """A coordinator has granted a worker."""
     RUNNING = "running"
     """Dispatched to a back end."""
     COMMITTING = "committing"
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class Program:
-    """One program: its history, budget, calls and place in a family."""
+    """One program: its history, budget, calls and place in a program tree."""
 
     created: ProgramCreated
     ledger: Ledger
--- a/src/foxwinch/http_exchange.py
+++ b/src/foxwinch/http_exchange.py
@@ -17,9 +17,9 @@
 
 CONNECT_SECONDS = 3.0
 """For a connection to be made; back ends and the platform are near."""
-MAXIMUM_RETRY_AFTER_SECONDS = 3_600.0
+MAX_RETRY_AFTER_SECONDS = 3_600.0
 """A service that asks for more is taken to mean this."""
-MAXIMUM_ANSWER_BYTES = 32 * 1024 * 1024
+MAX_ANSWER_BYTES = 32 * 1024 * 1024
 """A whole answer is held in memory, of which a node has 256 MB."""
 HEADER_RUN_STATE = "x-run-state"
 """A service tells by it that a refused request did not run; without it a 5xx is `unknown`."""
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A whole answer of any status."""
 
     status: int
@@ -79,7 +79,7 @@
 
 async def exchange(
     session: aiohttp.ClientSession, service: Service, request: HttpRequest
-) -> HttpAnswer | Refused:
+) -> HttpResponse | Refused:
     """Send a request once and read its whole answer."""
     if not _sendable(request):
         return not_run(Reason.INVALID_REQUEST, "a header value holds control characters")
@@ -100,7 +100,7 @@
                 return outcome_unknown(service.unavailable, f"{service.name} answered too much")
             retry_after = read_retry_after(response.headers.get(HEADER_RETRY_AFTER))
             run_state = response.headers.get(HEADER_RUN_STATE)
-            return HttpAnswer(response.status, body, retry_after, run_state)
+            return HttpResponse(response.status, body, retry_after, run_state)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
         return not_run(service.unavailable, f"{service.name} cannot be reached")
     except (aiohttp.InvalidURL, aiohttp.NonHttpUrlClientError):
@@ -122,12 +122,12 @@
     body = bytearray()
     async for piece in response.content.iter_any():
         body += piece
-        if len(body) > MAXIMUM_ANSWER_BYTES:
+        if len(body) > MAX_ANSWER_BYTES:
             return None
     return bytes(body)
 
 
-def refusal(service: Service, answer: HttpAnswer) -> Refused:
+def refusal(service: Service, answer: HttpResponse) -> Refused:
     """Return what a status that the adapter does not know means.
 
     429 and other client errors are refusals before any work. A redirect, another success or a
@@ -162,4 +162,4 @@
         return None
     if not math.isfinite(seconds) or seconds < 0:
         return None
-    return min(seconds, MAXIMUM_RETRY_AFTER_SECONDS)
+    return min(seconds, MAX_RETRY_AFTER_SECONDS)
--- a/src/foxwinch/platform/front_door.py
+++ b/src/foxwinch/platform/front_door.py
@@ -23,11 +23,11 @@
     TOKENS,
 )
 from foxwinch.serving.messages import (
-    AnswerHead,
-    ModelTerms,
-    ProgramTerms,
+    ModelParameters,
+    ProgramParameters,
     RejectedRequest,
     Rejection,
+    ResponseHead,
     ServiceRequest,
 )
 from foxwinch.serving.node import ServingNode
@@ -117,19 +117,19 @@
             return None
 
 
-def _program(headers: Mapping[str, str]) -> ProgramTerms | None:
+def _program(headers: Mapping[str, str]) -> ProgramParameters | None:
     program_id = headers.get(PROGRAM)
     if not program_id:
         return None
     finish_ms = _number(headers.get(FINISH_MS))
-    return ProgramTerms(
+    return ProgramParameters(
         program_id,
         headers.get(LINE) or program_id,
         finish_ms / 1e3 if finish_ms is not None else None,
     )
 
 
-def _model(headers: Mapping[str, str]) -> ModelTerms | None:
+def _model(headers: Mapping[str, str]) -> ModelParameters | None:
     tokens = headers.get(TOKENS)
     if not tokens:
         return None
@@ -140,7 +140,7 @@
         if separator:
             parts.append((identity, int(size)))
     hint = _integer(headers.get(LENGTH_HINT))
-    return ModelTerms(int(prompt), int(output or 0), hint, tuple(parts))
+    return ModelParameters(int(prompt), int(output or 0), hint, tuple(parts))
 
 
 def _number(value: str | None) -> float | None:
@@ -181,14 +181,14 @@
             response.headers[REQUEST_ID] = request_id
         await self._send(response)
 
-    async def answer(self, head: AnswerHead, body: bytes) -> None:
+    async def answer(self, head: ResponseHead, body: bytes) -> None:
         """Give a worker's whole answer."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall("Content-Type", None)
         response.headers.extend(head.headers)
         await self._send(response)
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def begin(self, head: ResponseHead) -> None:
         """Begin a stream."""
         response = web.StreamResponse(status=head.status)
         response.headers.extend(head.headers)
--- a/src/foxwinch/serving/attempts.py
+++ b/src/foxwinch/serving/attempts.py
@@ -15,22 +15,22 @@
 from foxwinch.log import EventLog, age_ms
 from foxwinch.serving.messages import (
     CallFailure,
-    CallLost,
+    CallInterrupted,
     CallRefused,
     OutgoingCall,
     RejectedRequest,
     Rejection,
     ServiceRequest,
-    WorkerAnswer,
+    WorkerResponse,
 )
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.ports import RoutingView, Workers
 
-OFFERS_MAXIMUM = 4
+MAX_OFFERS = 4
 """Workers that one request is offered to while each says that it did not run it."""
 NO_WORKER_RETRY_SECONDS = 0.25
 SHED_RETRY_SECONDS = 0.3
-SHORTEST_CALL_SECONDS = 0.02
+MIN_CALL_SECONDS = 0.02
 """With less time left no worker can do anything."""
 PATIENCE_TARGETS = 4.0
 """A worker that has not begun to answer after so many of the route's target times is taken for
@@ -63,7 +63,7 @@
     """A worker has begun to answer."""
 
     worker: Worker
-    answer: WorkerAnswer
+    answer: WorkerResponse
 
 
 class Dispatcher:
@@ -96,17 +96,17 @@
         shed: CallRefused | None = None
         while True:
             left = attempts.end_at - self._clock.monotonic()
-            if left < SHORTEST_CALL_SECONDS:
+            if left < MIN_CALL_SECONDS:
                 return _out_of_time(attempts)
             worker = self._choose(attempts, last_worker)
-            if worker is None or offers >= OFFERS_MAXIMUM:
+            if worker is None or offers >= MAX_OFFERS:
                 return _not_served(attempts, shed)
             offers += 1
             attempts.offered.add(worker.worker_id)
             outcome = await self._call(worker, attempts, left)
             if isinstance(outcome, CallRefused):
                 shed = outcome
-            elif isinstance(outcome, CallLost):
+            elif isinstance(outcome, CallInterrupted):
                 attempts.ran_on.add(worker.worker_id)
                 if not self.may_run_again(attempts):
                     return RejectedRequest(Rejection.FAILED, outcome.failure.value)
@@ -165,7 +165,7 @@
 
     async def _call(
         self, worker: Worker, attempts: Attempts, left: float
-    ) -> WorkerAnswer | CallRefused | CallLost:
+    ) -> WorkerResponse | CallRefused | CallInterrupted:
         call = OutgoingCall(
             attempts.request,
             attempts.body,
@@ -179,7 +179,7 @@
         now = self._clock.monotonic()
         if isinstance(outcome, CallRefused):
             self._note_refused(worker, outcome, attempts.request.request_id)
-        elif isinstance(outcome, CallLost):
+        elif isinstance(outcome, CallInterrupted):
             self.failed(worker, outcome.failure, attempts.request.request_id)
         else:
             self.loads.began_to_answer(worker.incarnation, now - began, now)
@@ -187,12 +187,12 @@
 
     async def _answer_of(
         self, worker: Worker, call: OutgoingCall, patience_seconds: float
-    ) -> WorkerAnswer | CallRefused | CallLost:
+    ) -> WorkerResponse | CallRefused | CallInterrupted:
         try:
             async with asyncio.timeout(patience_seconds):
                 return await self._workers.call(worker, call)
         except TimeoutError:
-            return CallLost(CallFailure.SILENT, f"no answer in {patience_seconds:.2f} s")
+            return CallInterrupted(CallFailure.SILENT, f"no answer in {patience_seconds:.2f} s")
 
     def _patience(self, attempts: Attempts, left: float) -> float:
         """Return for how long to wait for a worker to begin its answer."""
--- a/src/foxwinch/storage/rate_limit.py
+++ b/src/foxwinch/storage/rate_limit.py
@@ -4,7 +4,7 @@
 from foxwinch.core.limits.token_bucket import TokenBucket
 from foxwinch.outcomes import Reason, Refused, not_run
 
-MAXIMUM_WAIT_SECONDS = 2.0
+MAX_WAIT_SECONDS = 2.0
 """A request that would wait longer is refused at once, and told when to come back."""
 
 
@@ -23,7 +23,7 @@
         now = self._clock.monotonic()
         bucket = self._started(now)
         wait = max(0.0, 1.0 - bucket.available(now)) / self._rate
-        if wait > MAXIMUM_WAIT_SECONDS:
+        if wait > MAX_WAIT_SECONDS:
             return not_run(Reason.RATE_LIMITED, "the node's own share of the rate is used", wait)
         wait = bucket.reserve(1.0, now)
         if wait > 0:
@@ -35,7 +35,7 @@
         if not isinstance(outcome, Refused) or outcome.reason is not Reason.RATE_LIMITED:
             return
         now = self._clock.monotonic()
-        self._started(now).hold_for(outcome.retry_after_seconds or 0.0, now)
+        self._started(now).pause_for(outcome.retry_after_seconds or 0.0, now)
 
     def _started(self, now: float) -> TokenBucket:
         if self._bucket is None:
