--- a/src/foxwinch/commands/call_lifecycle.py
+++ b/src/foxwinch/commands/call_lifecycle.py
@@ -70,7 +70,7 @@
 
     def refuse(self, refused: Refused) -> None:
         """End a call whose intent has not been sent to the journal."""
-        self.family.table.withdraw(self.program, self.running.call_id)
+        self.tree.table.withdraw(self.program, self.running.call_id)
         self.running.end(refused)
 
     async def commit_intent(self, following: list[JournalRecord] | None = None) -> bool:
@@ -104,7 +104,7 @@
 
     def step(self, state: CallState) -> None:
         """Set the state of the call."""
-        self.family.table.step(self.program, self.running.call_id, state)
+        self.tree.table.step(self.program, self.running.call_id, state)
 
     async def commit_outcome(self, outcome: CallOutcome, final: FinalEvent) -> None:
         """Commit the outcome, then send the final event to the followers."""
@@ -144,9 +144,9 @@
 
     def close(self) -> None:
         """Remove the call and start the program's next one; runs whenever the call's task ends."""
-        family, program = self.family, self.program
-        family.running.pop(self.running.call_id, None)
-        if family.lost:
+        tree, program = self.tree, self.program
+        tree.running.pop(self.running.call_id, None)
+        if tree.lost:
             return
         tree.advance(program.program_id)
         creation_open = program.program_id in tree.uncommitted
--- a/src/foxwinch/commands/call_retries.py
+++ b/src/foxwinch/commands/call_retries.py
@@ -20,7 +20,7 @@
 BACKOFF = Backoff(base_seconds=0.1, cap_seconds=2.0)
 RETRY_AFTER_SECONDS = 1.0
 """Retry-After for a call that was refused because the retry budget is exhausted."""
-CIRCUITS_MAXIMUM = 4_096
+MAX_CIRCUITS = 4_096
 """Greater than the number of workers in the largest configuration."""
 BACKEND_REASONS = frozenset({Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED})
 """Failures of the backend: they count in its circuit breaker, and retries draw on the budget."""
--- a/src/foxwinch/commands/execute.py
+++ b/src/foxwinch/commands/execute.py
@@ -32,7 +32,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.settings.cluster import ClusterConfiguration, TemplateSettings
 
-MAXIMUM_WAITING_CALLS = 64
+MAX_WAITING_CALLS = 64
 """Limit on queued calls per program."""
 WAITING_RETRY_SECONDS = 1.0
 NOT_FOUND = not_run(Reason.NOT_FOUND, "the program is not known")
@@ -57,7 +57,7 @@
         self._owner = owner
         self._ports = owner.ports
 
-    def execute(self, held: HeldFamily, request: ProgramRequest) -> AsyncIterator[ProgramEvent]:
+    def execute(self, held: ServedTree, request: ProgramRequest) -> AsyncIterator[ProgramEvent]:
         """Execute a request and iterate over its events."""
         match request:
             case ModelCallRequest():
@@ -75,7 +75,7 @@
             case HistoryRequest():
                 return self._read(held, request)
 
-    async def _read(self, held: HeldFamily, request: HistoryRequest) -> AsyncIterator[ProgramEvent]:
+    async def _read(self, held: ServedTree, request: HistoryRequest) -> AsyncIterator[ProgramEvent]:
         """Read a program after confirming that no other node has taken it over."""
         refused = await held.confirm_read()
         if refused is not None:
@@ -185,8 +185,8 @@
         if program.program_id in held.ending:
             detail = "the program is being finished or abandoned"
             return one_event(not_run(Reason.PROGRAM_FINISHED, detail))
-        if len(program.waiting) >= MAXIMUM_WAITING_CALLS:
-            detail = f"the program already has {MAXIMUM_WAITING_CALLS} waiting calls"
+        if len(program.waiting) >= MAX_WAITING_CALLS:
+            detail = f"the program already has {MAX_WAITING_CALLS} waiting calls"
             return one_event(not_run(Reason.OVERLOADED, detail, WAITING_RETRY_SECONDS))
         found = held.table.submit(
             program, intent.call_id, intent.idempotency_key, intent.request_hash
--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -29,7 +29,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.workers.ports import Grant, GrantRequest, GrantUsage
 
-MAXIMUM_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Dispatches of one model call, including the first; avoids a retry storm on a recovering zone."""
 RETRIED_REASONS = frozenset({Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED, Reason.FENCED})
 
@@ -138,7 +138,7 @@
         self.prefix_hashes = block_hashes(rendered)
 
     async def _attempts(self) -> GenerateFinished | Refused:
-        """Dispatch the call, with up to `MAXIMUM_ATTEMPTS` attempts."""
+        """Dispatch the call, with up to `MAX_ATTEMPTS` attempts."""
         attempt = 1
         retries = self.ports.retries
         earlier = before_first(self.life.running.rerun)
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -51,7 +51,7 @@
         ...
 
 
-class ProgramAbandons(Protocol):
+class ProgramAbandonPort(Protocol):
     """Abandonment of programs that this node serves."""
 
     async def abandon(self, program_id: ProgramId) -> Accepted | Refused:
@@ -59,7 +59,7 @@
         ...
 
 
-class FixedConfiguration:
+class StaticConfiguration:
     """A configuration that is fixed for the lifetime of the process."""
 
     def __init__(self, node: NodeId, zone: ZoneName) -> None:
@@ -77,7 +77,7 @@
         return (self._row,)
 
 
-class FixedWorkers:
+class StaticWorkers:
     """Workers without a coordinator, which cannot be drained."""
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
@@ -99,7 +99,7 @@
 
     drain_node: Callable[[], None]
     """Starts to drain this node; idempotent."""
-    configuration: ConfigurationChanges
+    configuration: ConfigurationChangePort
     workers: WorkerDrains
     programs: ProgramAbandonPort
 
--- a/src/foxwinch/commands/ports.py
+++ b/src/foxwinch/commands/ports.py
@@ -34,11 +34,11 @@
     """Circuit breakers and retry budgets, shared by all calls of the node."""
 
 
-class LocateFamily(Protocol):
+class LocateTree(Protocol):
     """Locates the node that serves a program tree; this node starts to serve an unserved one."""
 
     async def __call__(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> HeldFamily | ServedElsewhere | Refused:
+    ) -> ServedTree | OwnedElsewhere | Refused:
         """Return the tree, or the node that serves it; take it over if that node is `over`."""
         ...
--- a/src/foxwinch/commands/program_owner.py
+++ b/src/foxwinch/commands/program_owner.py
@@ -39,15 +39,15 @@
         self.log = EventLog("programs")
         self.closing = False
         """True while this node drains and leaves idle program trees to other nodes."""
-        self._families: dict[ProgramId, HeldFamily] = {}
-        self._opening: dict[ProgramId, asyncio.Task[HeldFamily | ServedElsewhere | Refused]] = {}
+        self._trees: dict[ProgramId, ServedTree] = {}
+        self._opening: dict[ProgramId, asyncio.Task[ServedTree | OwnedElsewhere | Refused]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
 
     # --- program trees -------------------------------------------------------------------
 
     async def locate(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> HeldFamily | ServedElsewhere | Refused:
+    ) -> ServedTree | OwnedElsewhere | Refused:
         """Return the program tree of a root, and start to serve it if no other node does.
 
         A program tree that the node `over` serves is taken over.
@@ -63,21 +63,21 @@
             opening.add_done_callback(lambda _: self._opening.pop(root, None))
         return await asyncio.shield(opening)
 
-    def held(self, root: ProgramId) -> HeldFamily | None:
+    def held(self, root: ProgramId) -> ServedTree | None:
         """Return a program tree, or None if this node does not serve it."""
-        return self._families.get(root)
+        return self._trees.get(root)
 
-    def families(self) -> Iterator[HeldFamily]:
+    def trees(self) -> Iterator[ServedTree]:
         """Iterate over the program trees that this node serves."""
-        return iter(list(self._families.values()))
+        return iter(list(self._trees.values()))
 
     def held_count(self) -> int:
         """Return the number of program trees that this node serves."""
-        return len(self._families)
+        return len(self._trees)
 
-    def drop(self, held: HeldFamily) -> None:
+    def drop(self, held: ServedTree) -> None:
         """Release a program tree: end its calls with their true run state and free its memory."""
-        if self._families.get(held.root) is not held:
+        if self._trees.get(held.root) is not held:
             return
         del self._trees[held.root]
         self.log.info("family_dropped", family=held.root, running=len(held.running))
@@ -91,7 +91,7 @@
             return opened
         return self._serve(root, opened)
 
-    def _serve(self, root: ProgramId, opened: OpenedFamily) -> HeldFamily:
+    def _serve(self, root: ProgramId, opened: OpenedTree) -> ServedTree:
         """Rebuild a program tree from its journal and recover the calls that were running."""
         table = ProgramTable(opened.records)
         held = ServedTree(root, table, opened.journal, self.ports.clock, self.log, self.drop)
@@ -145,7 +145,7 @@
 
     async def stop(self) -> None:
         """Release all program trees and cancel all tasks."""
-        for held in self.families():
+        for held in self.trees():
             self.drop(held)
         tasks = list(self._tasks)
         for task in tasks:
--- a/src/foxwinch/commands/served_tree.py
+++ b/src/foxwinch/commands/served_tree.py
@@ -25,7 +25,7 @@
 """Time after which an outcome that is not yet committed is reported as `unknown`."""
 
 
-class HeldFamily:
+class ServedTree:
     """A root program and its descendants, while this node serves them."""
 
     def __init__(
@@ -141,7 +141,7 @@
         return tasks
 
 
-def lost_family(run_state: RunState) -> Refused:
+def lost_tree(run_state: RunState) -> Refused:
     """Return the refusal of a call whose program tree another node has taken over."""
     if run_state is RunState.NOT_RUN:
         return not_run(Reason.NOT_OWNER, TAKEN_OVER, TAKEN_OVER_RETRY_SECONDS)
--- a/src/foxwinch/commands/sweep.py
+++ b/src/foxwinch/commands/sweep.py
@@ -27,7 +27,7 @@
                 self.sweep(held)
                 await self._remove_if_over(held)
 
-    def sweep(self, held: HeldFamily) -> None:
+    def sweep(self, held: ServedTree) -> None:
         """Expire the calls and programs of one program tree."""
         now = self._clock.monotonic()
         for call in list(held.running.values()):
@@ -43,7 +43,7 @@
             elif not program.children and _expired(program, wall):
                 held.table.forget(program.program_id)
 
-    async def _remove_if_over(self, held: HeldFamily) -> None:
+    async def _remove_if_over(self, held: ServedTree) -> None:
         """Release a tree that has no programs left, and remove its journal from the store."""
         kept_seconds = self._clock.monotonic() - held.opened_at_seconds
         if len(held.table) or not held.idle or kept_seconds < EMPTY_SECONDS:
--- a/src/foxwinch/commands/tool_call.py
+++ b/src/foxwinch/commands/tool_call.py
@@ -22,7 +22,7 @@
 from foxwinch.limits.ports import Admitted
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 
-MAXIMUM_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Dispatches of one tool call, including the first."""
 RETRY_SECONDS = 0.1
 """Base of the exponential backoff between attempts, with jitter."""
@@ -114,7 +114,7 @@
             await self.ports.clock.sleep(RETRY_SECONDS * 2**attempt * self.ports.clock.uniform())
             attempt += 1
 
-    async def _call(self, order: ToolOrder) -> ToolResult | Refused:
+    async def _call(self, order: ToolRequest) -> ToolResult | Refused:
         """Call the tool; bounds the call at twice its timeout in case the adapter does not."""
         try:
             async with asyncio.timeout(2 * order.timeout_seconds):
--- a/src/foxwinch/commands/tree_takeover.py
+++ b/src/foxwinch/commands/tree_takeover.py
@@ -20,11 +20,11 @@
 
 LOOK_SECONDS = 60.0
 """Interval in which each partition is read once; about 3 KB/s per node at the design size."""
-PRESENT = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 log = EventLog("programs")
 
 
-class FamilyAdoption(PeriodicWork):
+class TreeTakeover(PeriodicWork):
     """Scans for program trees of nodes that are no longer members."""
 
     def __init__(self, owner: ProgramOwner, membership: MembershipView) -> None:
--- a/src/foxwinch/gateway/headers.py
+++ b/src/foxwinch/gateway/headers.py
@@ -26,7 +26,7 @@
 
 def check_name(field: str, name: str) -> str | InvalidField:
     """Return the name of an existing program, or a refusal if it is malformed."""
-    if GIVEN_PATTERN.match(name):
+    if EXISTING_NAME_PATTERN.match(name):
         return name
     return invalid_field(field, name, NAME_RULE)
 
--- a/src/foxwinch/queries/programs.py
+++ b/src/foxwinch/queries/programs.py
@@ -35,7 +35,7 @@
 
     def programs(self, request: ListProgramsRequest) -> Sequence[ProgramSummary]:
         """Return the matching programs, newest first, up to one more than the limit."""
-        limit = min(request.limit or DEFAULT_LIMIT, MAXIMUM_LIMIT)
+        limit = min(request.limit or DEFAULT_LIMIT, MAX_LIMIT)
         matching = [
             (held, program)
             for held in self._owner.trees()
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -73,7 +73,7 @@
         return self.answers.pop(0) if self.answers else ToolResult("held")
 
 
-class FakeJournal(FamilyJournal):
+class FakeJournal(TreeJournal):
     """Stores records in memory; `refusals` are returned in order, None accepts an append."""
 
     def __init__(self):
@@ -107,7 +107,7 @@
         self.removed += 1
 
 
-class FakeFamilies(Families):
+class FakeTreeStore(ProgramTreeStore):
     """One journal for all program trees; `elsewhere` is another node that serves them."""
 
     def __init__(self, journal):
@@ -192,7 +192,7 @@
 
     async def reopen(self, records, name="p"):
         """Reopen the program tree from the given records, as after the failure of its node."""
-        held = self.owner.held(scoped(TENANT, name))
+        held = self.owner.held(scoped_program_id(TENANT, name))
         if held is not None:
             self.owner.drop(held)
         self.trees.records = list(records)
--- a/tests/test_program_commands.py
+++ b/tests/test_program_commands.py
@@ -537,7 +537,7 @@
 async def test_abandoning_after_a_takeover_does_not_hide_the_earlier_owners_run(call):
     later, records = await left_running(call)
     # The program ends before the task of the rerun call has run for the first time.
-    held = later.owner._serve(PROGRAM, OpenedFamily(later.journal, records))
+    held = later.owner._serve(PROGRAM, OpenedTree(later.journal, records))
     program = held.table.find(PROGRAM)
     assert await end_program(later.ports, held, program, True, "test") is None
     await later.owner.wait_idle()
