--- a/src/foxwinch/commands/abandon_program.py
+++ b/src/foxwinch/commands/abandon_program.py
@@ -21,18 +21,18 @@
 
     async def abandon(self, program_id: ProgramId) -> Accepted | Refused:
         """Cancel the program's calls, end its child programs and release its KV cache."""
-        held = await self._owner.locate(root_of(program_id))
-        if isinstance(held, Refused):
-            return held
-        if isinstance(held, OwnedElsewhere):
+        tree = await self._owner.locate(root_of(program_id))
+        if isinstance(tree, Refused):
+            return tree
+        if isinstance(tree, OwnedElsewhere):
             return not_run(Reason.NOT_OWNER, "another node serves the program", 1.0)
-        return await self._abandon_held(held, program_id)
+        return await self._abandon_held(tree, program_id)
 
-    async def _abandon_held(self, held: ServedTree, program_id: ProgramId) -> Accepted | Refused:
-        program = held.table.find(program_id)
+    async def _abandon_held(self, tree: ServedTree, program_id: ProgramId) -> Accepted | Refused:
+        program = tree.table.find(program_id)
         if program is None:
             return not_run(Reason.NOT_FOUND, f"program {program_id} is not known")
-        refused = await self._owner.run_apart(
-            end_program(self._owner.ports, held, program, True, OPERATOR_CAUSE)
+        refused = await self._owner.run_shielded(
+            end_program(self._owner.ports, tree, program, True, OPERATOR_CAUSE)
         )
         return Accepted() if refused is None else refused
--- a/src/foxwinch/commands/apply_configuration.py
+++ b/src/foxwinch/commands/apply_configuration.py
@@ -31,9 +31,9 @@
 from foxwinch.records.ports import Written
 from foxwinch.settings.cluster import ClusterConfiguration
 
-ATTEMPTS = 5
+MAX_ATTEMPTS = 5
 """With the backoff below, an operator gets an answer within about 20 s while the store is down."""
-ATTEMPT_BACKOFF = Backoff(base_seconds=0.2, cap_seconds=2.0)
+RETRY_BACKOFF = Backoff(base_seconds=0.2, cap_seconds=2.0)
 TOKEN_PATTERN = re.compile(r"[A-Za-z0-9-]{8,64}")
 
 
@@ -74,21 +74,21 @@
     `CONFLICT` names the newer revision. With run state `UNKNOWN`, the caller must send the same
     token again to learn the outcome. The second value is the change if this invocation made it.
     """
-    state = _check(command)
+    state = _validate(command)
     if isinstance(state, Refused):
         return state
     progress = _Progress(may_have_run=command.repeated)
     failure: Refused | None = None
-    for attempt in range(ATTEMPTS):
+    for attempt in range(MAX_ATTEMPTS):
         outcome = await _attempt(ports, command, state, progress)
         if isinstance(outcome, ChangeAccepted):
             return outcome, progress.change
         if isinstance(outcome, ChangeRejected):
-            return _conflict(command, outcome.newer)
+            return _conflict_refusal(command, outcome.newer)
         if outcome.reason in (Reason.INVALID_REQUEST, Reason.OUTCOME_UNKNOWN):
             return outcome
         failure = outcome
-        wait = ATTEMPT_BACKOFF.wait_seconds(attempt, ports.clock.uniform())
+        wait = RETRY_BACKOFF.wait_seconds(attempt, ports.clock.uniform())
         await ports.clock.sleep(max(wait, min(outcome.retry_after_seconds or 0.0, 2.0)))
     assert failure is not None
     if progress.may_have_run:
@@ -97,7 +97,7 @@
     return not_run(Reason.STORE_UNAVAILABLE, failure.detail, failure.retry_after_seconds or 5.0)
 
 
-def _check(command: ApplyConfiguration) -> DocumentState | Refused:
+def _validate(command: ApplyConfiguration) -> DocumentState | Refused:
     if not TOKEN_PATTERN.fullmatch(command.token):
         detail = "token: 8 to 64 letters, digits and hyphens are required"
         return not_run(Reason.INVALID_REQUEST, detail)
@@ -115,7 +115,7 @@
         return head
     target = Revision(command.expected + 1)
     if head.revision >= target:
-        return await _settled(ports, command, head, progress)
+        return await _resolve_committed(ports, command, head, progress)
     if head.revision < command.expected:
         return ChangeRejected(head.revision)
     base = await ports.load(head)
@@ -123,7 +123,7 @@
         return base
     if (base.revision if base else 0) != command.expected:
         return not_run(Reason.CONFLICT, "the node does not have the expected base revision", 0.1)
-    change = _change(command, state, base)
+    change = _build_change(command, state, base)
     if isinstance(change, (ChangeAccepted, Refused)):
         return change
     progress.change = change
@@ -137,12 +137,12 @@
     head: StoredHead,
     progress: _Progress,
 ) -> ChangeAccepted | Refused:
-    whole = None
+    snapshot = None
     if change.base == 0 or change.revision % SNAPSHOT_REVISIONS == 0:
-        whole = Change(
+        snapshot = Change(
             change.revision, Revision(0), change.token, state.digest, Delta(state.entries)
         )
-    outcome = await ports.store.commit(change, whole, head)
+    outcome = await ports.store.commit(change, snapshot, head)
     if isinstance(outcome, Written):
         return ChangeAccepted(change.revision)
     if not isinstance(outcome, Refused):
@@ -154,7 +154,7 @@
     return outcome
 
 
-def _change(
+def _build_change(
     command: ApplyConfiguration, state: DocumentState, base: HeldConfiguration | None
 ) -> Change | ChangeAccepted | Refused:
     target = Revision(command.expected + 1)
@@ -170,7 +170,7 @@
     return Change(target, command.expected, command.token, state.digest, delta)
 
 
-async def _settled(
+async def _resolve_committed(
     ports: ApplyPorts, command: ApplyConfiguration, head: StoredHead, progress: _Progress
 ) -> ChangeAccepted | ChangeRejected | Refused:
     """Determine whether the target revision was committed by this change or by another one."""
@@ -187,6 +187,6 @@
     return ChangeRejected(head.revision)
 
 
-def _conflict(command: ApplyConfiguration, newer: Revision) -> Refused:
+def _conflict_refusal(command: ApplyConfiguration, newer: Revision) -> Refused:
     detail = f"revision {newer} is in force; the change was made for revision {command.expected}"
     return not_run(Reason.CONFLICT, detail)
--- a/src/foxwinch/commands/periodic.py
+++ b/src/foxwinch/commands/background_task.py
@@ -6,7 +6,7 @@
 from foxwinch.commands.program_owner import ProgramOwner
 
 
-class PeriodicWork(ABC):
+class BackgroundTask(ABC):
     """A background service with a single task."""
 
     def __init__(self, owner: ProgramOwner) -> None:
--- a/src/foxwinch/commands/call_lifecycle.py
+++ b/src/foxwinch/commands/call_lifecycle.py
@@ -29,7 +29,7 @@
     RunState.RAN: CallOutcome.FAILED_RAN,
     RunState.UNKNOWN: CallOutcome.FAILED_UNKNOWN,
 }
-RETRY_UNCOMMITTED_SECONDS = 1.0
+UNCOMMITTED_RETRY_AFTER_SECONDS = 1.0
 """Retry-After for a caller whose outcome was not committed in time."""
 
 
@@ -60,7 +60,7 @@
 
     def start(self, intent: CallIntent) -> CallAdmitted | Refused:
         """Check the call against the program's state and reserve its budget."""
-        if self.program.program_id in self.tree.ending:
+        if self.program.program_id in self.tree.ending_programs:
             return not_run(Reason.PROGRAM_FINISHED, "the program is being ended")
         started = start_call(self.program, intent, self.ports.clock.wall())
         if isinstance(started, Refused):
@@ -80,7 +80,7 @@
         nothing was dispatched in that case.
         """
         assert self.admitted is not None
-        creation = self.tree.uncommitted.get(self.program.program_id)
+        creation = self.tree.uncommitted_creations.get(self.program.program_id)
         records = [creation] if creation is not None else []
         records += [JournalRecord(call_admitted=self.admitted), *(following or [])]
         self.running.intent_sent = True
@@ -98,20 +98,20 @@
     async def _cancel_intent(self, records: list[JournalRecord], refused: Refused) -> None:
         """Record that nothing was dispatched, because the intent may be in the journal."""
         self.running.end(not_run(refused.reason, refused.detail, refused.retry_after_seconds))
-        outcome = self.failed(not_run(refused.reason, refused.detail), Amount())
-        records = [*records, *self._closing_records(outcome)]
+        outcome = self.failure_outcome(not_run(refused.reason, refused.detail), Amount())
+        records = [*records, *self._outcome_records(outcome)]
         await self.tree.commit_until_done(records, lambda _: None)
 
-    def step(self, state: CallState) -> None:
+    def set_state(self, state: CallState) -> None:
         """Set the state of the call."""
         self.tree.table.step(self.program, self.running.call_id, state)
 
     async def commit_outcome(self, outcome: CallOutcome, final: FinalEvent) -> None:
         """Commit the outcome, then send the final event to the followers."""
-        self.step(CallState.COMMITTING)
+        self.set_state(CallState.COMMITTING)
         outcome.finished_at_seconds = self.ports.clock.wall()
         done = await self.tree.commit_until_done(
-            self._closing_records(outcome), self._tell_uncommitted
+            self._outcome_records(outcome), self._report_uncommitted
         )
         if done:
             if outcome.result != CallOutcome.SUCCEEDED:
@@ -125,13 +125,13 @@
             if self.single_call:
                 self.ports.grants.finish(self.program.program_id)
 
-    def forgive_cancellation(self) -> None:
+    def clear_cancellation(self) -> None:
         """Clear the task's cancellation after `RunningCall.cancel` interrupted a wait."""
         task = asyncio.current_task()
         if task is not None and task.cancelling():
             task.uncancel()
 
-    def failed(self, refused: Refused, spent: Amount) -> CallOutcome:
+    def failure_outcome(self, refused: Refused, spent: Amount) -> CallOutcome:
         """Return the outcome of a call that ended without an answer."""
         return CallOutcome(
             program_id=self.program.program_id,
@@ -148,15 +148,15 @@
         tree.running.pop(self.running.call_id, None)
         if tree.lost:
             return
-        tree.advance(program.program_id)
-        creation_open = program.program_id in tree.uncommitted
-        if creation_open and not program.waiting and program.active is None:
+        tree.start_next_call(program.program_id)
+        is_creation_uncommitted = program.program_id in tree.uncommitted_creations
+        if is_creation_uncommitted and not program.waiting and program.active is None:
             tree.table.drop_uncommitted(program.program_id)
-            del tree.uncommitted[program.program_id]
+            del tree.uncommitted_creations[program.program_id]
         elif self.single_call and not program.keys:
             tree.table.forget(program.program_id)
 
-    def _closing_records(self, outcome: CallOutcome) -> list[JournalRecord]:
+    def _outcome_records(self, outcome: CallOutcome) -> list[JournalRecord]:
         records = [JournalRecord(call_outcome=outcome)]
         if self.single_call:
             finished = ProgramFinished(
@@ -167,12 +167,12 @@
             records.append(JournalRecord(program_finished=finished))
         return records
 
-    def _tell_uncommitted(self, refused: Refused) -> None:
+    def _report_uncommitted(self, refused: Refused) -> None:
         self.running.end(
             Refused(
                 refused.reason,
                 RunState.UNKNOWN,
                 "the call has ended but its outcome is not committed yet: " + refused.detail,
-                RETRY_UNCOMMITTED_SECONDS,
+                UNCOMMITTED_RETRY_AFTER_SECONDS,
             )
         )
--- a/src/foxwinch/commands/call_retries.py
+++ b/src/foxwinch/commands/call_retries.py
@@ -22,9 +22,9 @@
 """Retry-After for a call that was refused because the retry budget is exhausted."""
 MAX_CIRCUITS = 4_096
 """Greater than the number of workers in the largest configuration."""
-BACKEND_REASONS = frozenset({Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED})
+BACKEND_FAILURE_REASONS = frozenset({Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED})
 """Failures of the backend: they count in its circuit breaker, and retries draw on the budget."""
-UNSETTLED_REASONS = frozenset({Reason.CANCELLED, Reason.BUDGET_EXHAUSTED})
+NEUTRAL_REASONS = frozenset({Reason.CANCELLED, Reason.BUDGET_EXHAUSTED})
 """Ends that this node caused and that are no evidence about the backend's health."""
 
 
@@ -45,7 +45,7 @@
             registry=registry,
         )
 
-    def refuse_dispatch(self, worker: WorkerId, now: float) -> Refused | None:
+    def check_circuit(self, worker: WorkerId, now: float) -> Refused | None:
         """Return a refusal if the worker's circuit is open; None admits one call."""
         circuit = self._circuit(worker)
         if circuit.try_call(now):
@@ -55,7 +55,7 @@
         wait = circuit.wait_seconds(now)
         return not_run(Reason.BACKEND_UNAVAILABLE, detail, wait)
 
-    def ended(
+    def record_end(
         self,
         worker: WorkerId,
         end: GenerateFinished | Refused,
@@ -66,23 +66,23 @@
         circuit = self._circuit(worker)
         if isinstance(end, GenerateFinished):
             circuit.succeeded(now)
-        elif end.reason in BACKEND_REASONS:
+        elif end.reason in BACKEND_FAILURE_REASONS:
             circuit.failed(now, uniform())
-        elif end.reason not in UNSETTLED_REASONS:
+        elif end.reason not in NEUTRAL_REASONS:
             circuit.succeeded(now)
 
-    def first_attempt(self, tenant: TenantName, worker: WorkerId) -> None:
+    def record_first_attempt(self, tenant: TenantName, worker: WorkerId) -> None:
         """Add a first attempt to the retry budget, which allows a fraction of them as retries."""
         self._budget.first_attempt(RetryKey(tenant, worker))
 
-    def may_repeat(self, tenant: TenantName, worker: WorkerId, end: Refused, sent: bool) -> bool:
+    def try_retry(self, tenant: TenantName, worker: WorkerId, end: Refused, sent: bool) -> bool:
         """Return whether a call may be retried after it ended with `end` at a worker.
 
         Retries that no backend failure caused are free: those after a change of the coordinator,
         and those after an open circuit, where nothing was sent.
         """
-        paid = sent and end.reason in BACKEND_REASONS
-        if paid and not self._budget.try_repeat(RetryKey(tenant, worker)):
+        uses_budget = sent and end.reason in BACKEND_FAILURE_REASONS
+        if uses_budget and not self._budget.try_repeat(RetryKey(tenant, worker)):
             self._refusals.labels("budget_spent").inc()
             return False
         self._retries.inc()
@@ -93,13 +93,13 @@
         return BACKOFF.wait_seconds(attempt - 1, random_number)
 
     def _circuit(self, worker: WorkerId) -> Circuit:
-        found = self._circuits.get(worker)
-        if found is None:
-            found = self._circuits[worker] = Circuit()
-        return found
+        circuit = self._circuits.get(worker)
+        if circuit is None:
+            circuit = self._circuits[worker] = Circuit()
+        return circuit
 
 
-def come_back(refused: Refused) -> Refused:
+def with_retry_after(refused: Refused) -> Refused:
     """Return the refusal with a Retry-After, for a call that is not retried."""
     retry = refused.retry_after_seconds or RETRY_AFTER_SECONDS
     return replace(refused, retry_after_seconds=retry)
--- a/src/foxwinch/commands/call_settings.py
+++ b/src/foxwinch/commands/call_settings.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from foxwinch._generated.journal_pb2 import ProgramBudget, ProgramCreated
-from foxwinch.commands.model_call import CallTerms
-from foxwinch.commands.tool_call import ToolTerms
+from foxwinch.commands.model_call import ModelCallSettings
+from foxwinch.commands.tool_call import ToolCallSettings
 from foxwinch.core.program.state import Program
 from foxwinch.identifiers import ClassName, ProgramId, TenantName
 from foxwinch.outcomes import Reason, Refused, not_run
@@ -15,7 +15,7 @@
 class ToolDeclaration:
     """A tool that a program may call."""
 
-    terms: ToolTerms
+    settings: ToolCallSettings
     repeatable: bool
 
 
@@ -29,8 +29,12 @@
         return not_run(
             Reason.INVALID_REQUEST, f"template = {name!r}: not known; allowed: {allowed}"
         )
-    settings = next((t for t in document.tenants if t.name == tenant), None)
-    if settings is not None and settings.classes and template.class_name not in settings.classes:
+    tenant_settings = next((t for t in document.tenants if t.name == tenant), None)
+    if (
+        tenant_settings is not None
+        and tenant_settings.classes
+        and template.class_name not in tenant_settings.classes
+    ):
         return not_run(
             Reason.INVALID_REQUEST,
             f"template = {name!r}: the tenant may not use its class {template.class_name!r}",
@@ -38,7 +42,7 @@
     return template
 
 
-def creation(
+def creation_record(
     template: TemplateSettings,
     tenant: TenantName,
     program_id: ProgramId,
@@ -67,9 +71,9 @@
     )
 
 
-def model_terms(
+def model_call_settings(
     document: ClusterConfiguration, program: Program, model: str
-) -> CallTerms | Refused:
+) -> ModelCallSettings | Refused:
     """Return the settings of a model call, or a refusal if the template does not list the model."""
     template = _template_of(document, program)
     if isinstance(template, Refused):
@@ -85,7 +89,7 @@
         (c.deadline_seconds for c in document.classes if c.name == class_name),
         program.created.budget.wall_seconds,
     )
-    return CallTerms(ClassName(class_name), deadline, document.cost_per_token)
+    return ModelCallSettings(ClassName(class_name), deadline, document.cost_per_token)
 
 
 def tool_declaration(
@@ -95,16 +99,18 @@
     template = _template_of(document, program)
     if isinstance(template, Refused):
         return template
-    settings = next((t for t in document.tools if t.name == tool), None)
-    if settings is None or tool not in template.tools:
+    tool_settings = next((t for t in document.tools if t.name == tool), None)
+    if tool_settings is None or tool not in template.tools:
         allowed = ", ".join(template.tools) or "none"
         return not_run(
             Reason.INVALID_REQUEST,
             f"tool = {tool!r}: not allowed by template {template.name!r}; allowed: {allowed}",
         )
     class_name = ClassName(program.created.class_name)
-    terms = ToolTerms(class_name, settings.timeout_seconds, document.cost_per_tool_call)
-    return ToolDeclaration(terms, settings.repeatable)
+    settings = ToolCallSettings(
+        class_name, tool_settings.timeout_seconds, document.cost_per_tool_call
+    )
+    return ToolDeclaration(settings, tool_settings.repeatable)
 
 
 def _template_of(document: ClusterConfiguration, program: Program) -> TemplateSettings | Refused:
--- a/src/foxwinch/commands/end_program.py
+++ b/src/foxwinch/commands/end_program.py
@@ -14,7 +14,7 @@
 
 
 async def end_program(
-    ports: ProgramPorts, held: ServedTree, program: Program, abandoned: bool, reason: str
+    ports: ProgramPorts, tree: ServedTree, program: Program, abandoned: bool, reason: str
 ) -> Refused | None:
     """End a program; returns None once it has ended, or if it had ended before.
 
@@ -23,27 +23,27 @@
     """
     if program.finished is not None:
         return None
-    if program.program_id in held.ending:
+    if program.program_id in tree.ending_programs:
         return not_run(Reason.CONFLICT, "the program is being ended", BUSY_RETRY_SECONDS)
     if not abandoned and (program.active is not None or program.waiting):
         return not_run(Reason.CONFLICT, "calls of the program are running", BUSY_RETRY_SECONDS)
-    held.ending.add(program.program_id)
+    tree.ending_programs.add(program.program_id)
     try:
-        return await _end(ports, held, program, abandoned, reason)
+        return await _end(ports, tree, program, abandoned, reason)
     finally:
-        held.ending.discard(program.program_id)
+        tree.ending_programs.discard(program.program_id)
 
 
 async def _end(
-    ports: ProgramPorts, held: ServedTree, program: Program, abandoned: bool, reason: str
+    ports: ProgramPorts, tree: ServedTree, program: Program, abandoned: bool, reason: str
 ) -> Refused | None:
-    await _cancel_calls(held, program)
+    await _cancel_calls(tree, program)
     for child_id in list(program.children):
-        child = held.table.find(child_id)
+        child = tree.table.find(child_id)
         if child is not None:
-            await end_program(ports, held, child, abandoned=True, reason=PARENT_ENDED)
-    if held.uncommitted.pop(program.program_id, None) is not None:
-        held.table.drop_uncommitted(program.program_id)
+            await end_program(ports, tree, child, abandoned=True, reason=PARENT_ENDED)
+    if tree.uncommitted_creations.pop(program.program_id, None) is not None:
+        tree.table.drop_uncommitted(program.program_id)
         return None
     finished = ProgramFinished(
         program_id=program.program_id,
@@ -51,14 +51,14 @@
         reason=reason,
         finished_at_seconds=ports.clock.wall(),
     )
-    refused = await held.commit([JournalRecord(program_finished=finished)])
+    refused = await tree.commit([JournalRecord(program_finished=finished)])
     if refused is None:
         ports.grants.finish(program.program_id)
     return refused
 
 
-async def _cancel_calls(held: ServedTree, program: Program) -> None:
-    calls = [call for call in held.running.values() if call.program is program]
+async def _cancel_calls(tree: ServedTree, program: Program) -> None:
+    calls = [call for call in tree.running.values() if call.program is program]
     for call in calls:
         call.cancel(ENDED_CAUSE)
     tasks = [call.task for call in calls if call.task is not None]
--- a/src/foxwinch/commands/forward_codec.py
+++ b/src/foxwinch/commands/forward_codec.py
@@ -94,7 +94,7 @@
     key = message.idempotency_key
     match message.WhichOneof("operation"):
         case "model_call":
-            return _model_call(message)
+            return _decode_model_call(message)
         case "tool_call":
             call = message.tool_call
             return ToolCallRequest(
@@ -115,7 +115,7 @@
     return None
 
 
-def _model_call(message: ForwardRequest) -> ModelCallRequest:
+def _decode_model_call(message: ForwardRequest) -> ModelCallRequest:
     call = message.model_call
     return ModelCallRequest(
         tenant=TenantName(message.tenant),
@@ -135,7 +135,7 @@
     """Encode an event as a `ForwardEvent`."""
     match event:
         case CallChunks():
-            chunks = ForwardChunks(chunks=[_chunk_message(chunk) for chunk in event.chunks])
+            chunks = ForwardChunks(chunks=[_encode_chunk(chunk) for chunk in event.chunks])
             message = ForwardEvent(chunks=chunks)
         case CallStarted():
             message = ForwardEvent(
@@ -161,9 +161,9 @@
             result = ForwardToolResult(call_id=event.call_id, message=event.message)
             message = ForwardEvent(tool_result=result)
         case ProgramDetails():
-            message = ForwardEvent(program=_program_message(event))
+            message = ForwardEvent(program=_encode_program(event))
         case Refused():
-            message = ForwardEvent(refused=_refused_message(event))
+            message = ForwardEvent(refused=_encode_refusal(event))
     return message.SerializeToString()
 
 
@@ -172,7 +172,7 @@
     message = ForwardEvent.FromString(payload)
     match message.WhichOneof("event"):
         case "chunks":
-            return CallChunks([_chunk(chunk) for chunk in message.chunks.chunks])
+            return CallChunks([_decode_chunk(chunk) for chunk in message.chunks.chunks])
         case "started":
             started = message.started
             return CallStarted(
@@ -192,24 +192,24 @@
             result = message.tool_result
             return ToolFinished(CallId(result.call_id), result.message)
         case "program":
-            return _program(message.program)
+            return _decode_program(message.program)
         case "refused":
-            return _refused(message.refused)
+            return _decode_refusal(message.refused)
     return None
 
 
-def _chunk_message(chunk: CallChunk) -> ForwardChunk:
+def _encode_chunk(chunk: CallChunk) -> ForwardChunk:
     if not chunk.tool_calls:
         return ForwardChunk(text=chunk.text)
     return ForwardChunk(text=chunk.text, tool_calls_json=json.dumps(chunk.tool_calls))
 
 
-def _chunk(message: ForwardChunk) -> CallChunk:
+def _decode_chunk(message: ForwardChunk) -> CallChunk:
     calls = json.loads(message.tool_calls_json) if message.tool_calls_json else ()
     return CallChunk(message.text, tuple(calls))
 
 
-def _refused_message(refused: Refused) -> ForwardRefused:
+def _encode_refusal(refused: Refused) -> ForwardRefused:
     return ForwardRefused(
         reason=refused.reason.value,
         run_state=refused.run_state.value,
@@ -218,7 +218,7 @@
     )
 
 
-def _refused(message: ForwardRefused) -> Refused:
+def _decode_refusal(message: ForwardRefused) -> Refused:
     """Decode a refusal; values unknown to this version become `INTERNAL` and `UNKNOWN`."""
     known = message.reason in Reason._value2member_map_
     run_state = cast(RunState, RunState._value2member_map_.get(message.run_state, RunState.UNKNOWN))
@@ -227,7 +227,7 @@
     return Refused(reason, run_state, message.detail, retry)
 
 
-def _program_message(details: ProgramDetails) -> ForwardProgram:
+def _encode_program(details: ProgramDetails) -> ForwardProgram:
     return ForwardProgram(
         program_id=details.program_id,
         template=details.template,
@@ -239,7 +239,7 @@
     )
 
 
-def _program(message: ForwardProgram) -> ProgramDetails:
+def _decode_program(message: ForwardProgram) -> ProgramDetails:
     return ProgramDetails(
         program_id=ProgramId(message.program_id),
         template=message.template,
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -20,8 +20,8 @@
 
 DRAIN_METHOD = "operator.drain"
 ABANDON_METHOD = "operator.abandon"
-COMMAND_SECONDS = 5.0
-GONE = frozenset({Reason.PEER_UNREACHABLE, Reason.NOT_OWNER})
+COMMAND_TIMEOUT_SECONDS = 5.0
+NOT_SERVING_REASONS = frozenset({Reason.PEER_UNREACHABLE, Reason.NOT_OWNER})
 """Refusals which show that the asked node does not serve the program."""
 log = EventLog("operator")
 
@@ -43,7 +43,7 @@
         ...
 
 
-class WorkerDrains(Protocol):
+class WorkerDrainPort(Protocol):
     """Drains of workers."""
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
@@ -85,7 +85,7 @@
         return not_run(Reason.NOT_FOUND, f"worker {worker} has no coordinator here")
 
 
-class NoAbandons:
+class NullAbandonPort:
     """A node that has no programs beyond single calls."""
 
     async def abandon(self, program_id: ProgramId) -> Accepted | Refused:
@@ -100,7 +100,7 @@
     drain_node: Callable[[], None]
     """Starts to drain this node; idempotent."""
     configuration: ConfigurationChangePort
-    workers: WorkerDrains
+    workers: WorkerDrainPort
     programs: ProgramAbandonPort
 
 
@@ -129,7 +129,7 @@
             return self._drain_this_node()
         for member in self._membership.members():
             if member.node == node:
-                return await self._pass_on(member.address, DRAIN_METHOD, node.encode())
+                return await self._forward_command(member.address, DRAIN_METHOD, node.encode())
         return not_run(Reason.NOT_FOUND, f"node {node} is not a member")
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
@@ -144,8 +144,8 @@
         if isinstance(located, Refused):
             return located
         if isinstance(located, OwnedElsewhere):
-            answer = await self._abandon_at(located, program_id)
-            if not isinstance(answer, Refused) or answer.reason not in GONE:
+            answer = await self._abandon_remotely(located, program_id)
+            if not isinstance(answer, Refused) or answer.reason not in NOT_SERVING_REASONS:
                 return answer
             await self._locate(root, located.node)
         log.info("program_abandon_asked", program=program_id)
@@ -155,31 +155,31 @@
         """Apply a validated document if `expected` is still the newest revision."""
         return await self._local.configuration.apply(command)
 
-    async def _abandon_at(
-        self, served: OwnedElsewhere, program_id: ProgramId
+    async def _abandon_remotely(
+        self, owner: OwnedElsewhere, program_id: ProgramId
     ) -> Accepted | Refused:
-        address = parse_address(served.address)
+        address = parse_address(owner.address)
         if address is None:
             return not_run(Reason.PEER_UNREACHABLE, "the other node has no peer address")
-        return await self._pass_on(address, ABANDON_METHOD, program_id.encode())
+        return await self._forward_command(address, ABANDON_METHOD, program_id.encode())
 
     def _drain_this_node(self) -> Accepted:
         log.info("node_drain_asked", node=self._membership.this_member().node)
         self._local.drain_node()
         return Accepted()
 
-    async def _pass_on(
+    async def _forward_command(
         self, address: PeerAddress, method: str, payload: bytes
     ) -> Accepted | Refused:
         if self._peers is None:
             return not_run(Reason.PEER_UNREACHABLE, "this node has no peer connections")
-        answer = await self._peers.call(address, method, payload, COMMAND_SECONDS)
+        answer = await self._peers.call(address, method, payload, COMMAND_TIMEOUT_SECONDS)
         return answer if isinstance(answer, Refused) else Accepted()
 
     async def _serve_drain(self, context: PeerContext, payload: bytes) -> bytes | Refused:
-        this = self._membership.this_member().node
-        if payload.decode() != this:
-            return not_run(Reason.NOT_FOUND, f"this address now belongs to node {this}")
+        this_node = self._membership.this_member().node
+        if payload.decode() != this_node:
+            return not_run(Reason.NOT_FOUND, f"this address now belongs to node {this_node}")
         self._drain_this_node()
         return b""
 
--- a/src/foxwinch/commands/ports.py
+++ b/src/foxwinch/commands/ports.py
@@ -38,7 +38,7 @@
     """Locates the node that serves a program tree; this node starts to serve an unserved one."""
 
     async def __call__(
-        self, root: ProgramId, over: NodeId | None = None
+        self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> ServedTree | OwnedElsewhere | Refused:
-        """Return the tree, or the node that serves it; take it over if that node is `over`."""
+        """Return the tree, or the node that serves it; take it over from `previous_owner`."""
         ...
--- a/src/foxwinch/commands/program_owner.py
+++ b/src/foxwinch/commands/program_owner.py
@@ -10,7 +10,7 @@
 
 from foxwinch._generated.journal_pb2 import CallAdmitted
 from foxwinch.commands.call_lifecycle import CallLifecycle
-from foxwinch.commands.call_settings import model_terms, tool_declaration
+from foxwinch.commands.call_settings import model_call_settings, tool_declaration
 from foxwinch.commands.model_call import ModelCallDriver
 from foxwinch.commands.ports import ProgramPorts
 from foxwinch.commands.running_call import RunningCall
@@ -26,7 +26,7 @@
 from foxwinch.records.program_trees import OpenedTree, OwnedElsewhere
 
 Result = TypeVar("Result")
-CLIENT_GONE = "client_gone"
+CLIENT_DISCONNECTED = "client_gone"
 IDLE_POLL_SECONDS = 0.1
 
 
@@ -37,7 +37,7 @@
         """Start without program trees."""
         self.ports = ports
         self.log = EventLog("programs")
-        self.closing = False
+        self.draining = False
         """True while this node drains and leaves idle program trees to other nodes."""
         self._trees: dict[ProgramId, ServedTree] = {}
         self._opening: dict[ProgramId, asyncio.Task[ServedTree | OwnedElsewhere | Refused]] = {}
@@ -46,24 +46,24 @@
     # --- program trees -------------------------------------------------------------------
 
     async def locate(
-        self, root: ProgramId, over: NodeId | None = None
+        self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> ServedTree | OwnedElsewhere | Refused:
         """Return the program tree of a root, and start to serve it if no other node does.
 
-        A program tree that the node `over` serves is taken over.
+        A program tree that the node `previous_owner` serves is taken over.
         """
-        held = self._trees.get(root)
-        if held is not None:
-            held.closing = self.closing
-            return held
+        tree = self._trees.get(root)
+        if tree is not None:
+            tree.draining = self.draining
+            return tree
         opening = self._opening.get(root)
         if opening is None:
-            opening = asyncio.get_running_loop().create_task(self._open(root, over))
+            opening = asyncio.get_running_loop().create_task(self._open(root, previous_owner))
             self._opening[root] = opening
             opening.add_done_callback(lambda _: self._opening.pop(root, None))
         return await asyncio.shield(opening)
 
-    def held(self, root: ProgramId) -> ServedTree | None:
+    def served_tree(self, root: ProgramId) -> ServedTree | None:
         """Return a program tree, or None if this node does not serve it."""
         return self._trees.get(root)
 
@@ -71,54 +71,54 @@
         """Iterate over the program trees that this node serves."""
         return iter(list(self._trees.values()))
 
-    def held_count(self) -> int:
+    def tree_count(self) -> int:
         """Return the number of program trees that this node serves."""
         return len(self._trees)
 
-    def drop(self, held: ServedTree) -> None:
+    def drop(self, tree: ServedTree) -> None:
         """Release a program tree: end its calls with their true run state and free its memory."""
-        if self._trees.get(held.root) is not held:
+        if self._trees.get(tree.root) is not tree:
             return
-        del self._trees[held.root]
-        self.log.info("family_dropped", family=held.root, running=len(held.running))
-        held.lose()
+        del self._trees[tree.root]
+        self.log.info("family_dropped", family=tree.root, running=len(tree.running))
+        tree.end_calls()
 
     async def _open(
-        self, root: ProgramId, over: NodeId | None
+        self, root: ProgramId, previous_owner: NodeId | None
     ) -> ServedTree | OwnedElsewhere | Refused:
-        opened = await self.ports.trees.open(root, over)
+        opened = await self.ports.trees.open(root, previous_owner)
         if not isinstance(opened, OpenedTree):
             return opened
-        return self._serve(root, opened)
+        return self._restore_tree(root, opened)
 
-    def _serve(self, root: ProgramId, opened: OpenedTree) -> ServedTree:
+    def _restore_tree(self, root: ProgramId, opened: OpenedTree) -> ServedTree:
         """Rebuild a program tree from its journal and recover the calls that were running."""
         table = ProgramTable(opened.records)
-        held = ServedTree(root, table, opened.journal, self.ports.clock, self.log, self.drop)
-        self._trees[root] = held
+        tree = ServedTree(root, table, opened.journal, self.ports.clock, self.log, self.drop)
+        self._trees[root] = tree
         if opened.records:
             self.log.info("family_opened", family=root, programs=len(table))
         for program in table:
-            self.ports.grants.adopt(program.program_id)
+            self.ports.grants.mark_taken_over(program.program_id)
             if program.finished is not None:
                 self.ports.grants.finish(program.program_id)
-            left = program.calls.get(program.active) if program.active is not None else None
-            if left is not None:
-                self._recover(held, program, left)
-        return held
+            interrupted = program.calls.get(program.active) if program.active is not None else None
+            if interrupted is not None:
+                self._recover(tree, program, interrupted)
+        return tree
 
     # --- calls ---------------------------------------------------------------------------
 
     def open_call(
-        self, held: ServedTree, program: Program, call_id: CallId, key: str
+        self, tree: ServedTree, program: Program, call_id: CallId, key: str
     ) -> RunningCall:
-        """Return a new call of a program, to be driven by `drive`."""
-        running = RunningCall(call_id, program, bool(key), self._unfollowed)
+        """Return a new call of a program, to be driven by `start_driver`."""
+        running = RunningCall(call_id, program, bool(key), self._handle_last_disconnect)
         running.unfollowed_at_seconds = self.ports.clock.monotonic()
-        held.running[call_id] = running
+        tree.running[call_id] = running
         return running
 
-    def drive(self, running: RunningCall, work: Coroutine[Any, Any, None]) -> None:
+    def start_driver(self, running: RunningCall, work: Coroutine[Any, Any, None]) -> None:
         """Run a call's driver in its own task."""
         running.task = self.spawn_task(work, running)
 
@@ -136,7 +136,7 @@
         task.add_done_callback(ended)
         return task
 
-    async def run_apart(self, work: Coroutine[Any, Any, Result]) -> Result:
+    async def run_shielded(self, work: Coroutine[Any, Any, Result]) -> Result:
         """Await work that runs to completion even if the awaiting task is cancelled."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
@@ -145,8 +145,8 @@
 
     async def stop(self) -> None:
         """Release all program trees and cancel all tasks."""
-        for held in self.trees():
-            self.drop(held)
+        for tree in self.trees():
+            self.drop(tree)
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -159,12 +159,12 @@
 
     def running_calls(self) -> int:
         """Return the number of calls that have not ended."""
-        return sum(len(held.running) for held in self._trees.values())
+        return sum(len(tree.running) for tree in self._trees.values())
 
     def _task_ended(self, task: asyncio.Task[None], running: RunningCall | None) -> None:
         if running is not None and running.final is None:
             state = RunState.UNKNOWN if running.intent_sent else RunState.NOT_RUN
-            running.end(lost_tree(state) if task.cancelled() else _internal(state))
+            running.end(lost_tree(state) if task.cancelled() else _internal_error(state))
         if not task.cancelled() and task.exception() is not None:
             self.log.error(
                 "call_driver_failed",
@@ -172,57 +172,57 @@
                 error=repr(task.exception()),
             )
 
-    def _unfollowed(self, running: RunningCall) -> None:
+    def _handle_last_disconnect(self, running: RunningCall) -> None:
         """Handle the last caller's disconnect; a keyed call runs on so that it can reconnect."""
         running.unfollowed_at_seconds = self.ports.clock.monotonic()
-        if running.cancellable and not running.keyed:
-            self.log.info("call_cancelled", call=running.call_id, cause=CLIENT_GONE)
-            running.cancel(CLIENT_GONE)
+        if running.cancellable and not running.has_key:
+            self.log.info("call_cancelled", call=running.call_id, cause=CLIENT_DISCONNECTED)
+            running.cancel(CLIENT_DISCONNECTED)
 
     # --- recovery ------------------------------------------------------------------------
 
-    def _recover(self, held: ServedTree, program: Program, call: Call) -> None:
+    def _recover(self, tree: ServedTree, program: Program, call: Call) -> None:
         now = self.ports.clock.wall()
-        running = self.open_call(held, program, call.call_id, call.admitted.idempotency_key)
+        running = self.open_call(tree, program, call.call_id, call.admitted.idempotency_key)
         running.intent_sent = True
         running.cancellable = False
         running.rerun = True
-        life = CallLifecycle(self.ports, held, running, is_single_call(program.program_id))
+        lifecycle = CallLifecycle(self.ports, tree, running, is_single_call(program.program_id))
         decision = decide(call, now)
         self.log.info("call_recovered", call=call.call_id, decision=decision)
-        if decision is Recovery.RUN_AGAIN and self._run_again(life, call):
+        if decision is Recovery.RUN_AGAIN and self._rerun(lifecycle, call):
             return
         outcome = unknown_outcome(program, call, now)
         detail = Refused(Reason.OUTCOME_UNKNOWN, RunState.UNKNOWN, outcome.detail)
 
         async def record() -> None:
             try:
-                await life.commit_outcome(outcome, detail)
+                await lifecycle.commit_outcome(outcome, detail)
             finally:
-                life.close()
+                lifecycle.close()
 
-        self.drive(running, record())
+        self.start_driver(running, record())
 
-    def _run_again(self, life: CallLifecycle, call: Call) -> bool:
+    def _rerun(self, lifecycle: CallLifecycle, call: Call) -> bool:
         snapshot = self.ports.configuration.current()
         if isinstance(snapshot, Refused):
             return False
         admitted = call.admitted
-        life.admitted = admitted
+        lifecycle.admitted = admitted
         if admitted.kind == CallAdmitted.MODEL:
-            terms = model_terms(snapshot.document, life.program, admitted.target)
-            if isinstance(terms, Refused):
+            settings = model_call_settings(snapshot.document, lifecycle.program, admitted.target)
+            if isinstance(settings, Refused):
                 return False
-            model = ModelCallDriver(self.ports, life, terms, admitted)
-            self.drive(life.running, model.run(None))
+            model = ModelCallDriver(self.ports, lifecycle, settings, admitted)
+            self.start_driver(lifecycle.running, model.run(None))
             return True
-        declaration = tool_declaration(snapshot.document, life.program, admitted.target)
+        declaration = tool_declaration(snapshot.document, lifecycle.program, admitted.target)
         if isinstance(declaration, Refused):
             return False
-        tool = ToolCallDriver(self.ports, life, declaration.terms, admitted)
-        self.drive(life.running, tool.run(None))
+        tool = ToolCallDriver(self.ports, lifecycle, declaration.settings, admitted)
+        self.start_driver(lifecycle.running, tool.run(None))
         return True
 
 
-def _internal(run_state: RunState) -> Refused:
+def _internal_error(run_state: RunState) -> Refused:
     return Refused(Reason.INTERNAL, run_state, "the call failed because of an internal error")
--- a/src/foxwinch/commands/running_call.py
+++ b/src/foxwinch/commands/running_call.py
@@ -32,13 +32,13 @@
         self,
         call_id: CallId,
         program: Program,
-        keyed: bool,
+        has_key: bool,
         on_unfollowed: Callable[["RunningCall"], None],
     ) -> None:
         """Start without followers; `on_unfollowed` runs if the last one leaves before the end."""
         self.call_id = call_id
         self.program = program
-        self.keyed = keyed
+        self.has_key = has_key
         self.cancellable = True
         """False for calls that run on without followers."""
         self.started: CallStarted | None = None
@@ -62,19 +62,19 @@
         """Publish the start event; retries on other workers do not publish it again."""
         if self.started is None:
             self.started = started
-            self._wake()
+            self._notify_followers()
 
-    def add(self, chunk: CallChunk) -> None:
+    def add_chunk(self, chunk: CallChunk) -> None:
         """Append a chunk of the answer."""
         self.chunks.append(chunk)
         if self._waiters:
-            self._wake()
+            self._notify_followers()
 
     def end(self, final: FinalEvent) -> None:
         """Publish the final event; a second one is ignored."""
         if self.final is None:
             self.final = final
-            self._wake()
+            self._notify_followers()
 
     def cancel(self, cause: str) -> None:
         """Request the cancellation of the call; it takes effect at an interruptible wait."""
@@ -99,12 +99,12 @@
         """Iterate over the events, with the chunks from index `offset` onwards."""
         self.followers += 1
         self.unfollowed_at_seconds = None
-        told_start = False
+        start_sent = False
         position = offset
         try:
             while True:
-                if self.started is not None and not told_start:
-                    told_start = True
+                if self.started is not None and not start_sent:
+                    start_sent = True
                     yield self.started
                 elif position < len(self.chunks):
                     batch = self.chunks[position:]
@@ -114,13 +114,13 @@
                     yield self.final
                     return
                 else:
-                    await self._changed()
+                    await self._wait_for_change()
         finally:
             self.followers -= 1
             if self.followers == 0 and self.final is None:
                 self._on_unfollowed(self)
 
-    async def _changed(self) -> None:
+    async def _wait_for_change(self) -> None:
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         try:
@@ -129,7 +129,7 @@
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
 
-    def _wake(self) -> None:
+    def _notify_followers(self) -> None:
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.done():
--- a/src/foxwinch/commands/served_tree.py
+++ b/src/foxwinch/commands/served_tree.py
@@ -16,12 +16,12 @@
 READ_RETRY_SECONDS = 0.5
 """Retry-After for a read that the store did not confirm."""
 COMMIT_RETRY_SECONDS = 0.2
-"""First backoff between attempts to commit; doubles up to `COMMIT_RETRY_LIMIT_SECONDS`."""
-COMMIT_RETRY_LIMIT_SECONDS = 2.0
-TAKEN_OVER = "another node has taken over the program"
+"""First backoff between attempts to commit; doubles up to `MAX_COMMIT_RETRY_SECONDS`."""
+MAX_COMMIT_RETRY_SECONDS = 2.0
+TAKEN_OVER_DETAIL = "another node has taken over the program"
 TAKEN_OVER_RETRY_SECONDS = 0.2
 """Retry-After for a taken-over program; the retry is forwarded to the node that serves it."""
-COMMIT_PATIENCE_SECONDS = 2.0
+UNCOMMITTED_REPORT_SECONDS = 2.0
 """Time after which an outcome that is not yet committed is reported as `unknown`."""
 
 
@@ -42,11 +42,11 @@
         self.table = table
         self.journal = journal
         self.running: dict[CallId, RunningCall] = {}
-        self.uncommitted: dict[ProgramId, JournalRecord] = {}
+        self.uncommitted_creations: dict[ProgramId, JournalRecord] = {}
         """Creation records that are committed with the program's first call."""
-        self.ending: set[ProgramId] = set()
+        self.ending_programs: set[ProgramId] = set()
         """Programs that are being finished or abandoned and accept no new calls."""
-        self.closing = False
+        self.draining = False
         """True while this node drains and only finishes calls that it has accepted."""
         self.lost = False
         self.opened_at_seconds = clock.monotonic()
@@ -56,9 +56,9 @@
         journal.on_late_append(self.apply)
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no call of the program tree runs or waits on this node."""
-        return not self.running and not self.ending
+        return not self.running and not self.ending_programs
 
     async def commit(self, records: Sequence[JournalRecord]) -> Refused | None:
         """Append records and apply them; returns a refusal if they are not committed."""
@@ -67,7 +67,7 @@
         refused = await self.journal.append(records)
         if refused is None:
             self.apply(records)
-        self._look_for_loss(refused)
+        self._check_fenced(refused)
         return refused
 
     async def confirm_read(self) -> Refused | None:
@@ -78,7 +78,7 @@
         refused = await self.journal.confirm()
         if refused is None:
             return None
-        self._look_for_loss(refused)
+        self._check_fenced(refused)
         retry = refused.retry_after_seconds or READ_RETRY_SECONDS
         return not_run(refused.reason, refused.detail, retry)
 
@@ -87,41 +87,43 @@
     ) -> bool:
         """Retry a commit until it succeeds; returns False if the program tree is taken over first.
 
-        `on_delay` is called once, after `COMMIT_PATIENCE_SECONDS` or when the journal is fenced. A
-        record that is committed twice after an unknown first attempt is ignored when applied.
+        `on_delay` is called once, after `UNCOMMITTED_REPORT_SECONDS` or when the journal is fenced.
+        A record that is committed twice after an unknown first attempt is ignored when applied.
         """
-        asked_at = self._clock.monotonic()
-        pause = COMMIT_RETRY_SECONDS
-        told = False
+        started_at = self._clock.monotonic()
+        backoff_seconds = COMMIT_RETRY_SECONDS
+        is_reported = False
         while True:
             refused = await self.commit(records)
             if refused is None:
                 return True
-            waited = self._clock.monotonic() - asked_at
-            if not told and (refused.reason is Reason.FENCED or waited >= COMMIT_PATIENCE_SECONDS):
-                told = True
+            waited = self._clock.monotonic() - started_at
+            if not is_reported and (
+                refused.reason is Reason.FENCED or waited >= UNCOMMITTED_REPORT_SECONDS
+            ):
+                is_reported = True
                 on_delay(refused)
             if self.lost or refused.reason is Reason.FENCED:
                 return False
-            await self._clock.sleep(pause * (0.5 + self._clock.uniform()))
-            pause = min(pause * 2, COMMIT_RETRY_LIMIT_SECONDS)
+            await self._clock.sleep(backoff_seconds * (0.5 + self._clock.uniform()))
+            backoff_seconds = min(backoff_seconds * 2, MAX_COMMIT_RETRY_SECONDS)
 
     def apply(self, records: Sequence[JournalRecord]) -> None:
         """Apply committed records; records that change nothing are logged."""
         for record in records:
             created = ProgramId(record.program_created.program_id)
-            if self.uncommitted.pop(created, None) is not None:
+            if self.uncommitted_creations.pop(created, None) is not None:
                 continue  # it was applied when the first call arrived
             applied = self.table.apply(record)
             if isinstance(applied, Ignored):
                 self._log.warning("record_dropped", family=self.root, cause=applied.cause)
 
-    def _look_for_loss(self, refused: Refused | None) -> None:
+    def _check_fenced(self, refused: Refused | None) -> None:
         """Release a fenced program tree after the caller of the commit has handled the refusal."""
         if refused is not None and refused.reason is Reason.FENCED:
             asyncio.get_running_loop().call_soon(self._on_lost, self)
 
-    def advance(self, program_id: ProgramId) -> None:
+    def start_next_call(self, program_id: ProgramId) -> None:
         """Start the next waiting call of a program."""
         program = self.table.find(program_id)
         call_id = self.table.next_waiting(program) if program is not None else None
@@ -129,7 +131,7 @@
         if running is not None and running.turn is not None and not running.turn.done():
             running.turn.set_result(None)
 
-    def lose(self) -> list[asyncio.Task[None]]:
+    def end_calls(self) -> list[asyncio.Task[None]]:
         """End all calls when this node stops serving the tree; returns the cancelled tasks."""
         self.lost = True
         calls = list(self.running.values())
@@ -144,5 +146,5 @@
 def lost_tree(run_state: RunState) -> Refused:
     """Return the refusal of a call whose program tree another node has taken over."""
     if run_state is RunState.NOT_RUN:
-        return not_run(Reason.NOT_OWNER, TAKEN_OVER, TAKEN_OVER_RETRY_SECONDS)
-    return Refused(Reason.NOT_OWNER, run_state, TAKEN_OVER, TAKEN_OVER_RETRY_SECONDS)
+        return not_run(Reason.NOT_OWNER, TAKEN_OVER_DETAIL, TAKEN_OVER_RETRY_SECONDS)
+    return Refused(Reason.NOT_OWNER, run_state, TAKEN_OVER_DETAIL, TAKEN_OVER_RETRY_SECONDS)
--- a/src/foxwinch/commands/spawn.py
+++ b/src/foxwinch/commands/spawn.py
@@ -23,7 +23,7 @@
     """Drives one spawn call from its turn to its outcome."""
 
     ports: ProgramPorts
-    life: CallLifecycle
+    lifecycle: CallLifecycle
     created: ProgramCreated
 
     async def run(self, intent: CallIntent) -> None:
@@ -31,32 +31,32 @@
         try:
             await self._run(intent)
         except asyncio.CancelledError:
-            if self.life.tree.lost or not self.life.running.cancel_cause:
+            if self.lifecycle.tree.lost or not self.lifecycle.running.cancel_cause:
                 raise
-            self.life.forgive_cancellation()
-            cause = self.life.running.cancel_cause
-            self.life.refuse(not_run(Reason.CANCELLED, f"the call was cancelled: {cause}"))
+            self.lifecycle.clear_cancellation()
+            cause = self.lifecycle.running.cancel_cause
+            self.lifecycle.refuse(not_run(Reason.CANCELLED, f"the call was cancelled: {cause}"))
         finally:
-            self.life.close()
+            self.lifecycle.close()
 
     async def _run(self, intent: CallIntent) -> None:
-        await self.life.wait_turn()
-        too_deep = check_depth(self.life.program)
-        if too_deep is not None:
-            self.life.refuse(too_deep)
+        await self.lifecycle.wait_turn()
+        depth_refusal = check_depth(self.lifecycle.program)
+        if depth_refusal is not None:
+            self.lifecycle.refuse(depth_refusal)
             return
-        started = self.life.start(intent)
+        started = self.lifecycle.start(intent)
         if isinstance(started, Refused):
-            self.life.refuse(started)
+            self.lifecycle.refuse(started)
             return
         following = [
             JournalRecord(program_created=self.created),
             JournalRecord(call_outcome=self._outcome(started)),
         ]
-        if await self.life.commit_intent(following):
-            child = self.life.tree.table.find(ProgramId(self.created.program_id))
+        if await self.lifecycle.commit_intent(following):
+            child = self.lifecycle.tree.table.find(ProgramId(self.created.program_id))
             assert child is not None
-            self.life.running.end(program_details(child))
+            self.lifecycle.running.end(program_details(child))
 
     def _outcome(self, admitted: CallAdmitted) -> CallOutcome:
         return CallOutcome(
--- a/src/foxwinch/commands/views.py
+++ b/src/foxwinch/commands/views.py
@@ -46,12 +46,12 @@
     )
 
 
-async def one_event(event: ProgramEvent) -> AsyncIterator[ProgramEvent]:
+async def single_event(event: ProgramEvent) -> AsyncIterator[ProgramEvent]:
     """Iterate over a single event."""
     yield event
 
 
-async def ended_call(
+async def ended_call_events(
     program: Program, call: Call, child: Program | None, offset: int
 ) -> AsyncIterator[ProgramEvent]:
     """Iterate over the events of an ended call, with the chunks from index `offset` onwards."""
@@ -60,7 +60,7 @@
     if outcome.result != CallOutcome.SUCCEEDED:
         yield recorded_refusal(outcome)
     elif call.admitted.kind == CallAdmitted.MODEL:
-        yield _started(program, call)
+        yield _start_event(program, call)
         chunks = list(_chunks(outcome))
         if chunks[offset:]:
             yield CallChunks(chunks[offset:])
@@ -71,7 +71,7 @@
             outcome.completion_tokens,
         )
     elif call.admitted.kind == CallAdmitted.TOOL:
-        yield _started(program, call)
+        yield _start_event(program, call)
         yield ToolFinished(call.call_id, outcome.answer[0])
     else:
         yield _child_details(program, call, child)
@@ -93,7 +93,7 @@
     return ProgramDetails(child_id, "", "finished", program.program_id, (), Amount(), budget)
 
 
-def _started(program: Program, call: Call) -> CallStarted:
+def _start_event(program: Program, call: Call) -> CallStarted:
     outcome = call.outcome
     assert outcome is not None
     worker = WorkerId(outcome.worker)
@@ -116,11 +116,11 @@
     position = 0
     for index, length in enumerate(lengths):
         calls = tool_calls if index == last_empty else ()
-        yield CallChunk(answer.content[position : position + length], _indexed(calls))
+        yield CallChunk(answer.content[position : position + length], _with_indexes(calls))
         position += length
     if last_empty is None and tool_calls:
-        yield CallChunk("", _indexed(tool_calls))
+        yield CallChunk("", _with_indexes(tool_calls))
 
 
-def _indexed(tool_calls: tuple[dict[str, object], ...]) -> tuple[object, ...]:
+def _with_indexes(tool_calls: tuple[dict[str, object], ...]) -> tuple[object, ...]:
     return tuple({"index": index, **call} for index, call in enumerate(tool_calls))
--- a/src/foxwinch/gateway/chat.py
+++ b/src/foxwinch/gateway/chat.py
@@ -19,11 +19,11 @@
     OFFSET_HEADER,
     append_flag,
     idempotency_key,
-    offset,
+    parse_offset,
     program_name,
 )
 from foxwinch.gateway.request_body import ChatBody, check_chat_body, read_json
-from foxwinch.gateway.respond import respond_stream, respond_whole
+from foxwinch.gateway.respond import respond_json, respond_stream
 from foxwinch.identifiers import ModelName, ProgramId
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.settings.process import CallerLimits
@@ -43,7 +43,7 @@
     new_program_name: Callable[[str], str]
     """Returns a new unique name for a tenant's program, served by this node if possible."""
 
-    def caller(self, request: web.Request) -> Caller | Refused:
+    def authenticate(self, request: web.Request) -> Caller | Refused:
         """Authenticate a request."""
         return self.authenticator.authenticate(request.headers.get("Authorization"))
 
@@ -63,7 +63,7 @@
 
     async def models(self, request: web.Request) -> web.StreamResponse:
         """List the models of the configuration."""
-        caller = self._context.caller(request)
+        caller = self._context.authenticate(request)
         if isinstance(caller, Refused):
             return error_response(caller)
         data = [_model_document(model.name) for model in caller.document.models]
@@ -71,7 +71,7 @@
 
     async def model(self, request: web.Request) -> web.StreamResponse:
         """Describe one model."""
-        caller = self._context.caller(request)
+        caller = self._context.authenticate(request)
         if isinstance(caller, Refused):
             return error_response(caller)
         name = request.match_info["model"]
@@ -81,7 +81,7 @@
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
         """Run a model call of the program named by the header, or of a new single-call program."""
-        caller = self._context.caller(request)
+        caller = self._context.authenticate(request)
         if isinstance(caller, Refused):
             return error_response(caller)
         name = program_name(request)
@@ -110,9 +110,9 @@
     events = context.execute(call)
     created = int(context.clock.wall())
     if chat.stream:
-        first = call.resume_offset == 0
-        return await respond_stream(request, events, created, chat.include_usage, first)
-    return await respond_whole(events, created)
+        from_start = call.resume_offset == 0
+        return await respond_stream(request, events, created, chat.include_usage, from_start)
+    return await respond_json(events, created)
 
 
 def _model_call(
@@ -129,9 +129,9 @@
     appended = append_flag(request, append)
     if isinstance(appended, Refused):
         return appended
-    resume = offset(OFFSET_HEADER, request.headers.get(OFFSET_HEADER, "0"))
-    if isinstance(resume, Refused):
-        return resume
+    resume_offset = parse_offset(OFFSET_HEADER, request.headers.get(OFFSET_HEADER, "0"))
+    if isinstance(resume_offset, Refused):
+        return resume_offset
     return ModelCallRequest(
         tenant=caller.tenant,
         program_id=_program_id(context, caller, name, key),
@@ -140,7 +140,7 @@
         append=appended,
         maximum_tokens=chat.maximum_tokens,
         idempotency_key=key,
-        resume_offset=resume if chat.stream else 0,
+        resume_offset=resume_offset if chat.stream else 0,
         parameters_json=chat.parameters_json,
         single_call=not name,
     )
--- a/src/foxwinch/gateway/chat_format.py
+++ b/src/foxwinch/gateway/chat_format.py
@@ -18,15 +18,15 @@
 class ChunkEncoder:
     """Encodes the server-sent events of one streamed answer."""
 
-    def __init__(self, started: CallStarted, created_seconds: int, first: bool) -> None:
-        """Prepare a stream; `first` is False if it resumes from an offset, after the role."""
+    def __init__(self, started: CallStarted, created_seconds: int, from_start: bool) -> None:
+        """Prepare a stream; `from_start` is False if it resumes from an offset, after the role."""
         common = (
             f'data: {{"id":"chatcmpl-{started.call_id}","object":"chat.completion.chunk",'
             f'"created":{created_seconds},"model":{json.dumps(started.target)},"choices":['
         )
         self._common = common.encode()
         self._delta_head = self._common + b'{"index":0,"delta":{'
-        self._role = b'"role":"assistant",' if first else b""
+        self._role = b'"role":"assistant",' if from_start else b""
 
     def chunks(self, chunks: Sequence[CallChunk]) -> bytes:
         """Return the concatenated events of several chunks."""
@@ -51,12 +51,12 @@
         return tail + END_OF_STREAM
 
 
-def event(document: dict[str, Any]) -> bytes:
+def encode_event(document: dict[str, Any]) -> bytes:
     """Return a document as one server-sent event."""
     return b"data: " + _json(document) + b"\n\n"
 
 
-def whole_answer(
+def answer_document(
     started: CallStarted,
     chunks: Sequence[CallChunk],
     finished: CallFinished,
@@ -67,7 +67,7 @@
         "role": "assistant",
         "content": "".join([chunk.text for chunk in chunks]),
     }
-    tool_calls = merge_tool_calls(piece for chunk in chunks for piece in chunk.tool_calls)
+    tool_calls = merge_tool_calls(fragment for chunk in chunks for fragment in chunk.tool_calls)
     if tool_calls:
         message["tool_calls"] = tool_calls
     choice = {"index": 0, "message": message, "finish_reason": finished.finish_reason}
--- a/src/foxwinch/gateway/connections.py
+++ b/src/foxwinch/gateway/connections.py
@@ -13,7 +13,7 @@
 
 from foxwinch.settings.process import CallerLimits
 
-HEADER_FIELDS = 64
+MAX_HEADER_FIELDS = 64
 LINGERING_SECONDS = 1.0
 """Time to discard the rest of an unread body before the connection is closed."""
 BACKLOG = 1_024
@@ -76,7 +76,7 @@
     return {
         "keepalive_timeout": limits.read_seconds,
         "lingering_time": min(LINGERING_SECONDS, limits.read_seconds),
-        "max_headers": HEADER_FIELDS,
+        "max_headers": MAX_HEADER_FIELDS,
         "max_field_size": limits.header_bytes,
         "max_line_size": limits.header_bytes,
     }
--- a/src/foxwinch/gateway/typed_errors.py
+++ b/src/foxwinch/gateway/error_middleware.py
@@ -8,14 +8,14 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 
 log = EventLog("gateway")
-INTERNAL = Refused(Reason.INTERNAL, RunState.UNKNOWN, "internal error; see the node's log")
+INTERNAL_ERROR = Refused(Reason.INTERNAL, RunState.UNKNOWN, "internal error; see the node's log")
 
 
-def typed_errors() -> Middleware:
+def error_middleware() -> Middleware:
     """Return the aiohttp middleware that converts exceptions to JSON errors."""
 
     @web.middleware
-    async def apply(request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def convert_exceptions(request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
             return await handler(request)
         except web.HTTPException as error:
@@ -26,6 +26,6 @@
             raise
         except Exception as error:
             log.error("request_failed", path=request.path, error=repr(error))
-            return web.json_response(error_document(INTERNAL), status=500)
+            return web.json_response(error_document(INTERNAL_ERROR), status=500)
 
-    return apply
+    return convert_exceptions
--- a/src/foxwinch/gateway/errors.py
+++ b/src/foxwinch/gateway/errors.py
@@ -27,7 +27,7 @@
 DEFAULT_STATUS = 503
 
 
-SHOWN_VALUE_CHARACTERS = 80
+MAX_SHOWN_CHARACTERS = 80
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +40,8 @@
 def invalid_field(field: str, value: object, allowed: str) -> InvalidField:
     """Return a refusal that names the field, its value and the allowed values."""
     shown = json.dumps(value, default=repr)
-    if len(shown) > SHOWN_VALUE_CHARACTERS:
-        shown = shown[:SHOWN_VALUE_CHARACTERS] + "..."
+    if len(shown) > MAX_SHOWN_CHARACTERS:
+        shown = shown[:MAX_SHOWN_CHARACTERS] + "..."
     detail = f"{field} = {shown}: must be {allowed}"
     return InvalidField(Reason.INVALID_REQUEST, RunState.NOT_RUN, detail, None, field)
 
--- a/src/foxwinch/gateway/headers.py
+++ b/src/foxwinch/gateway/headers.py
@@ -47,7 +47,7 @@
     return invalid_field(IDEMPOTENCY_HEADER, key, f"at most {MAX_KEY_CHARACTERS} characters")
 
 
-def offset(field: str, value: str) -> int | Refused:
+def parse_offset(field: str, value: str) -> int | Refused:
     """Parse an offset in chunks."""
     if value.isascii() and value.isdecimal() and len(value) <= 9:
         return int(value)
--- a/src/foxwinch/gateway/programs.py
+++ b/src/foxwinch/gateway/programs.py
@@ -26,8 +26,8 @@
 from foxwinch.gateway.authentication import Caller
 from foxwinch.gateway.chat import GatewayContext, run_chat
 from foxwinch.gateway.errors import error_response, invalid_field
-from foxwinch.gateway.headers import check_name, idempotency_key, offset
-from foxwinch.gateway.request_body import check_text, read_json
+from foxwinch.gateway.headers import check_name, idempotency_key, parse_offset
+from foxwinch.gateway.request_body import read_json, text_field
 from foxwinch.gateway.respond import (
     final_event,
     program_document,
@@ -37,8 +37,8 @@
 from foxwinch.identifiers import CallId, ProgramId, ToolName
 from foxwinch.outcomes import Refused
 
-PATH = "/v1/programs"
-ONE = PATH + "/{program}"
+PROGRAMS_PATH = "/v1/programs"
+PROGRAM_PATH = PROGRAMS_PATH + "/{program}"
 Handler = Callable[[web.Request, Caller, str], Awaitable[web.StreamResponse]]
 
 
@@ -51,43 +51,45 @@
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         """Register the handlers with `router`."""
-        router.add_post(PATH, self.create)
-        router.add_get(ONE, self._of_program(self._show))
-        router.add_get(ONE + "/history", self._of_program(self._history))
-        router.add_post(ONE + "/calls", self._of_program(self._call))
-        router.add_post(ONE + "/tools", self._of_program(self._tool))
-        router.add_post(ONE + "/spawn", self._of_program(self._spawn))
-        router.add_post(ONE + "/finish", self._of_program(self._finish))
-        router.add_post(ONE + "/abandon", self._of_program(self._abandon))
-        router.add_get(ONE + "/calls/{call}/stream", self._of_program(self._stream))
+        router.add_post(PROGRAMS_PATH, self.create)
+        router.add_get(PROGRAM_PATH, self._with_program(self._show))
+        router.add_get(PROGRAM_PATH + "/history", self._with_program(self._history))
+        router.add_post(PROGRAM_PATH + "/calls", self._with_program(self._call))
+        router.add_post(PROGRAM_PATH + "/tools", self._with_program(self._tool))
+        router.add_post(PROGRAM_PATH + "/spawn", self._with_program(self._spawn))
+        router.add_post(PROGRAM_PATH + "/finish", self._with_program(self._finish))
+        router.add_post(PROGRAM_PATH + "/abandon", self._with_program(self._abandon))
+        router.add_get(PROGRAM_PATH + "/calls/{call}/stream", self._with_program(self._stream))
 
     async def create(self, request: web.Request) -> web.StreamResponse:
         """Create a program from a template."""
-        caller = self._context.caller(request)
+        caller = self._context.authenticate(request)
         if isinstance(caller, Refused):
             return error_response(caller)
         body = await read_json(request, self._context.limits)
         if isinstance(body, Refused):
             return error_response(body)
-        template = check_text(body, "template", required=True)
+        template = text_field(body, "template", required=True)
         if isinstance(template, Refused):
             return error_response(template)
         key = idempotency_key(request)
         if isinstance(key, Refused):
             return error_response(key)
-        name = self._name_of_new(caller, body, key)
+        name = self._new_name(caller, body, key)
         if isinstance(name, Refused):
             return error_response(name)
-        asked = CreateRequest(caller.tenant, scoped_program_id(caller.tenant, name), template, key)
-        return _program_response(await self._final(asked), HTTPStatus.CREATED)
+        program_request = CreateRequest(
+            caller.tenant, scoped_program_id(caller.tenant, name), template, key
+        )
+        return _program_response(await self._final_event(program_request), HTTPStatus.CREATED)
 
-    def _of_program(
+    def _with_program(
         self, handler: Handler
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
         """Wrap a handler with authentication and validation of the program name."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
-            caller = self._context.caller(request)
+            caller = self._context.authenticate(request)
             if isinstance(caller, Refused):
                 return error_response(caller)
             name = check_name("program", request.match_info["program"])
@@ -98,12 +100,12 @@
         return handle
 
     async def _show(self, request: web.Request, caller: Caller, name: str) -> web.StreamResponse:
-        return _program_response(await self._final(_history_request(caller, name)))
+        return _program_response(await self._final_event(_history_request(caller, name)))
 
     async def _history(self, request: web.Request, caller: Caller, name: str) -> web.StreamResponse:
-        details = await self._final(_history_request(caller, name))
+        details = await self._final_event(_history_request(caller, name))
         if not isinstance(details, ProgramDetails):
-            return _refusal(details)
+            return _refusal_response(details)
         messages = [from_history(message) for message in details.history]
         return web.json_response({"object": "history", "id": name, "messages": messages})
 
@@ -114,26 +116,28 @@
         body = await read_json(request, self._context.limits)
         if isinstance(body, Refused):
             return error_response(body)
-        asked = _tool_call(request, caller, name, body)
-        if isinstance(asked, Refused):
-            return error_response(asked)
-        final = await self._final(asked)
+        program_request = _tool_call(request, caller, name, body)
+        if isinstance(program_request, Refused):
+            return error_response(program_request)
+        final = await self._final_event(program_request)
         if not isinstance(final, ToolFinished):
-            return _refusal(final)
+            return _refusal_response(final)
         return web.json_response(tool_document(final))
 
     async def _spawn(self, request: web.Request, caller: Caller, name: str) -> web.StreamResponse:
         body = await read_json(request, self._context.limits)
         if isinstance(body, Refused):
             return error_response(body)
-        template = check_text(body, "template", required=False)
+        template = text_field(body, "template", required=False)
         if isinstance(template, Refused):
             return error_response(template)
         key = idempotency_key(request)
         if isinstance(key, Refused):
             return error_response(key)
-        asked = SpawnRequest(caller.tenant, scoped_program_id(caller.tenant, name), template, key)
-        return _program_response(await self._final(asked), HTTPStatus.CREATED)
+        program_request = SpawnRequest(
+            caller.tenant, scoped_program_id(caller.tenant, name), template, key
+        )
+        return _program_response(await self._final_event(program_request), HTTPStatus.CREATED)
 
     async def _finish(self, request: web.Request, caller: Caller, name: str) -> web.StreamResponse:
         return await self._end(request, caller, name, abandoned=False)
@@ -145,28 +149,33 @@
         self, request: web.Request, caller: Caller, name: str, abandoned: bool
     ) -> web.StreamResponse:
         program_id = scoped_program_id(caller.tenant, name)
-        asked = EndRequest(caller.tenant, program_id, abandoned, "asked by the caller")
-        return _program_response(await self._final(asked))
+        program_request = EndRequest(caller.tenant, program_id, abandoned, "asked by the caller")
+        return _program_response(await self._final_event(program_request))
 
     async def _stream(self, request: web.Request, caller: Caller, name: str) -> web.StreamResponse:
-        resume = offset("offset", request.query.get("offset", "0"))
-        if isinstance(resume, Refused):
-            return error_response(resume)
+        resume_offset = parse_offset("offset", request.query.get("offset", "0"))
+        if isinstance(resume_offset, Refused):
+            return error_response(resume_offset)
         call_id = CallId(request.match_info["call"])
-        asked = AttachRequest(
-            caller.tenant, scoped_program_id(caller.tenant, name), call_id, resume
+        program_request = AttachRequest(
+            caller.tenant, scoped_program_id(caller.tenant, name), call_id, resume_offset
         )
         created = int(self._context.clock.wall())
-        events = self._context.execute(asked)
-        return await respond_stream(request, events, created, True, first=resume == 0)
-
-    async def _final(
-        self, asked: CreateRequest | HistoryRequest | ToolCallRequest | SpawnRequest | EndRequest
+        events = self._context.execute(program_request)
+        return await respond_stream(request, events, created, True, from_start=resume_offset == 0)
+
+    async def _final_event(
+        self,
+        program_request: CreateRequest
+        | HistoryRequest
+        | ToolCallRequest
+        | SpawnRequest
+        | EndRequest,
     ) -> ProgramEvent:
-        return await final_event(self._context.execute(asked))
+        return await final_event(self._context.execute(program_request))
 
-    def _name_of_new(self, caller: Caller, body: dict[str, Any], key: str) -> str | Refused:
-        name = check_text(body, "name", required=False)
+    def _new_name(self, caller: Caller, body: dict[str, Any], key: str) -> str | Refused:
+        name = text_field(body, "name", required=False)
         if isinstance(name, Refused):
             return name
         if not name:
@@ -181,13 +190,13 @@
 def _tool_call(
     request: web.Request, caller: Caller, name: str, body: dict[str, Any]
 ) -> ToolCallRequest | Refused:
-    tool = check_text(body, "tool", required=True)
+    tool = text_field(body, "tool", required=True)
     if isinstance(tool, Refused):
         return tool
     arguments = body.get("arguments", {})
     if not isinstance(arguments, dict):
         return invalid_field("arguments", arguments, "an object")
-    tool_call_id = check_text(body, "tool_call_id", required=False)
+    tool_call_id = text_field(body, "tool_call_id", required=False)
     if isinstance(tool_call_id, Refused):
         return tool_call_id
     key = idempotency_key(request)
@@ -207,10 +216,10 @@
     details: ProgramEvent, status: HTTPStatus = HTTPStatus.OK
 ) -> web.StreamResponse:
     if not isinstance(details, ProgramDetails):
-        return _refusal(details)
+        return _refusal_response(details)
     return web.json_response(program_document(details), status=status)
 
 
-def _refusal(final: ProgramEvent) -> web.StreamResponse:
+def _refusal_response(final: ProgramEvent) -> web.StreamResponse:
     assert isinstance(final, Refused)
     return error_response(final)
--- a/src/foxwinch/gateway/request_body.py
+++ b/src/foxwinch/gateway/request_body.py
@@ -15,7 +15,7 @@
 
 DEFAULT_MAXIMUM_TOKENS = 1_024
 ROLES = frozenset({"system", "developer", "user", "assistant", "tool", "function"})
-OWN_FIELDS = frozenset(
+INTERPRETED_FIELDS = frozenset(
     {"model", "messages", "stream", "stream_options", "max_tokens", "max_completion_tokens", "n"}
 )
 """Fields that foxwinch interprets; all others are passed through to the engine."""
@@ -76,16 +76,16 @@
     model = body.get("model")
     if not isinstance(model, str) or not model:
         return invalid_field("model", model, "the name of a model")
-    messages = _messages(body.get("messages", [] if may_be_empty else None), may_be_empty)
+    messages = _check_messages(body.get("messages", [] if may_be_empty else None), may_be_empty)
     if isinstance(messages, Refused):
         return messages
     maximum = _maximum_tokens(body)
     if isinstance(maximum, Refused):
         return maximum
-    wrong = _wrong_type(body)
-    if wrong is not None:
-        return wrong
-    parameters = {name: value for name, value in body.items() if name not in OWN_FIELDS}
+    refusal = _check_types(body)
+    if refusal is not None:
+        return refusal
+    parameters = {name: value for name, value in body.items() if name not in INTERPRETED_FIELDS}
     return ChatBody(
         model=model,
         messages=messages,
@@ -96,7 +96,7 @@
     )
 
 
-def check_text(body: dict[str, Any], field: str, required: bool) -> str | Refused:
+def text_field(body: dict[str, Any], field: str, required: bool) -> str | Refused:
     """Return a text field, or an empty string if it is absent and not required."""
     value = body.get(field)
     if value is None and not required:
@@ -106,19 +106,19 @@
     return invalid_field(field, value, "a non-empty string" if required else "a string")
 
 
-def _messages(value: object, may_be_empty: bool) -> tuple[HistoryMessage, ...] | Refused:
+def _check_messages(value: object, may_be_empty: bool) -> tuple[HistoryMessage, ...] | Refused:
     if not isinstance(value, list) or not (value or may_be_empty):
         return invalid_field("messages", value, "a non-empty list of messages")
     found = []
     for index, message in enumerate(value):
-        wrong = _wrong_message(f"messages[{index}]", message)
-        if wrong is not None:
-            return wrong
+        refusal = _check_message(f"messages[{index}]", message)
+        if refusal is not None:
+            return refusal
         found.append(to_history(message))
     return tuple(found)
 
 
-def _wrong_message(field: str, message: object) -> Refused | None:
+def _check_message(field: str, message: object) -> Refused | None:
     if not isinstance(message, dict):
         return invalid_field(field, message, "an object")
     role = message.get("role")
@@ -141,7 +141,7 @@
     return DEFAULT_MAXIMUM_TOKENS
 
 
-def _wrong_type(body: dict[str, Any]) -> Refused | None:
+def _check_types(body: dict[str, Any]) -> Refused | None:
     stream = body.get("stream")
     if stream is not None and not isinstance(stream, bool):
         return invalid_field("stream", stream, "true or false")
--- a/src/foxwinch/gateway/respond.py
+++ b/src/foxwinch/gateway/respond.py
@@ -18,7 +18,7 @@
 )
 from foxwinch.core.program.history import from_history
 from foxwinch.core.program.identity import name_of
-from foxwinch.gateway.chat_format import ChunkEncoder, event, whole_answer
+from foxwinch.gateway.chat_format import ChunkEncoder, answer_document, encode_event
 from foxwinch.gateway.errors import error_document, error_response
 from foxwinch.gateway.headers import CALL_HEADER, PROGRAM_HEADER, WORKER_HEADER
 from foxwinch.outcomes import Refused
@@ -33,49 +33,49 @@
     events: AsyncIterator[ProgramEvent],
     created_seconds: int,
     include_usage: bool,
-    first: bool = True,
+    from_start: bool = True,
 ) -> web.StreamResponse:
     """Stream an answer as server-sent events; a refusal before the start is an error response."""
     response: web.StreamResponse | None = None
     encoder: ChunkEncoder | None = None
     unsent = b""
     async with aclosing(cast(Any, events)):
-        async for item in events:
-            if isinstance(item, CallChunks) and response is not None and encoder is not None:
-                unsent += encoder.chunks(item.chunks)
-                if not item.more:
+        async for event in events:
+            if isinstance(event, CallChunks) and response is not None and encoder is not None:
+                unsent += encoder.chunks(event.chunks)
+                if not event.more:
                     await _write(request, response.write, unsent)
                     unsent = b""
-            elif isinstance(item, CallStarted):
-                encoder = ChunkEncoder(item, created_seconds, first)
-                response = web.StreamResponse(headers={**EVENT_STREAM, **call_headers(item)})
+            elif isinstance(event, CallStarted):
+                encoder = ChunkEncoder(event, created_seconds, from_start)
+                response = web.StreamResponse(headers={**EVENT_STREAM, **call_headers(event)})
                 await response.prepare(request)
-            elif isinstance(item, Refused) and response is None:
-                return error_response(item)
+            elif isinstance(event, Refused) and response is None:
+                return error_response(event)
             elif response is not None and encoder is not None:
-                unsent += _last(item, encoder, include_usage)
+                unsent += _encode_final_event(event, encoder, include_usage)
     assert response is not None
     await _write(request, response.write_eof, unsent)
     return response
 
 
-async def respond_whole(
+async def respond_json(
     events: AsyncIterator[ProgramEvent], created_seconds: int
 ) -> web.StreamResponse:
     """Collect an answer and return it as one JSON document."""
     chunks: list[CallChunk] = []
     started: CallStarted | None = None
     async with aclosing(cast(Any, events)):
-        async for item in events:
-            if isinstance(item, CallStarted):
-                started = item
-            elif isinstance(item, CallChunks):
-                chunks.extend(item.chunks)
-            elif isinstance(item, CallFinished) and started is not None:
-                document = whole_answer(started, chunks, item, created_seconds)
+        async for event in events:
+            if isinstance(event, CallStarted):
+                started = event
+            elif isinstance(event, CallChunks):
+                chunks.extend(event.chunks)
+            elif isinstance(event, CallFinished) and started is not None:
+                document = answer_document(started, chunks, event, created_seconds)
                 return web.json_response(document, headers=call_headers(started))
-            elif isinstance(item, Refused):
-                return error_response(item)
+            elif isinstance(event, Refused):
+                return error_response(event)
     raise AssertionError("the events of a model call must end with `CallFinished` or `Refused`")
 
 
@@ -83,8 +83,8 @@
     """Return the last event of a request."""
     last: ProgramEvent | None = None
     async with aclosing(cast(Any, events)):
-        async for item in events:
-            last = item
+        async for event in events:
+            last = event
     assert last is not None
     return last
 
@@ -132,13 +132,13 @@
     }
 
 
-def _last(item: ProgramEvent, encoder: ChunkEncoder, include_usage: bool) -> bytes:
-    if isinstance(item, CallFinished):
-        return encoder.end(item, include_usage)
-    if isinstance(item, ToolFinished):
-        return event(tool_document(item))
-    assert isinstance(item, Refused)
-    return event(error_document(item))
+def _encode_final_event(event: ProgramEvent, encoder: ChunkEncoder, include_usage: bool) -> bytes:
+    if isinstance(event, CallFinished):
+        return encoder.end(event, include_usage)
+    if isinstance(event, ToolFinished):
+        return encode_event(tool_document(event))
+    assert isinstance(event, Refused)
+    return encode_event(error_document(event))
 
 
 async def _write(
--- a/src/foxwinch/node/local.py
+++ b/src/foxwinch/node/local.py
@@ -60,7 +60,7 @@
         self._records: dict[ProgramId, list[JournalRecord]] = {}
 
     async def open(
-        self, root: ProgramId, over: NodeId | None = None
+        self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> OpenedTree | OwnedElsewhere | Refused:
         """Return the program tree."""
         records = self._records.setdefault(root, [])
--- a/src/foxwinch/node/node.py
+++ b/src/foxwinch/node/node.py
@@ -10,7 +10,7 @@
 from foxwinch.backends.engine_http import HttpEngine
 from foxwinch.clock import Clock, SystemClock
 from foxwinch.configuration.ports import ConfigurationView
-from foxwinch.gateway.typed_errors import typed_errors
+from foxwinch.gateway.error_middleware import error_middleware
 from foxwinch.identifiers import NodeId
 from foxwinch.log import EventLog
 from foxwinch.node.health import HealthHandlers
@@ -104,7 +104,8 @@
         """Return the caller side."""
         limits = self.context.settings.caller_limits
         application = web.Application(
-            client_max_size=limits.body_bytes, middlewares=[self.gate.middleware(), typed_errors()]
+            client_max_size=limits.body_bytes,
+            middlewares=[self.gate.middleware(), error_middleware()],
         )
         HealthHandlers(
             self.context.registry, self.parts.operator.readiness.not_ready_because
--- a/src/foxwinch/node/parts/grants.py
+++ b/src/foxwinch/node/parts/grants.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from foxwinch.commands.operator import StaticWorkers, WorkerDrains
+from foxwinch.commands.operator import StaticWorkers, WorkerDrainPort
 from foxwinch.core.orders.reconciler import OrderPolicy
 from foxwinch.identifiers import RegionName
 from foxwinch.node.parts.configuration import ConfigurationPart
@@ -25,7 +25,7 @@
 
     grants: GrantView
     facts: WorkerFacts = field(default_factory=NoWorkers)
-    drains: WorkerDrains = field(default_factory=StaticWorkers)
+    drains: WorkerDrainPort = field(default_factory=StaticWorkers)
     services: tuple[NodeService, ...] = ()
 
 
--- a/src/foxwinch/node/parts/operator.py
+++ b/src/foxwinch/node/parts/operator.py
@@ -73,7 +73,7 @@
     readiness = Readiness(
         context,
         configuration.configuration,
-        programs.owner.held_count,
+        programs.owner.tree_count,
         membership.regions,
     )
     queries = ClusterQueries(
--- a/src/foxwinch/node/parts/programs.py
+++ b/src/foxwinch/node/parts/programs.py
@@ -27,7 +27,7 @@
 from foxwinch.node.parts.membership import MembershipPart
 from foxwinch.node.parts.records import RecordsPart
 from foxwinch.queries.facts import ProgramFacts
-from foxwinch.queries.programs import OwnedPrograms
+from foxwinch.queries.programs import ServedPrograms
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,9 +71,9 @@
 
         What is idle meanwhile is left to whichever node is asked for it next.
         """
-        self._owner.closing = True
+        self._owner.draining = True
         await self._owner.wait_idle()
-        await self._router.wait_sent()
+        await self._router.wait_forwarded_sent()
 
 
 def build_programs(
@@ -111,7 +111,7 @@
         ChatHandlers(gateway).add_routes(routes)
         ProgramHandlers(gateway).add_routes(routes)
 
-    facts = OwnedPrograms(owner, context.node)
+    facts = ServedPrograms(owner, context.node)
     return ProgramsPart(
         add_caller_routes,
         owner,
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -25,13 +25,13 @@
 
 FACTS_METHOD = "operator.facts"
 PROGRAM_METHOD = "operator.program"
-FACTS_SECONDS = 2.0
+FACTS_TIMEOUT_SECONDS = 2.0
 """Timeout after which a node is listed as unresponsive; far above a region's round-trip time."""
-NODES_AT_ONCE = 32
+MAX_CONCURRENT_REQUESTS = 32
 """Limit on concurrent requests, so that a query over hundreds of nodes causes no burst."""
 DEFAULT_PROGRAMS = 100
 MAX_PROGRAMS = 1_000
-ASKED_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
+QUERIED_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     """The answers of all nodes, and the nodes that did not answer."""
 
     answers: Sequence[FactsResponse]
-    silent: Sequence[NodeId]
+    unresponsive: Sequence[NodeId]
 
 
 class ClusterQueries:
@@ -72,25 +72,27 @@
 
     async def nodes(self) -> Sequence[NodeStatus]:
         """Return the status of every known member, with its own report if it answered."""
-        facts = await self._ask_all(FactsRequest())
-        answered = {answer.node.node: answer.node for answer in facts.answers}
-        return [_merged(member, answered.get(member.node)) for member in self._members()]
+        facts = await self._query_all(FactsRequest())
+        reported = {answer.node.node: answer.node for answer in facts.answers}
+        return [_merge_status(member, reported.get(member.node)) for member in self._members()]
 
     async def workers(self) -> ListWorkersResponse:
         """Return the workers of all coordinators, sorted by name."""
-        facts = await self._ask_all(FactsRequest(workers=True))
+        facts = await self._query_all(FactsRequest(workers=True))
         found = [worker for answer in facts.answers for worker in answer.workers]
         found.sort(key=lambda worker: worker.worker)
-        return ListWorkersResponse(workers=found, silent_nodes=facts.silent)
+        return ListWorkersResponse(workers=found, silent_nodes=facts.unresponsive)
 
     async def programs(self, request: ListProgramsRequest) -> ListProgramsResponse:
         """Return the matching programs, newest first."""
         limit = _limit(request)
-        facts = await self._ask_all(FactsRequest(programs=request))
+        facts = await self._query_all(FactsRequest(programs=request))
         found = [program for answer in facts.answers for program in answer.programs]
         found.sort(key=lambda program: (-program.created_at_seconds, program.program_id))
         more = len(found) > limit or any(answer.more_programs for answer in facts.answers)
-        return ListProgramsResponse(programs=found[:limit], silent_nodes=facts.silent, more=more)
+        return ListProgramsResponse(
+            programs=found[:limit], silent_nodes=facts.unresponsive, more=more
+        )
 
     async def program(self, program_id: ProgramId) -> ProgramDetail | Refused:
         """Return one program from the node that serves it, else from this node or the store."""
@@ -100,7 +102,7 @@
         address = parse_address(located.address) if isinstance(located, OwnedElsewhere) else None
         if address is not None and self._peers is not None:
             answer = await self._peers.call(
-                address, PROGRAM_METHOD, program_id.encode(), FACTS_SECONDS
+                address, PROGRAM_METHOD, program_id.encode(), FACTS_TIMEOUT_SECONDS
             )
             if not isinstance(answer, Refused):
                 return ProgramDetail.FromString(answer)
@@ -109,23 +111,25 @@
     def _members(self) -> list[Member]:
         return sorted(self._membership.members(), key=lambda member: member.node)
 
-    async def _ask_all(self, request: FactsRequest) -> ClusterFacts:
-        this = self._membership.this_member().node
-        others = [m for m in self._members() if m.node != this and m.state in ASKED_STATES]
-        room = asyncio.Semaphore(NODES_AT_ONCE)
+    async def _query_all(self, request: FactsRequest) -> ClusterFacts:
+        this_node = self._membership.this_member().node
+        others = [m for m in self._members() if m.node != this_node and m.state in QUERIED_STATES]
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
         payload = request.SerializeToString()
-        answers = await asyncio.gather(*(self._ask(m, payload, room) for m in others))
-        silent = [m.node for m, answer in zip(others, answers, strict=True) if answer is None]
-        heard = [answer for answer in answers if answer is not None]
-        return ClusterFacts([self._facts(request), *heard], silent)
+        answers = await asyncio.gather(*(self._query_node(m, payload, semaphore) for m in others))
+        unresponsive = [m.node for m, answer in zip(others, answers, strict=True) if answer is None]
+        responses = [answer for answer in answers if answer is not None]
+        return ClusterFacts([self._facts(request), *responses], unresponsive)
 
-    async def _ask(
-        self, member: Member, payload: bytes, room: asyncio.Semaphore
+    async def _query_node(
+        self, member: Member, payload: bytes, semaphore: asyncio.Semaphore
     ) -> FactsResponse | None:
         if self._peers is None:
             return None
-        async with room:
-            answer = await self._peers.call(member.address, FACTS_METHOD, payload, FACTS_SECONDS)
+        async with semaphore:
+            answer = await self._peers.call(
+                member.address, FACTS_METHOD, payload, FACTS_TIMEOUT_SECONDS
+            )
         return None if isinstance(answer, Refused) else FactsResponse.FromString(answer)
 
     def _facts(self, request: FactsRequest) -> FactsResponse:
@@ -151,11 +155,11 @@
     return min(request.limit or DEFAULT_PROGRAMS, MAX_PROGRAMS)
 
 
-def _merged(member: Member, answered: NodeStatus | None) -> NodeStatus:
+def _merge_status(member: Member, reported: NodeStatus | None) -> NodeStatus:
     """Return a node's own report, with the membership fields as this node sees them."""
     status = NodeStatus()
-    if answered is not None:
-        status.CopyFrom(answered)
+    if reported is not None:
+        status.CopyFrom(reported)
         status.answered = True
     status.node = member.node
     status.address = str(member.address)
--- a/src/foxwinch/queries/configuration.py
+++ b/src/foxwinch/queries/configuration.py
@@ -14,8 +14,8 @@
 from foxwinch.peer.ports import PeerPort
 
 STATUS_METHOD = "configuration.status"
-STATUS_SECONDS = 2.0
-PARALLEL_CALLS = 32
+STATUS_TIMEOUT_SECONDS = 2.0
+MAX_CONCURRENT_REQUESTS = 32
 """With this limit, 570 nodes are queried in about twenty rounds of a few milliseconds."""
 
 
@@ -33,26 +33,26 @@
 
 
 async def revisions_at_nodes(
-    membership: MembershipView, peer: PeerPort, this_revision: ConfigurationStatus
+    membership: MembershipView, peer: PeerPort, this_status: ConfigurationStatus
 ) -> Sequence[NodeRevision]:
     """Query every known member; one that does not answer is listed without a revision."""
-    this = membership.this_member()
-    places = asyncio.Semaphore(PARALLEL_CALLS)
+    this_member = membership.this_member()
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
-    async def ask(member: Member) -> NodeRevision:
-        if member.node == this.node:
-            return _row(member, this_revision)
-        async with places:
-            return await _ask(peer, member)
+    async def query(member: Member) -> NodeRevision:
+        if member.node == this_member.node:
+            return _row(member, this_status)
+        async with semaphore:
+            return await _query_node(peer, member)
 
     members = [m for m in membership.members() if m.state is not MemberState.LEFT]
-    rows = await asyncio.gather(*(ask(member) for member in members))
+    rows = await asyncio.gather(*(query(member) for member in members))
     return sorted(rows, key=lambda row: (row.zone, row.node))
 
 
-async def _ask(peer: PeerPort, member: Member) -> NodeRevision:
+async def _query_node(peer: PeerPort, member: Member) -> NodeRevision:
     request = ConfigurationStatusRequest().SerializeToString()
-    answer = await peer.call(member.address, STATUS_METHOD, request, STATUS_SECONDS)
+    answer = await peer.call(member.address, STATUS_METHOD, request, STATUS_TIMEOUT_SECONDS)
     if isinstance(answer, Refused):
         return _row(member, None)
     try:
--- a/src/foxwinch/queries/configuration_difference.py
+++ b/src/foxwinch/queries/configuration_difference.py
@@ -36,19 +36,19 @@
     snapshot: ConfigurationSnapshot, proposed: ClusterConfiguration
 ) -> Sequence[Difference]:
     """Compare a proposed document with the active one; list entries are matched by name."""
-    old = dict(_leaves("", snapshot.document.model_dump(mode="json")))
-    new = dict(_leaves("", proposed.model_dump(mode="json")))
+    old = dict(_leaf_values("", snapshot.document.model_dump(mode="json")))
+    new = dict(_leaf_values("", proposed.model_dump(mode="json")))
     paths = sorted(path for path in old.keys() | new.keys() if old.get(path) != new.get(path))
     return [Difference(path, old.get(path), new.get(path)) for path in paths]
 
 
-def _leaves(path: str, value: Any) -> Iterator[tuple[str, str]]:
+def _leaf_values(path: str, value: Any) -> Iterator[tuple[str, str]]:
     if isinstance(value, dict):
         for name, item in value.items():
-            yield from _leaves(f"{path}.{name}" if path else name, item)
+            yield from _leaf_values(f"{path}.{name}" if path else name, item)
     elif _is_list_of_named(value):
         for item in value:
-            yield from _leaves(f"{path}.{item['name']}", item)
+            yield from _leaf_values(f"{path}.{item['name']}", item)
     else:
         yield path, json.dumps(value, sort_keys=True)
 
--- a/src/foxwinch/queries/programs.py
+++ b/src/foxwinch/queries/programs.py
@@ -21,11 +21,11 @@
 DEFAULT_LIMIT = 100
 MAX_LIMIT = 1_000
 KIND_NAMES = {CallAdmitted.MODEL: "model", CallAdmitted.TOOL: "tool", CallAdmitted.SPAWN: "spawn"}
-TURN_REASON = "behind {count} earlier calls of the program"
+WAITING_REASON = "behind {count} earlier calls of the program"
 UNGRANTED_REASON = "budget reserved; waiting for a worker or for the commit of the intent"
 
 
-class OwnedPrograms:
+class ServedPrograms:
     """Implements `foxwinch.queries.facts.ProgramFacts`."""
 
     def __init__(self, owner: ProgramOwner, node: NodeId) -> None:
@@ -37,41 +37,41 @@
         """Return the matching programs, newest first, up to one more than the limit."""
         limit = min(request.limit or DEFAULT_LIMIT, MAX_LIMIT)
         matching = [
-            (held, program)
-            for held in self._owner.trees()
-            for program in held.table
+            (tree, program)
+            for tree in self._owner.trees()
+            for program in tree.table
             if _matches(request, program)
         ]
         matching.sort(key=lambda found: found[1].created.created_at_seconds, reverse=True)
-        return [self._summary(held, program) for held, program in matching[: limit + 1]]
+        return [self._summary(tree, program) for tree, program in matching[: limit + 1]]
 
     async def program(self, program_id: ProgramId) -> ProgramDetail | Refused:
         """Return one program with its calls, and the reason for each call's wait and placement."""
         root = root_of(program_id)
-        held = self._owner.held(root)
-        if held is not None:
-            return self._detail(held.table.find(program_id), program_id, held)
+        tree = self._owner.served_tree(root)
+        if tree is not None:
+            return self._detail(tree.table.find(program_id), program_id, tree)
         records = await self._owner.ports.trees.read(root)
         if isinstance(records, Refused):
             return records
         return self._detail(ProgramTable(records).find(program_id), program_id, None)
 
     def _detail(
-        self, program: Program | None, program_id: ProgramId, held: ServedTree | None
+        self, program: Program | None, program_id: ProgramId, tree: ServedTree | None
     ) -> ProgramDetail | Refused:
-        """Describe a program; `held` is None for one rebuilt from its journal."""
+        """Describe a program; `tree` is None for one rebuilt from its journal."""
         if program is None:
             return not_run(Reason.NOT_FOUND, f"program {program_id} is not known")
         return ProgramDetail(
-            summary=self._summary(held, program),
+            summary=self._summary(tree, program),
             parent_program_id=program.created.parent_program_id,
             children=program.children,
-            calls=list(_calls(held, program)),
-            batches=held.journal.batches if held is not None else 0,
+            calls=list(_call_statuses(tree, program)),
+            batches=tree.journal.batches if tree is not None else 0,
             cost=program.ledger.spent.cost,
         )
 
-    def _summary(self, held: ServedTree | None, program: Program) -> ProgramSummary:
+    def _summary(self, tree: ServedTree | None, program: Program) -> ProgramSummary:
         created = program.created
         return ProgramSummary(
             program_id=program.program_id,
@@ -79,7 +79,7 @@
             template=created.template,
             class_name=created.class_name,
             state=state_name(program),
-            node=self._node if held is not None else "",
+            node=self._node if tree is not None else "",
             calls=program.ledger.spent.calls,
             tokens=program.ledger.spent.tokens,
             created_at_seconds=created.created_at_seconds,
@@ -92,16 +92,16 @@
     return not request.state or state_name(program) == request.state
 
 
-def _calls(held: ServedTree | None, program: Program) -> Iterator[CallStatus]:
+def _call_statuses(tree: ServedTree | None, program: Program) -> Iterator[CallStatus]:
     for call in program.calls.values():
-        yield _call(held, call)
+        yield _call_status(tree, call)
     for position, waiting in enumerate(program.waiting.values()):
-        yield _waiting(waiting, position + (program.active is not None))
+        yield _waiting_status(waiting, position + (program.active is not None))
 
 
-def _call(held: ServedTree | None, call: Call) -> CallStatus:
+def _call_status(tree: ServedTree | None, call: Call) -> CallStatus:
     outcome = call.outcome
-    running = held.running.get(call.call_id) if held is not None else None
+    running = tree.running.get(call.call_id) if tree is not None else None
     started = running.started if running is not None else None
     status = CallStatus(
         call_id=call.call_id,
@@ -126,7 +126,7 @@
     return status
 
 
-def _waiting(waiting: WaitingCall, ahead: int) -> CallStatus:
+def _waiting_status(waiting: WaitingCall, calls_ahead: int) -> CallStatus:
     return CallStatus(
-        call_id=waiting.call_id, state="waiting", reason=TURN_REASON.format(count=ahead)
+        call_id=waiting.call_id, state="waiting", reason=WAITING_REASON.format(count=calls_ahead)
     )
--- a/src/foxwinch/records/program_trees.py
+++ b/src/foxwinch/records/program_trees.py
@@ -79,9 +79,9 @@
 
     @abstractmethod
     async def open(
-        self, root: ProgramId, over: NodeId | None = None
+        self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> OpenedTree | OwnedElsewhere | Refused:
-        """Begin to serve a program tree that no other node serves, or that `over` serves."""
+        """Begin to serve a program tree that no node, or that `previous_owner`, serves."""
 
     @abstractmethod
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
--- a/src/foxwinch/records/tree_store.py
+++ b/src/foxwinch/records/tree_store.py
@@ -47,7 +47,7 @@
         self._numbers = itertools.count(1)
 
     async def open(
-        self, root: ProgramId, over: NodeId | None = None
+        self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> OpenedTree | OwnedElsewhere | Refused:
         """Begin to serve a program tree; one without a row is served without writing anything.
 
@@ -58,7 +58,7 @@
         if isinstance(head, Refused):
             return head
         if head.version and head.node != self._node:
-            if head.node != over and head.address != self._address:
+            if head.node != previous_owner and head.address != self._address:
                 return OwnedElsewhere(head.node, head.address)
             taken = await self._take(root, head, deadline_at)
             if not isinstance(taken, TreeHead):
--- a/src/foxwinch/workers/coordinator_facts.py
+++ b/src/foxwinch/workers/coordinator_facts.py
@@ -44,7 +44,7 @@
 
 
 class GossipedDrains:
-    """Implements `foxwinch.commands.operator.WorkerDrains`."""
+    """Implements `foxwinch.commands.operator.WorkerDrainPort`."""
 
     def __init__(self, configuration: ConfigurationView, gossip: GossipView) -> None:
         """Check against `configuration`, spread by `gossip`."""
--- a/src/foxwinch/workers/grant_reports.py
+++ b/src/foxwinch/workers/grant_reports.py
@@ -125,7 +125,7 @@
             message = PausedProgram(program_id=program_id, tool=tool, sequence=self.next_sequence())
             self._paused[program_id] = _Pause(worker, message)
 
-    def adopt(self, program_id: ProgramId) -> None:
+    def mark_taken_over(self, program_id: ProgramId) -> None:
         """Take note that the program ran under an earlier owner, at workers not known here."""
         self._adopted.add(program_id)
 
--- a/src/foxwinch/workers/grants_service.py
+++ b/src/foxwinch/workers/grants_service.py
@@ -136,9 +136,9 @@
         self._reports.finish(program_id, self._engine_workers())
         self._news.set()
 
-    def adopt(self, program_id: ProgramId) -> None:
+    def mark_taken_over(self, program_id: ProgramId) -> None:
         """Take note that the program may have run at any worker under an earlier owner."""
-        self._reports.adopt(program_id)
+        self._reports.mark_taken_over(program_id)
 
     # --- asking ------------------------------------------------------------------------------
 
--- a/src/foxwinch/workers/ports.py
+++ b/src/foxwinch/workers/ports.py
@@ -104,7 +104,7 @@
         """Tell that the program has gone into a tool call: keep, move or drop its cache."""
         ...
 
-    def adopt(self, program_id: ProgramId) -> None:
+    def mark_taken_over(self, program_id: ProgramId) -> None:
         """Tell that an earlier owner ran the program: any worker may hold its memory."""
         ...
 
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -116,12 +116,12 @@
         self.elsewhere = None
         self.taken_over = []
 
-    async def open(self, root, over=None):
+    async def open(self, root, previous_owner=None):
         await asyncio.sleep(0.001)
-        if self.elsewhere is not None and self.elsewhere.node != over:
+        if self.elsewhere is not None and self.elsewhere.node != previous_owner:
             return self.elsewhere
-        if over is not None:
-            self.taken_over.append(over)
+        if previous_owner is not None:
+            self.taken_over.append(previous_owner)
         return OpenedTree(self.journal, list(self.records))
 
     async def read(self, root):
@@ -154,7 +154,7 @@
     def pause(self, program_id, tool):
         self.paused.append((program_id, tool))
 
-    def adopt(self, program_id):
+    def mark_taken_over(self, program_id):
         pass
 
     def finish(self, program_id):
@@ -162,17 +162,17 @@
 
 
 class FakeLimits:
-    """Admits all calls; `held` is the number of calls that are not settled."""
+    """Admits all calls; `unsettled` counts the calls that are not settled."""
 
     def __init__(self):
-        self.held = 0
+        self.unsettled = 0
 
     def admit(self, tenant, class_name, estimated_tokens):
-        self.held += 1
+        self.unsettled += 1
         return Admitted(tenant, estimated_tokens)
 
     def settle(self, admitted, used_tokens):
-        self.held -= 1
+        self.unsettled -= 1
 
 
 class Rig:
@@ -192,15 +192,15 @@
 
     async def reopen(self, records, name="p"):
         """Reopen the program tree from the given records, as after the failure of its node."""
-        held = self.owner.held(scoped_program_id(TENANT, name))
-        if held is not None:
-            self.owner.drop(held)
+        tree = self.owner.served_tree(scoped_program_id(TENANT, name))
+        if tree is not None:
+            self.owner.drop(tree)
         self.trees.records = list(records)
         return await self.owner.locate(scoped_program_id(TENANT, name))
 
     def program(self, name="p"):
-        held = self.owner.held(scoped_program_id(TENANT, name))
-        return held.table.find(scoped_program_id(TENANT, name)) if held is not None else None
+        tree = self.owner.served_tree(scoped_program_id(TENANT, name))
+        return tree.table.find(scoped_program_id(TENANT, name)) if tree is not None else None
 
     def model(self, text="hello", name="p", **fields):
         message = HistoryMessage(role="user", content=text)
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from foxwinch.commands.tree_takeover import LOOK_SECONDS, TreeTakeover
+from foxwinch.commands.tree_takeover import SCAN_INTERVAL_SECONDS, TreeTakeover
 from foxwinch.core.membership.member import Member, MemberState
 from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.identifiers import NodeId, PeerAddress
@@ -36,7 +36,7 @@
     rig.trees.served = served
     adoption = TreeTakeover(rig.owner, members)
     await adoption.start()
-    await asyncio.sleep(LOOK_SECONDS + 1.0)
+    await asyncio.sleep(SCAN_INTERVAL_SECONDS + 1.0)
     await adoption.stop()
     return rig.trees.taken_over
 
@@ -56,5 +56,5 @@
 
 async def test_a_leaving_node_takes_nothing_over():
     rig = Rig()
-    rig.owner.closing = True
+    rig.owner.draining = True
     assert await adopted_by(rig, Members("here"), "gone") == []
--- a/tests/test_call_retries.py
+++ b/tests/test_call_retries.py
@@ -42,13 +42,13 @@
 
 
 def spend_budget(rig, worker):
-    while rig.ports.retries.may_repeat(TENANT, worker, BROKEN, sent=True):
+    while rig.ports.retries.try_retry(TENANT, worker, BROKEN, sent=True):
         pass
 
 
 def open_circuit(rig, worker):
     for _ in range(CALLS_MINIMUM):
-        rig.ports.retries.ended(worker, DOWN, rig.clock.monotonic(), lambda: 0.5)
+        rig.ports.retries.record_end(worker, DOWN, rig.clock.monotonic(), lambda: 0.5)
 
 
 @pytest.mark.parametrize("failure", [DOWN, BROKEN])
@@ -89,8 +89,8 @@
     registry = CollectorRegistry()
     retries = CallRetries(registry)
     fenced = not_run(Reason.FENCED, "fenced")
-    assert all(retries.may_repeat(TENANT, BAD, fenced, sent=True) for _ in range(20))
-    repeats = sum(retries.may_repeat(TENANT, BAD, DOWN, sent=True) for _ in range(20))
+    assert all(retries.try_retry(TENANT, BAD, fenced, sent=True) for _ in range(20))
+    repeats = sum(retries.try_retry(TENANT, BAD, DOWN, sent=True) for _ in range(20))
     assert repeats == RETRY_BURST
     spent = {"cause": "budget_spent"}
     assert registry.get_sample_value("foxwinch_call_retries_total") == 20 + RETRY_BURST
--- a/tests/test_program_commands.py
+++ b/tests/test_program_commands.py
@@ -17,7 +17,7 @@
     HistoryRequest,
     SpawnRequest,
 )
-from foxwinch.commands.sweep import RECONNECT_SECONDS, ProgramSweeper
+from foxwinch.commands.sweep import RECONNECT_TIMEOUT_SECONDS, ProgramSweeper
 from foxwinch.core.program.call_events import (
     CallChunks,
     CallFinished,
@@ -30,7 +30,7 @@
 from foxwinch.emulator.network import MemoryNetwork, addresses
 from foxwinch.identifiers import CallId, NodeId, TenantName
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
-from foxwinch.queries.programs import OwnedPrograms
+from foxwinch.queries.programs import ServedPrograms
 from foxwinch.records.program_trees import OpenedTree, OwnedElsewhere
 from program_fakes import BROKEN, TENANT, Rig, collect
 
@@ -67,7 +67,7 @@
     assert isinstance(last, CallFinished)
     assert results(rig) == [(CallOutcome.SUCCEEDED, "")]
     assert [m.content for m in rig.program().history] == ["hello", TEXT]
-    assert rig.limits.held == 0
+    assert rig.limits.unsettled == 0
 
 
 async def test_calls_of_a_program_run_one_by_one_in_order_of_arrival(rig):
@@ -140,11 +140,11 @@
     assert results(rig) == [(CallOutcome.FAILED_RAN, "cancelled")]
     assert rig.program().ledger.reserved.tokens == 0
     assert rig.program().history == []
-    assert (rig.limits.held, len(rig.grants.settled)) == (0, 1)
+    assert (rig.limits.unsettled, len(rig.grants.settled)) == (0, 1)
 
 
 async def test_a_keyed_call_is_cancelled_when_nobody_comes_back(rig):
-    rig.engine.pause_seconds = 10 * RECONNECT_SECONDS
+    rig.engine.pause_seconds = 10 * RECONNECT_TIMEOUT_SECONDS
     sweeper = ProgramSweeper(rig.owner)
     await sweeper.start()
     events = rig.model(idempotency_key="k")
@@ -153,7 +153,7 @@
     await rig.owner.wait_idle()
     await sweeper.stop()
     assert rig.engine.cancelled == 1
-    assert asyncio.get_running_loop().time() < 2 * RECONNECT_SECONDS
+    assert asyncio.get_running_loop().time() < 2 * RECONNECT_TIMEOUT_SECONDS
 
 
 async def test_a_broken_stream_is_resumed_on_another_worker_without_doubling(rig):
@@ -230,7 +230,7 @@
 
 async def take_over(rig):
     """Drop the program tree in the middle of a call, and return a second node that reopens it."""
-    rig.owner.drop(rig.owner.held(PROGRAM))
+    rig.owner.drop(rig.owner.served_tree(PROGRAM))
     later = Rig(seed=2)
     await later.reopen(rig.journal.records)
     return later
@@ -270,7 +270,7 @@
     missed.program_created.parent_program_id = PROGRAM
     rig.journal.applied([*rig.journal.records, missed])
     assert (await call)[0] == TEXT
-    assert rig.owner.held(PROGRAM).table.find(PROGRAM + "~child") is not None
+    assert rig.owner.served_tree(PROGRAM).table.find(PROGRAM + "~child") is not None
     assert [m.content for m in rig.program().history] == ["hello", TEXT]
 
 
@@ -289,7 +289,7 @@
     call = asyncio.create_task(collect(rig.model()))
     await asyncio.sleep(1.5)
     records = len(rig.journal.records)
-    rig.owner.drop(rig.owner.held(PROGRAM))
+    rig.owner.drop(rig.owner.served_tree(PROGRAM))
     await call
     await asyncio.sleep(60)
     assert len(rig.journal.records) == records
@@ -298,7 +298,7 @@
 async def test_snapshot_records_rebuild_answers(rig):
     await collect(rig.model(idempotency_key="k"))
     later = Rig(seed=2)
-    await later.reopen(snapshot_records(rig.owner.held(PROGRAM).table))
+    await later.reopen(snapshot_records(rig.owner.served_tree(PROGRAM).table))
     text, _ = await collect(later.model(idempotency_key="k", resume_offset=1))
     assert text == "next train"
     assert later.engine.orders == []
@@ -397,8 +397,8 @@
 async def test_a_known_call_without_driver_or_outcome_is_not_called_not_run(rig):
     events = rig.model(idempotency_key="k")
     assert isinstance(await anext(events), CallStarted)
-    (held,) = rig.owner.trees()
-    held.running.clear()
+    (tree,) = rig.owner.trees()
+    tree.running.clear()
     _, repeated = await collect(rig.model(idempotency_key="k"))
     assert (repeated.reason, repeated.run_state) == (Reason.NOT_OWNER, RunState.UNKNOWN)
     assert repeated.retry_after_seconds
@@ -438,7 +438,7 @@
     _, _, _, first, owner = networked()
     call = asyncio.create_task(collect(first.model()))
     await asyncio.sleep(1.5)
-    owner.owner.closing = True
+    owner.owner.draining = True
     _, refused = await collect(first.model("second"))
     assert (refused.reason, refused.run_state) == (Reason.DRAINING, RunState.NOT_RUN)
     assert (await call)[0] == TEXT
@@ -446,7 +446,7 @@
     text, _ = await collect(first.model("second"))
     assert text == TEXT
     assert [m.content for m in first.program().history] == ["hello", TEXT, "second", TEXT]
-    assert owner.owner.held(PROGRAM) is None
+    assert owner.owner.served_tree(PROGRAM) is None
 
 
 async def test_a_lost_hop_is_told_as_unknown_with_a_time_to_come_back():
@@ -461,7 +461,7 @@
 
 
 async def test_operators_see_why_a_call_waited_and_can_abandon_its_program(rig):
-    facts = OwnedPrograms(rig.owner, NodeId("n"))
+    facts = ServedPrograms(rig.owner, NodeId("n"))
     calls = [asyncio.create_task(collect(rig.model(f"turn {n}"))) for n in range(2)]
     await asyncio.sleep(1.5)
     detail = await facts.program(PROGRAM)
@@ -500,7 +500,7 @@
     waiting = asyncio.create_task(collect(call(first)))
     await asyncio.sleep(0.5)
     records = list(first.journal.records)
-    first.owner.drop(first.owner.held(PROGRAM))
+    first.owner.drop(first.owner.served_tree(PROGRAM))
     await waiting
     return Rig(seed=2), records
 
@@ -537,8 +537,8 @@
 async def test_abandoning_after_a_takeover_does_not_hide_the_earlier_owners_run(call):
     later, records = await left_running(call)
     # The program ends before the task of the rerun call has run for the first time.
-    held = later.owner._serve(PROGRAM, OpenedTree(later.journal, records))
-    program = held.table.find(PROGRAM)
-    assert await end_program(later.ports, held, program, True, "test") is None
+    tree = later.owner._restore_tree(PROGRAM, OpenedTree(later.journal, records))
+    program = tree.table.find(PROGRAM)
+    assert await end_program(later.ports, tree, program, True, "test") is None
     await later.owner.wait_idle()
     assert results(later) == [(CallOutcome.FAILED_UNKNOWN, Reason.CANCELLED)]
--- a/tests/test_steward_service.py
+++ b/tests/test_steward_service.py
@@ -263,6 +263,6 @@
         await run_call(cluster, second, "c2", "p1")
         cluster.engines[used] = away
         assert all(engine.holds("p1") for engine in cluster.engines.values())
-        second.grants.adopt("p1")
+        second.grants.mark_taken_over("p1")
         second.grants.finish("p1")
         await until(lambda: cluster.held_memory() == set())
