--- a/src/foxwinch/commands/call_retries.py
+++ b/src/foxwinch/commands/call_retries.py
@@ -1,7 +1,7 @@
 """Circuit breakers and retry budgets for the model calls of one node.
 
-There is one circuit breaker per backend and one retry budget per tenant and backend. A call that
-is not retried keeps the run state of its last attempt.
+There is one circuit breaker per worker and one retry budget per tenant and worker. A call that is
+not retried keeps the run state of what was attempted.
 """
 
 from collections.abc import Callable
@@ -76,7 +76,7 @@
         self._budget.first_attempt(RetryKey(tenant, worker))
 
     def try_retry(self, tenant: TenantName, worker: WorkerId, end: Refused, sent: bool) -> bool:
-        """Return whether a call may be retried after it ended with `end` at a worker.
+        """Take one retry after a dispatch ended with `end`; returns False if the budget is spent.
 
         Retries that no backend failure caused are free: those after a change of the coordinator,
         and those after an open circuit, where nothing was sent.
@@ -89,7 +89,7 @@
         return True
 
     def wait_seconds(self, attempt: int, random_number: float) -> float:
-        """Return the pause after dispatch `attempt` (1 is the first)."""
+        """Return the backoff after dispatch `attempt` (1 is the first)."""
         return BACKOFF.wait_seconds(attempt - 1, random_number)
 
     def _circuit(self, worker: WorkerId) -> Circuit:
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -22,7 +22,7 @@
 ABANDON_METHOD = "operator.abandon"
 COMMAND_TIMEOUT_SECONDS = 5.0
 NOT_SERVING_REASONS = frozenset({Reason.PEER_UNREACHABLE, Reason.NOT_OWNER})
-"""Refusals which show that the asked node does not serve the program."""
+"""Refusals which show that the other node does not serve the program."""
 log = EventLog("operator")
 
 
--- a/src/foxwinch/commands/router.py
+++ b/src/foxwinch/commands/router.py
@@ -22,7 +22,7 @@
 
 NOT_OWNER_RETRY_SECONDS = 0.2
 NOT_SERVING_REASONS = frozenset({Reason.PEER_UNREACHABLE, Reason.NOT_OWNER})
-"""Refusals which show that the asked node does not serve the program."""
+"""Refusals which show that the other node does not serve the program."""
 
 
 class ProgramRouter:
--- a/src/foxwinch/commands/tool_call.py
+++ b/src/foxwinch/commands/tool_call.py
@@ -24,7 +24,7 @@
 
 MAX_ATTEMPTS = 3
 """Dispatches of one tool call, including the first."""
-RETRY_SECONDS = 0.1
+RETRY_BASE_SECONDS = 0.1
 """Base of the exponential backoff between attempts, with jitter."""
 RETRYABLE_REASONS = frozenset(
     {Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_FAILED, Reason.TOOL_TIMEOUT, Reason.OVERLOADED}
@@ -111,7 +111,9 @@
             earlier = merge_attempts(end, earlier)
             if attempt >= MAX_ATTEMPTS or not self._may_retry(end):
                 return earlier
-            await self.ports.clock.sleep(RETRY_SECONDS * 2**attempt * self.ports.clock.uniform())
+            await self.ports.clock.sleep(
+                RETRY_BASE_SECONDS * 2**attempt * self.ports.clock.uniform()
+            )
             attempt += 1
 
     async def _call(self, request: ToolRequest) -> ToolResult | Refused:
--- a/tests/test_call_retries.py
+++ b/tests/test_call_retries.py
@@ -28,12 +28,12 @@
         settle = rig.grants.settle
         self.has_good = has_good
 
-        def note(grant, usage):
+        def record_usage(grant, usage):
             if usage.failed:
                 self.failed.add(usage.call_id)
             settle(grant, usage)
 
-        rig.grants.settle = note
+        rig.grants.settle = record_usage
 
     async def acquire(self, request):
         good = self.has_good and request.call_id in self.failed
@@ -41,7 +41,7 @@
         return Grant(request.call_id, worker, "http://x", Epoch(1), 0, 0, 0.0, "test")
 
 
-def spend_budget(rig, worker):
+def exhaust_budget(rig, worker):
     while rig.ports.retries.try_retry(TENANT, worker, BROKEN, sent=True):
         pass
 
@@ -52,10 +52,10 @@
 
 
 @pytest.mark.parametrize("failure", [DOWN, BROKEN])
-async def test_without_budget_a_failure_is_told_at_once_and_truthfully(failure):
+async def test_without_retry_budget_a_failure_is_returned_immediately_with_its_run_state(failure):
     rig = Rig()
     TwoWorkers(rig, has_good=True)
-    spend_budget(rig, BAD)
+    exhaust_budget(rig, BAD)
     rig.engine.failures = [(0, failure)]
     _, last = await collect(rig.model())
     assert (last.reason, last.run_state) == (failure.reason, failure.run_state)
@@ -63,7 +63,7 @@
     assert len(rig.engine.orders) == 1
 
 
-async def test_an_open_circuit_leads_to_another_worker_without_a_dispatch():
+async def test_a_call_skips_a_worker_with_an_open_circuit_without_a_dispatch():
     rig = Rig()
     TwoWorkers(rig, has_good=True)
     open_circuit(rig, BAD)
@@ -73,7 +73,7 @@
     assert len(rig.engine.orders) == count
 
 
-async def test_an_open_circuit_without_another_worker_is_a_refusal_that_did_not_run():
+async def test_an_open_circuit_without_another_worker_is_refused_as_not_run():
     rig = Rig()
     TwoWorkers(rig, has_good=False)
     open_circuit(rig, BAD)
@@ -85,13 +85,13 @@
     assert isinstance((await collect(rig.model()))[1], CallFinished)
 
 
-def test_repeats_and_refusals_are_counted_and_a_change_of_coordinator_costs_nothing():
+def test_retries_and_refusals_are_counted_and_a_coordinator_change_uses_no_budget():
     registry = CollectorRegistry()
     retries = CallRetries(registry)
     fenced = not_run(Reason.FENCED, "fenced")
     assert all(retries.try_retry(TENANT, BAD, fenced, sent=True) for _ in range(20))
-    repeats = sum(retries.try_retry(TENANT, BAD, DOWN, sent=True) for _ in range(20))
-    assert repeats == RETRY_BURST
+    retried = sum(retries.try_retry(TENANT, BAD, DOWN, sent=True) for _ in range(20))
+    assert retried == RETRY_BURST
     spent = {"cause": "budget_spent"}
     assert registry.get_sample_value("foxwinch_call_retries_total") == 20 + RETRY_BURST
     refusals = registry.get_sample_value("foxwinch_call_retry_refusals_total", spent)
--- a/tests/test_drain_forwarding.py
+++ b/tests/test_drain_forwarding.py
@@ -22,7 +22,7 @@
         engine.settings = replace(engine.settings, maximum_answer_tokens=ANSWER_TOKENS)
 
 
-async def served_by(virtual, *names):
+async def serve_programs(virtual, *names):
     """Make a node serve programs by running their first calls on it."""
     for name in names:
         assert [event async for event in virtual.execute(call_of(name, "first"))]
@@ -39,13 +39,13 @@
     )
 
 
-async def test_a_forwarded_answer_that_is_read_slowly_is_not_cut_by_a_drain():
+async def test_a_forwarded_answer_that_is_read_slowly_is_not_interrupted_by_a_drain():
     async with cluster_of(3) as cluster:
         await until(cluster, lambda: settled(cluster))
         long_answers(cluster)
         leaving, first, _ = cluster.nodes.values()
         name = "program"
-        await served_by(leaving, name)
+        await serve_programs(leaving, name)
         answer = first.execute(call_of(name))
         assert isinstance(await anext(answer), CallStarted)
         drained = asyncio.create_task(cluster.drain(leaving))
@@ -59,13 +59,13 @@
         assert await drained
 
 
-async def test_programs_that_are_never_all_idle_are_handed_over_without_cutting_a_call():
+async def test_programs_that_are_never_all_idle_are_handed_over_without_interrupting_calls():
     async with cluster_of(3) as cluster:
         await until(cluster, lambda: settled(cluster))
         long_answers(cluster)
         leaving, first, second = cluster.nodes.values()
         names = [f"program-{number}" for number in range(12)]
-        await served_by(leaving, *names)
+        await serve_programs(leaving, *names)
         ends = []
 
         async def converse(number, name):
@@ -77,12 +77,12 @@
                 if isinstance(last, Refused):
                     await cluster.clock.sleep(last.retry_after_seconds)
 
-        talks = [asyncio.create_task(converse(*item)) for item in enumerate(names)]
+        conversations = [asyncio.create_task(converse(*item)) for item in enumerate(names)]
         await cluster.clock.sleep(3.0)
-        whole = await cluster.drain(leaving)
+        was_drained = await cluster.drain(leaving)
         handed_over_at = cluster.clock.monotonic()
-        await asyncio.gather(*talks)
+        await asyncio.gather(*conversations)
         refused = [last for _, last in ends if isinstance(last, Refused)]
         assert {refusal.run_state for refusal in refused} <= {RunState.NOT_RUN}
-        assert whole
+        assert was_drained
         assert any(isinstance(last, CallFinished) for at, last in ends if at > handed_over_at)
--- a/tests/test_whole_path.py
+++ b/tests/test_end_to_end.py
@@ -28,7 +28,7 @@
 }
 
 
-async def until_served(client):
+async def wait_until_served(client):
     """Wait until the workers have coordinators, retrying after the node's Retry-After."""
     while True:
         async with client.post("/v1/chat/completions", json=CALL) as response:
@@ -57,14 +57,14 @@
         async with aiohttp.ClientSession(
             base_url=gateway.make_url("/"), headers={"Authorization": f"Bearer {KEY}"}
         ) as client:
-            await until_served(client)
+            await wait_until_served(client)
             yield client
         await gateway.close()
         await node.stop()
     await engines.close()
 
 
-async def test_whole_answer(caller):
+async def test_complete_answer(caller):
     async with caller.post("/v1/chat/completions", json=CALL) as response:
         document = await response.json()
     assert response.status == 200
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -24,7 +24,7 @@
 BODY = {"model": "rail-chat", "messages": HELLO, "max_tokens": 8}
 LIMITS = CallerLimits(body_bytes=20_000, header_bytes=2_048, history_bytes=10_000, connections=6)
 """Has the default read timeout, so that a stalled test machine does not look like a slow caller."""
-IMPATIENT = LIMITS.model_copy(update={"read_seconds": 1.0})
+SHORT_READ_LIMITS = LIMITS.model_copy(update={"read_seconds": 1.0})
 
 
 @dataclass
@@ -70,7 +70,7 @@
         return response.status, await response.json(), response.headers
 
 
-async def test_openai_client_whole_and_streamed(served):
+async def test_openai_client_gets_complete_and_streamed_answers(served):
     async with served.openai() as client:
         whole = await client.chat.completions.create(**BODY)
         assert whole.choices[0].message.content == "the next train"
@@ -88,7 +88,7 @@
         assert (await client.models.retrieve("rail-chat")).id == "rail-chat"
 
 
-async def test_openai_client_sees_its_own_error_types(served):
+async def test_openai_client_raises_its_own_error_types(served):
     async with served.openai("wrong") as client:
         with pytest.raises(openai.AuthenticationError):
             await client.models.list()
@@ -104,7 +104,7 @@
         assert broken.value.body["run_state"] == "ran"
 
 
-async def test_openai_client_keeps_a_program_by_a_header(served):
+async def test_openai_client_continues_a_program_by_header(served):
     async with served.openai(default_headers={"X-Foxwinch-Program": "family-7"}) as client:
         first = await client.chat.completions.create(**BODY)
         answer = first.choices[0].message.model_dump()
@@ -121,7 +121,7 @@
         assert len(served.engine.orders[-1].messages) == 5
 
 
-async def test_unknown_fields_and_odd_content_pass_through(served):
+async def test_unknown_fields_and_structured_content_pass_through(served):
     parts = [{"role": "user", "content": [{"type": "text", "text": "hi"}], "name": "anna"}]
     async with served.http() as http:
         body = {**BODY, "messages": parts, "temperature": 0.5, "vendor_field": {"a": [1]}}
@@ -149,7 +149,7 @@
         ({"stream_options": []}, "stream_options"),
     ],
 )
-async def test_wrong_types_are_refused_by_field_value_and_what_is_allowed(served, change, field):
+async def test_wrong_types_are_refused_with_field_value_and_allowed_values(served, change, field):
     async with served.http() as http:
         status, answer, _ = await post(http, "/v1/chat/completions", {**BODY, **change})
     assert status == 400
@@ -167,7 +167,7 @@
     assert answer["error"]["run_state"] == "not_run"
 
 
-async def test_program_api_from_creation_to_the_end(served):
+async def test_program_api_from_creation_to_finish(served):
     async with served.http() as http:
         status, made, _ = await post(http, "/v1/programs", {"template": "journey-planner"})
         assert (status, made["state"]) == (201, "live")
@@ -209,7 +209,7 @@
         assert status == 201
 
 
-async def test_repeat_by_key_without_a_program_gets_the_first_answer(served):
+async def test_a_repeated_key_without_a_program_gets_the_first_answer(served):
     async with served.http() as http:
         answers = [
             (await post(http, "/v1/chat/completions", BODY, **{"Idempotency-Key": "k"}))[1]
@@ -219,7 +219,7 @@
     assert len(served.engine.orders) == 1
 
 
-async def test_a_client_that_hangs_up_cancels_its_call(served):
+async def test_a_client_disconnect_cancels_its_call(served):
     served.engine.pause_seconds = 30.0
     async with served.http() as http:
         call = asyncio.create_task(post(http, "/v1/chat/completions", BODY))
@@ -265,7 +265,7 @@
         return await reader.read()
 
 
-@pytest.mark.parametrize("served", [IMPATIENT], indirect=True)
+@pytest.mark.parametrize("served", [SHORT_READ_LIMITS], indirect=True)
 @pytest.mark.parametrize(
     "sent",
     [
--- a/tests/test_program_commands.py
+++ b/tests/test_program_commands.py
@@ -52,12 +52,12 @@
     return collect(rig.router.execute(EndRequest(TENANT, program, abandoned, "test")))
 
 
-def results(rig):
+def outcome_results(rig):
     records = (r for r in rig.journal.records if r.HasField("call_outcome"))
     return [(r.call_outcome.result, r.call_outcome.reason) for r in records]
 
 
-async def test_intent_goes_before_dispatch_and_outcome_before_the_end(rig):
+async def test_intent_is_committed_before_dispatch_and_outcome_before_the_final_event(rig):
     events = rig.model()
     assert isinstance(await anext(events), CallStarted)
     kinds = [record.WhichOneof("record") for record in rig.journal.records]
@@ -65,20 +65,20 @@
     text, last = await collect(events)
     assert text == TEXT
     assert isinstance(last, CallFinished)
-    assert results(rig) == [(CallOutcome.SUCCEEDED, "")]
+    assert outcome_results(rig) == [(CallOutcome.SUCCEEDED, "")]
     assert [m.content for m in rig.program().history] == ["hello", TEXT]
     assert rig.limits.unsettled == 0
 
 
-async def test_calls_of_a_program_run_one_by_one_in_order_of_arrival(rig):
+async def test_calls_of_a_program_run_sequentially_in_order_of_arrival(rig):
     calls = [asyncio.create_task(collect(rig.model(f"turn {n}"))) for n in range(4)]
     await asyncio.gather(*calls)
-    asked = [m.content for m in rig.program().history if m.role == "user"]
-    assert asked == [f"turn {n}" for n in range(4)]
+    request = [m.content for m in rig.program().history if m.role == "user"]
+    assert request == [f"turn {n}" for n in range(4)]
     assert [len(order.messages) for order in rig.engine.orders] == [1, 3, 5, 7]
 
 
-async def test_a_refused_grant_leaves_no_trace(rig):
+async def test_a_call_without_a_grant_is_not_journaled(rig):
     rig.grants.refusal = not_run(Reason.OVERLOADED, "busy", 2.0)
     _, last = await collect(rig.model())
     assert last == rig.grants.refusal
@@ -101,12 +101,12 @@
     assert last.run_state is RunState.NOT_RUN
     await rig.owner.wait_idle()
     assert rig.engine.orders == []
-    assert results(rig) == [(CallOutcome.FAILED_NOT_RUN, "no_quorum")]
+    assert outcome_results(rig) == [(CallOutcome.FAILED_NOT_RUN, "no_quorum")]
     text, _ = await collect(rig.model())
     assert text == TEXT
 
 
-async def test_repeat_after_a_lost_answer_gets_the_first_answer(rig):
+async def test_a_retry_after_a_lost_response_gets_the_first_answer(rig):
     first = rig.model(idempotency_key="k")
     await anext(first)
     await first.aclose()
@@ -118,32 +118,32 @@
     assert other.reason is Reason.CONFLICT
 
 
-async def test_reconnect_goes_on_from_the_offset(rig):
+async def test_reconnect_resumes_from_the_offset(rig):
     first = rig.model(idempotency_key="k")
     started = await anext(first)
     assert isinstance(await anext(first), CallChunks)
     await first.aclose()
-    asked = AttachRequest(TENANT, PROGRAM, started.call_id, 1)
-    while_running, _ = await collect(rig.router.execute(asked))
-    when_ended, last = await collect(rig.router.execute(asked))
+    request = AttachRequest(TENANT, PROGRAM, started.call_id, 1)
+    while_running, _ = await collect(rig.router.execute(request))
+    when_ended, last = await collect(rig.router.execute(request))
     assert while_running == when_ended == "next train"
     assert isinstance(last, CallFinished)
 
 
-async def test_a_client_that_goes_cancels_the_engine_and_frees_what_was_reserved(rig):
+async def test_a_client_disconnect_cancels_the_engine_call_and_releases_reservations(rig):
     events = rig.model()
     await anext(events)
     await anext(events)
     await events.aclose()
     await rig.owner.wait_idle()
     assert rig.engine.cancelled == 1
-    assert results(rig) == [(CallOutcome.FAILED_RAN, "cancelled")]
+    assert outcome_results(rig) == [(CallOutcome.FAILED_RAN, "cancelled")]
     assert rig.program().ledger.reserved.tokens == 0
     assert rig.program().history == []
     assert (rig.limits.unsettled, len(rig.grants.settled)) == (0, 1)
 
 
-async def test_a_keyed_call_is_cancelled_when_nobody_comes_back(rig):
+async def test_a_keyed_call_is_cancelled_when_no_client_reconnects(rig):
     rig.engine.pause_seconds = 10 * RECONNECT_TIMEOUT_SECONDS
     sweeper = ProgramSweeper(rig.owner)
     await sweeper.start()
@@ -156,7 +156,7 @@
     assert asyncio.get_running_loop().time() < 2 * RECONNECT_TIMEOUT_SECONDS
 
 
-async def test_a_broken_stream_is_resumed_on_another_worker_without_doubling(rig):
+async def test_a_broken_stream_is_resumed_on_another_worker_without_duplicate_chunks(rig):
     rig.engine.failures = [(2, BROKEN)]
     text, last = await collect(rig.model())
     assert text == TEXT
@@ -165,7 +165,7 @@
     assert [usage.failed for usage in rig.grants.settled] == [True, False]
 
 
-async def test_retries_are_bounded_and_the_failure_says_that_it_ran(rig):
+async def test_retries_are_bounded_and_the_failure_is_reported_as_ran(rig):
     rig.engine.failures = [(1, BROKEN)] * 9
     _, last = await collect(rig.model())
     assert (last.reason, last.run_state) == (Reason.BACKEND_FAILED, RunState.RAN)
@@ -173,7 +173,7 @@
     assert rig.program().ledger.reserved.tokens == 0
 
 
-async def test_a_call_of_which_one_attempt_may_have_run_is_never_told_not_run(rig):
+async def test_a_call_with_an_attempt_that_may_have_run_is_never_reported_not_run(rig):
     rig.engine.failures = [(0, BROKEN)]
     events = rig.model()
     assert isinstance(await anext(events), CallStarted)
@@ -188,7 +188,7 @@
     assert (last.reason, last.run_state) == (Reason.INVALID_REQUEST, RunState.UNKNOWN)
 
 
-async def test_an_outcome_that_cannot_be_committed_is_told_unknown_then_found(rig):
+async def test_an_uncommitted_outcome_is_reported_unknown_and_found_after_the_commit(rig):
     lost = Refused(Reason.NO_QUORUM, RunState.UNKNOWN, "no replicas")
     rig.journal.refusals = [None, *[lost] * 10]
     _, last = await collect(rig.model(idempotency_key="k"))
@@ -208,7 +208,7 @@
     assert len(rig.tools.orders) == 1
 
 
-async def test_a_repeatable_tool_is_retried_and_its_result_ends_the_history(rig):
+async def test_a_repeatable_tool_is_retried_and_its_result_is_appended_to_the_history(rig):
     await create(rig)
     rig.tools.answers = [Refused(Reason.TOOL_TIMEOUT, RunState.UNKNOWN, "hung")]
     _, last = await collect(rig.tool("timetable", tool_call_id="t1"))
@@ -219,13 +219,13 @@
     assert rig.grants.paused == [(PROGRAM, "timetable")]
 
 
-async def test_a_tool_call_goes_on_when_its_caller_goes(rig):
+async def test_a_tool_call_continues_after_its_caller_disconnects(rig):
     await create(rig)
     events = rig.tool("hold-seats")
     await anext(events)
     await events.aclose()
     await rig.owner.wait_idle()
-    assert results(rig) == [(CallOutcome.SUCCEEDED, "")]
+    assert outcome_results(rig) == [(CallOutcome.SUCCEEDED, "")]
 
 
 async def take_over(rig):
@@ -241,14 +241,14 @@
     call = asyncio.create_task(collect(rig.tool("confirm-seats", idempotency_key="k")))
     await asyncio.sleep(0.5)
     later = await take_over(rig)
-    _, told = await call
-    assert (told.reason, told.run_state) == (Reason.NOT_OWNER, RunState.UNKNOWN)
+    _, reported = await call
+    assert (reported.reason, reported.run_state) == (Reason.NOT_OWNER, RunState.UNKNOWN)
     _, last = await collect(later.tool("confirm-seats", idempotency_key="k"))
     assert (last.reason, last.run_state) == (Reason.OUTCOME_UNKNOWN, RunState.UNKNOWN)
     assert later.tools.orders == []
 
 
-async def test_takeover_runs_a_keyed_model_call_again_and_its_caller_finds_it(rig):
+async def test_takeover_reruns_a_keyed_model_call_and_its_caller_gets_the_answer(rig):
     call = asyncio.create_task(collect(rig.model(idempotency_key="k")))
     await asyncio.sleep(1.5)
     later = await take_over(rig)
@@ -261,7 +261,7 @@
     assert [m.content for m in later.program().history] == ["hello", TEXT]
 
 
-async def test_an_append_that_took_effect_late_is_applied_without_disturbing_calls(rig):
+async def test_a_late_append_is_applied_without_affecting_running_calls(rig):
     call = asyncio.create_task(collect(rig.model()))
     await asyncio.sleep(1.5)
     missed = JournalRecord()
@@ -274,7 +274,7 @@
     assert [m.content for m in rig.program().history] == ["hello", TEXT]
 
 
-async def test_a_creation_whose_caller_goes_is_still_applied(rig):
+async def test_a_creation_is_applied_after_its_caller_is_cancelled(rig):
     await rig.owner.locate(PROGRAM)
     creation = asyncio.create_task(create(rig))
     await asyncio.sleep(0)
@@ -285,7 +285,7 @@
     assert rig.program() is not None
 
 
-async def test_a_late_end_of_a_lost_tree_changes_nothing(rig):
+async def test_a_call_of_a_dropped_tree_appends_no_records(rig):
     call = asyncio.create_task(collect(rig.model()))
     await asyncio.sleep(1.5)
     records = len(rig.journal.records)
@@ -306,9 +306,9 @@
 
 async def test_child_has_its_own_history_and_its_parents_budget(rig):
     await create(rig)
-    asked = SpawnRequest(TENANT, PROGRAM, "itinerary", "k")
-    _, child = await collect(rig.router.execute(asked))
-    _, again = await collect(rig.router.execute(asked))
+    request = SpawnRequest(TENANT, PROGRAM, "itinerary", "k")
+    _, child = await collect(rig.router.execute(request))
+    _, again = await collect(rig.router.execute(request))
     assert isinstance(child, ProgramDetails)
     assert again.program_id == child.program_id
     assert child.parent_program_id == PROGRAM
@@ -350,16 +350,16 @@
     await sweeper.stop()
 
 
-async def test_another_tenants_program_looks_like_one_that_is_not_there(rig):
+async def test_another_tenants_program_is_indistinguishable_from_a_missing_one(rig):
     await create(rig)
     other = TenantName("other")
-    asked = [HistoryRequest(other, scoped_program_id(other, name)) for name in ("p", "q")]
-    answers = [(await collect(rig.router.execute(request)))[1] for request in asked]
+    requests = [HistoryRequest(other, scoped_program_id(other, name)) for name in ("p", "q")]
+    answers = [(await collect(rig.router.execute(request)))[1] for request in requests]
     assert answers[0] == answers[1]
     assert answers[0].reason is Reason.NOT_FOUND
 
 
-def networked():
+def forwarding_nodes():
     """Return the network, both addresses, a node that forwards, and the node that serves."""
     network = MemoryNetwork(seed=3)
     near, far = addresses(2)
@@ -370,8 +370,8 @@
     return network, near, far, first, owner
 
 
-async def test_a_program_owned_elsewhere_is_served_by_one_hop():
-    _, _, _, first, owner = networked()
+async def test_a_program_owned_elsewhere_is_served_by_forwarding():
+    _, _, _, first, owner = forwarding_nodes()
     text, last = await collect(first.model())
     assert (text, isinstance(last, CallFinished)) == (TEXT, True)
     _, details = await collect(first.router.execute(HistoryRequest(TENANT, PROGRAM)))
@@ -384,7 +384,7 @@
     "refusal",
     [not_run(Reason.FENCED, "taken over"), Refused(Reason.NO_QUORUM, RunState.UNKNOWN, "")],
 )
-async def test_a_history_is_read_out_only_by_an_owner_that_is_not_replaced(rig, refusal):
+async def test_a_history_is_read_only_after_ownership_is_confirmed(rig, refusal):
     await collect(rig.model())
     rig.journal.refusals = [refusal]
     _, refused = await collect(rig.router.execute(HistoryRequest(TENANT, PROGRAM)))
@@ -394,7 +394,7 @@
     assert [m.content for m in details.history] == ["hello", TEXT]
 
 
-async def test_a_known_call_without_driver_or_outcome_is_not_called_not_run(rig):
+async def test_a_known_call_without_driver_or_outcome_is_reported_unknown(rig):
     events = rig.model(idempotency_key="k")
     assert isinstance(await anext(events), CallStarted)
     (tree,) = rig.owner.trees()
@@ -404,8 +404,8 @@
     assert repeated.retry_after_seconds
 
 
-async def test_a_client_that_goes_at_the_first_node_is_seen_by_the_owner():
-    _, _, _, first, owner = networked()
+async def test_a_client_disconnect_at_the_forwarding_node_reaches_the_owner():
+    _, _, _, first, owner = forwarding_nodes()
     events = first.model()
     await anext(events)
     await events.aclose()
@@ -414,8 +414,8 @@
     assert owner.engine.cancelled == 1
 
 
-async def test_a_program_that_the_other_node_has_given_up_is_taken_over():
-    _, near, _, first, owner = networked()
+async def test_a_program_that_the_other_node_has_released_is_taken_over():
+    _, near, _, first, owner = forwarding_nodes()
     owner.trees.elsewhere = OwnedElsewhere(NodeId("near"), str(near))
     text, last = await collect(first.model())
     assert (text, isinstance(last, CallFinished)) == (TEXT, True)
@@ -423,8 +423,8 @@
     assert owner.engine.orders == []
 
 
-async def test_a_program_of_a_node_that_cannot_be_reached_is_taken_over_at_once():
-    network, _, far, first, owner = networked()
+async def test_a_program_of_an_unreachable_node_is_taken_over_immediately():
+    network, _, far, first, owner = forwarding_nodes()
     network.kill(far)
     began = asyncio.get_running_loop().time()
     text, last = await collect(first.model())
@@ -434,8 +434,8 @@
     assert owner.engine.orders == []
 
 
-async def test_a_leaving_node_gives_idle_programs_up_and_finishes_the_others():
-    _, _, _, first, owner = networked()
+async def test_a_draining_node_releases_idle_programs_and_finishes_the_others():
+    _, _, _, first, owner = forwarding_nodes()
     call = asyncio.create_task(collect(first.model()))
     await asyncio.sleep(1.5)
     owner.owner.draining = True
@@ -449,8 +449,8 @@
     assert owner.owner.served_tree(PROGRAM) is None
 
 
-async def test_a_lost_hop_is_told_as_unknown_with_a_time_to_come_back():
-    network, near, far, first, _ = networked()
+async def test_a_lost_forwarded_request_is_reported_unknown_with_retry_after():
+    network, near, far, first, _ = forwarding_nodes()
     call = asyncio.create_task(collect(first.model()))
     await asyncio.sleep(1.5)
     network.kill(far)
@@ -480,12 +480,12 @@
 
 async def test_unknown_calls_and_programs_are_not_found(rig):
     await create(rig)
-    asked = AttachRequest(TENANT, PROGRAM, CallId("nothing"), 0)
-    assert (await collect(rig.router.execute(asked)))[1].reason is Reason.NOT_FOUND
+    request = AttachRequest(TENANT, PROGRAM, CallId("nothing"), 0)
+    assert (await collect(rig.router.execute(request)))[1].reason is Reason.NOT_FOUND
     assert (await collect(rig.tool(name="q")))[1].reason is Reason.NOT_FOUND
 
 
-async def test_a_refused_repeat_does_not_hide_that_an_earlier_attempt_may_have_run(rig):
+async def test_a_refused_retry_does_not_hide_that_an_earlier_attempt_may_have_run(rig):
     await create(rig)
     down = Refused(Reason.BACKEND_UNAVAILABLE, RunState.NOT_RUN, "down")
     rig.tools.answers = [Refused(Reason.TOOL_TIMEOUT, RunState.UNKNOWN, "lost"), *[down] * 9]
@@ -493,7 +493,7 @@
     assert (last.reason, last.run_state) == (Reason.BACKEND_UNAVAILABLE, RunState.UNKNOWN)
 
 
-async def left_running(call):
+async def interrupted_call(call):
     """Lose a node in the middle of a call; return a second node and the first one's records."""
     first = Rig()
     await create(first)
@@ -515,18 +515,18 @@
 
 @pytest.mark.parametrize("call", [keyed_model, keyed_tool])
 async def test_a_refused_run_after_a_takeover_does_not_hide_the_earlier_owners_run(call):
-    later, records = await left_running(call)
+    later, records = await interrupted_call(call)
     refused = not_run(Reason.INVALID_REQUEST, "no")
     later.engine.failures, later.tools.answers = [(0, refused)], [refused]
     await later.reopen(records)
     _, last = await collect(call(later))
     assert (last.reason, last.run_state) == (Reason.INVALID_REQUEST, RunState.UNKNOWN)
-    assert [result for result, _ in results(later)] == [CallOutcome.FAILED_UNKNOWN]
+    assert [result for result, _ in outcome_results(later)] == [CallOutcome.FAILED_UNKNOWN]
     assert len(later.engine.orders) + len(later.tools.orders) == 1
 
 
 async def test_a_refused_grant_after_a_takeover_does_not_hide_the_earlier_owners_run():
-    later, records = await left_running(keyed_model)
+    later, records = await interrupted_call(keyed_model)
     later.grants.refusal = not_run(Reason.OVERLOADED, "busy", 2.0)
     await later.reopen(records)
     _, last = await collect(keyed_model(later))
@@ -535,10 +535,10 @@
 
 @pytest.mark.parametrize("call", [keyed_model, keyed_tool])
 async def test_abandoning_after_a_takeover_does_not_hide_the_earlier_owners_run(call):
-    later, records = await left_running(call)
+    later, records = await interrupted_call(call)
     # The program ends before the task of the rerun call has run for the first time.
     tree = later.owner._restore_tree(PROGRAM, OpenedTree(later.journal, records))
     program = tree.table.find(PROGRAM)
     assert await end_program(later.ports, tree, program, True, "test") is None
     await later.owner.wait_idle()
-    assert results(later) == [(CallOutcome.FAILED_UNKNOWN, Reason.CANCELLED)]
+    assert outcome_results(later) == [(CallOutcome.FAILED_UNKNOWN, Reason.CANCELLED)]
--- a/tests/test_adoption.py
+++ b/tests/test_tree_takeover.py
@@ -27,34 +27,34 @@
         return [Member(NodeId(n), address, "z", "r", MemberState.ALIVE, 0) for n in self.names]
 
 
-async def adopted_by(rig, members, holder):
+async def taken_over_by(rig, members, holder):
     """Let a node scan every partition once; return the nodes whose program trees it took over."""
 
     async def served(partition):
         return [(PROGRAM, NodeId(holder))] if partition == partition_of(PROGRAM) else []
 
     rig.trees.served = served
-    adoption = TreeTakeover(rig.owner, members)
-    await adoption.start()
+    takeover = TreeTakeover(rig.owner, members)
+    await takeover.start()
     await asyncio.sleep(SCAN_INTERVAL_SECONDS + 1.0)
-    await adoption.stop()
+    await takeover.stop()
     return rig.trees.taken_over
 
 
-async def test_a_program_of_a_node_that_is_gone_is_taken_over():
-    assert await adopted_by(Rig(), Members("here"), "gone") == ["gone"]
+async def test_a_program_of_a_departed_node_is_taken_over():
+    assert await taken_over_by(Rig(), Members("here"), "gone") == ["gone"]
 
 
-async def test_a_program_of_a_node_that_is_there_is_left_to_it():
-    assert await adopted_by(Rig(), Members("here", "there"), "there") == []
+async def test_a_program_of_a_present_node_is_not_taken_over():
+    assert await taken_over_by(Rig(), Members("here", "there"), "there") == []
 
 
-async def test_one_node_looks_over_each_partition():
-    found = [await adopted_by(Rig(), Members(*names), "gone") for names in ("ab", "ba")]
+async def test_each_partition_is_scanned_by_one_node():
+    found = [await taken_over_by(Rig(), Members(*names), "gone") for names in ("ab", "ba")]
     assert sorted(found) == [[], ["gone"]]
 
 
-async def test_a_leaving_node_takes_nothing_over():
+async def test_a_draining_node_takes_over_no_programs():
     rig = Rig()
     rig.owner.draining = True
-    assert await adopted_by(rig, Members("here"), "gone") == []
+    assert await taken_over_by(rig, Members("here"), "gone") == []
