--- a/src/foxwinch/commands/apply_configuration.py
+++ b/src/foxwinch/commands/apply_configuration.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyConfiguration:
-    """A request to replace revision `expected` of the configuration with a whole document."""
+    """A request to replace revision `expected` of the configuration with a new document."""
 
     token: str
     """Idempotency token chosen by the operator's client."""
--- a/src/foxwinch/commands/call_lifecycle.py
+++ b/src/foxwinch/commands/call_lifecycle.py
@@ -1,4 +1,4 @@
-"""The steps common to all calls: turn, start, intent, outcome.
+"""The steps common to all calls: queueing, start, intent, outcome.
 
 The intent is committed before anything is dispatched, and the outcome before the caller receives
 the final event. A call that is refused before its intent is not recorded in the journal.
@@ -48,15 +48,15 @@
         """Return the program of the call."""
         return self.running.program
 
-    async def wait_turn(self) -> None:
+    async def wait_for_earlier_calls(self) -> None:
         """Wait until every earlier call of the program has ended."""
         table = self.tree.table
         if table.next_waiting(self.program) == self.running.call_id:
             return
-        turn = asyncio.get_running_loop().create_future()
-        self.running.turn = turn
+        earlier_calls_ended = asyncio.get_running_loop().create_future()
+        self.running.earlier_calls_ended = earlier_calls_ended
         with self.running.interruptible():
-            await turn
+            await earlier_calls_ended
 
     def start(self, intent: CallIntent) -> CallAdmitted | Refused:
         """Check the call against the program's state and reserve its budget."""
--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class ModelCallDriver:
-    """Drives one model call from its turn to its outcome."""
+    """Drives one model call from its queueing to its outcome."""
 
     ports: ProgramPorts
     lifecycle: CallLifecycle
@@ -78,7 +78,7 @@
 
     async def _prepare(self, intent: CallIntent) -> bool:
         """Run the steps up to the committed intent; returns False if the call has ended."""
-        await self.lifecycle.wait_turn()
+        await self.lifecycle.wait_for_earlier_calls()
         admitted = self.lifecycle.start(intent)
         if isinstance(admitted, Refused):
             self.lifecycle.refuse(admitted)
--- a/src/foxwinch/commands/running_call.py
+++ b/src/foxwinch/commands/running_call.py
@@ -46,7 +46,7 @@
         self.final: FinalEvent | None = None
         self.followers = 0
         self.task: asyncio.Task[None] | None = None
-        self.turn: asyncio.Future[None] | None = None
+        self.earlier_calls_ended: asyncio.Future[None] | None = None
         """Set while the call waits for earlier calls of the program."""
         self.intent_sent = False
         """True once the intent may be in the journal; the call may take effect from then on."""
--- a/src/foxwinch/commands/served_tree.py
+++ b/src/foxwinch/commands/served_tree.py
@@ -128,8 +128,12 @@
         program = self.table.find(program_id)
         call_id = self.table.next_waiting(program) if program is not None else None
         running = self.running.get(call_id) if call_id is not None else None
-        if running is not None and running.turn is not None and not running.turn.done():
-            running.turn.set_result(None)
+        if (
+            running is not None
+            and running.earlier_calls_ended is not None
+            and not running.earlier_calls_ended.done()
+        ):
+            running.earlier_calls_ended.set_result(None)
 
     def end_calls(self) -> list[asyncio.Task[None]]:
         """End all calls when this node stops serving the tree; returns the cancelled tasks."""
--- a/src/foxwinch/commands/spawn.py
+++ b/src/foxwinch/commands/spawn.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class SpawnDriver:
-    """Drives one spawn call from its turn to its outcome."""
+    """Drives one spawn call from its queueing to its outcome."""
 
     ports: ProgramPorts
     lifecycle: CallLifecycle
@@ -40,7 +40,7 @@
             self.lifecycle.close()
 
     async def _run(self, intent: CallIntent) -> None:
-        await self.lifecycle.wait_turn()
+        await self.lifecycle.wait_for_earlier_calls()
         depth_refusal = check_depth(self.lifecycle.program)
         if depth_refusal is not None:
             self.lifecycle.refuse(depth_refusal)
--- a/src/foxwinch/commands/tool_call.py
+++ b/src/foxwinch/commands/tool_call.py
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class ToolCallDriver:
-    """Drives one tool call from its turn to its outcome."""
+    """Drives one tool call from its queueing to its outcome."""
 
     ports: ProgramPorts
     lifecycle: CallLifecycle
@@ -68,7 +68,7 @@
             self.lifecycle.close()
 
     async def _prepare(self, intent: CallIntent) -> bool:
-        await self.lifecycle.wait_turn()
+        await self.lifecycle.wait_for_earlier_calls()
         admitted = self.lifecycle.start(intent)
         if isinstance(admitted, Refused):
             self.lifecycle.refuse(admitted)
@@ -152,7 +152,7 @@
         await self.lifecycle.commit_outcome(outcome, ToolFinished(call_id, message))
 
     async def _handle_cancellation(self) -> None:
-        """End a call that was cancelled while it waited for its turn."""
+        """End a call that was cancelled while it waited for earlier calls."""
         self.lifecycle.clear_cancellation()
         cause = self.lifecycle.running.cancel_cause
         self.lifecycle.refuse(not_run(Reason.CANCELLED, f"the call was cancelled: {cause}"))
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterFacts:
-    """The answers of all nodes, and the nodes that did not answer."""
+    """The responses of all nodes, and the nodes that did not respond."""
 
-    answers: Sequence[FactsResponse]
+    responses: Sequence[FactsResponse]
     unresponsive: Sequence[NodeId]
 
 
 class ClusterQueries:
-    """Requests the facts of every node and merges the answers."""
+    """Requests the facts of every node and merges the responses."""
 
     def __init__(
         self,
@@ -71,15 +71,15 @@
             peers.handle(PROGRAM_METHOD, self._serve_program)
 
     async def nodes(self) -> Sequence[NodeStatus]:
-        """Return the status of every known member, with its own report if it answered."""
+        """Return the status of every known member, with its own report if it responded."""
         facts = await self._query_all(FactsRequest())
-        reported = {answer.node.node: answer.node for answer in facts.answers}
+        reported = {response.node.node: response.node for response in facts.responses}
         return [_merge_status(member, reported.get(member.node)) for member in self._members()]
 
     async def workers(self) -> ListWorkersResponse:
         """Return the workers of all coordinators, sorted by name."""
         facts = await self._query_all(FactsRequest(workers=True))
-        found = [worker for answer in facts.answers for worker in answer.workers]
+        found = [worker for response in facts.responses for worker in response.workers]
         found.sort(key=lambda worker: worker.worker)
         return ListWorkersResponse(workers=found, silent_nodes=facts.unresponsive)
 
@@ -87,9 +87,9 @@
         """Return the matching programs, newest first."""
         limit = _limit(request)
         facts = await self._query_all(FactsRequest(programs=request))
-        found = [program for answer in facts.answers for program in answer.programs]
+        found = [program for response in facts.responses for program in response.programs]
         found.sort(key=lambda program: (-program.created_at_seconds, program.program_id))
-        more = len(found) > limit or any(answer.more_programs for answer in facts.answers)
+        more = len(found) > limit or any(response.more_programs for response in facts.responses)
         return ListProgramsResponse(
             programs=found[:limit], silent_nodes=facts.unresponsive, more=more
         )
@@ -101,11 +101,11 @@
             return located
         address = parse_address(located.address) if isinstance(located, OwnedElsewhere) else None
         if address is not None and self._peers is not None:
-            answer = await self._peers.call(
+            response = await self._peers.call(
                 address, PROGRAM_METHOD, program_id.encode(), FACTS_TIMEOUT_SECONDS
             )
-            if not isinstance(answer, Refused):
-                return ProgramDetail.FromString(answer)
+            if not isinstance(response, Refused):
+                return ProgramDetail.FromString(response)
         return await self._local.programs.program(program_id)
 
     def _members(self) -> list[Member]:
@@ -116,10 +116,12 @@
         others = [m for m in self._members() if m.node != this_node and m.state in QUERIED_STATES]
         semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
         payload = request.SerializeToString()
-        answers = await asyncio.gather(*(self._query_node(m, payload, semaphore) for m in others))
-        unresponsive = [m.node for m, answer in zip(others, answers, strict=True) if answer is None]
-        responses = [answer for answer in answers if answer is not None]
-        return ClusterFacts([self._facts(request), *responses], unresponsive)
+        responses = await asyncio.gather(*(self._query_node(m, payload, semaphore) for m in others))
+        unresponsive = [
+            m.node for m, response in zip(others, responses, strict=True) if response is None
+        ]
+        received = [response for response in responses if response is not None]
+        return ClusterFacts([self._facts(request), *received], unresponsive)
 
     async def _query_node(
         self, member: Member, payload: bytes, semaphore: asyncio.Semaphore
@@ -127,10 +129,10 @@
         if self._peers is None:
             return None
         async with semaphore:
-            answer = await self._peers.call(
+            response = await self._peers.call(
                 member.address, FACTS_METHOD, payload, FACTS_TIMEOUT_SECONDS
             )
-        return None if isinstance(answer, Refused) else FactsResponse.FromString(answer)
+        return None if isinstance(response, Refused) else FactsResponse.FromString(response)
 
     def _facts(self, request: FactsRequest) -> FactsResponse:
         response = FactsResponse(node=self._local.node.status())
--- a/src/foxwinch/queries/configuration.py
+++ b/src/foxwinch/queries/configuration.py
@@ -27,7 +27,7 @@
     zone: ZoneName
     state: MemberState
     held: Revision | None
-    """None if the node did not answer."""
+    """None if the node did not respond."""
     heard: Revision | None
     serving: bool
 
@@ -35,12 +35,12 @@
 async def revisions_at_nodes(
     membership: MembershipView, peer: PeerPort, this_status: ConfigurationStatus
 ) -> Sequence[NodeRevision]:
-    """Query every known member; one that does not answer is listed without a revision."""
-    this_member = membership.this_member()
+    """Query every known member; one that does not respond is listed without a revision."""
+    local_member = membership.this_member()
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
     async def query(member: Member) -> NodeRevision:
-        if member.node == this_member.node:
+        if member.node == local_member.node:
             return _row(member, this_status)
         async with semaphore:
             return await _query_node(peer, member)
@@ -52,11 +52,11 @@
 
 async def _query_node(peer: PeerPort, member: Member) -> NodeRevision:
     request = ConfigurationStatusRequest().SerializeToString()
-    answer = await peer.call(member.address, STATUS_METHOD, request, STATUS_TIMEOUT_SECONDS)
-    if isinstance(answer, Refused):
+    response = await peer.call(member.address, STATUS_METHOD, request, STATUS_TIMEOUT_SECONDS)
+    if isinstance(response, Refused):
         return _row(member, None)
     try:
-        return _row(member, ConfigurationStatus.FromString(answer))
+        return _row(member, ConfigurationStatus.FromString(response))
     except DecodeError:
         return _row(member, None)
 
--- a/src/foxwinch/records/program_trees.py
+++ b/src/foxwinch/records/program_trees.py
@@ -81,7 +81,7 @@
     async def open(
         self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> OpenedTree | OwnedElsewhere | Refused:
-        """Begin to serve a program tree that no node, or that `previous_owner`, serves."""
+        """Start to serve a program tree that is unserved or served by `previous_owner`."""
 
     @abstractmethod
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
