--- a/src/foxwinch/commands/running_call.py
+++ b/src/foxwinch/commands/running_call.py
@@ -1,8 +1,8 @@
-"""A call between its arrival and its end, and those who follow its answer.
+"""A call between its arrival and its end, and the callers that follow its answer.
 
-One task drives the call and any number of callers follow it. Chunks are kept until the end, so a
-caller who reconnects can go on from any offset. Followers wake once for all chunks that came in
-together; there is no task and no lock for a chunk.
+One task drives the call, and any number of callers follow it. Chunks are kept until the end, so a
+caller that reconnects can resume from any offset. Followers wake up once for all chunks that
+arrived together; no task or lock is needed per chunk.
 """
 
 import asyncio
@@ -26,32 +26,32 @@
 
 
 class RunningCall:
-    """One call that has not ended, or has just ended."""
+    """A call whose driver task has not finished."""
 
     def __init__(
         self,
         call_id: CallId,
         program: Program,
-        keyed: bool,
+        has_key: bool,
         on_unfollowed: Callable[["RunningCall"], None],
     ) -> None:
-        """Start without followers; `on_unfollowed` runs when the last one goes before the end."""
+        """Start without followers; `on_unfollowed` runs if the last one leaves before the end."""
         self.call_id = call_id
         self.program = program
-        self.keyed = keyed
+        self.has_key = has_key
         self.cancellable = True
-        """False for calls that must not be cut when nobody follows them."""
+        """False for calls that run on without followers."""
         self.started: CallStarted | None = None
         self.chunks: list[CallChunk] = []
         self.final: FinalEvent | None = None
         self.followers = 0
         self.task: asyncio.Task[None] | None = None
-        self.turn: asyncio.Future[None] | None = None
-        """Set while the call waits for its turn in the program."""
+        self.earlier_calls_ended: asyncio.Future[None] | None = None
+        """Set while the call waits for earlier calls of the program."""
         self.intent_sent = False
-        """True once the intent may be in the journal: from then on the call may have an effect."""
+        """True once the intent may be in the journal; the call may take effect from then on."""
         self.rerun = False
-        """True when an earlier owner may have sent chunks of another run of this call."""
+        """True if an earlier owner may have sent chunks of another run of this call."""
         self.cancel_cause = ""
         self.unfollowed_at_seconds: float | None = None
         self._interruptible = False
@@ -59,25 +59,25 @@
         self._waiters: list[asyncio.Future[None]] = []
 
     def start(self, started: CallStarted) -> None:
-        """Tell that a worker was granted; a retry on another worker is not told again."""
+        """Publish the start event; retries on other workers do not publish it again."""
         if self.started is None:
             self.started = started
-            self._wake()
+            self._notify_followers()
 
-    def add(self, chunk: CallChunk) -> None:
-        """Add a piece of the answer."""
+    def add_chunk(self, chunk: CallChunk) -> None:
+        """Append a chunk of the answer."""
         self.chunks.append(chunk)
         if self._waiters:
-            self._wake()
+            self._notify_followers()
 
     def end(self, final: FinalEvent) -> None:
-        """Tell the end; a second end is ignored."""
+        """Publish the final event; a second one is ignored."""
         if self.final is None:
             self.final = final
-            self._wake()
+            self._notify_followers()
 
     def cancel(self, cause: str) -> None:
-        """Ask the call to end; it does so at its next interruptible wait."""
+        """Request the cancellation of the call; it takes effect at an interruptible wait."""
         if self.cancel_cause or self.final is not None or self.task is None:
             return
         self.cancel_cause = cause
@@ -86,7 +86,7 @@
 
     @contextmanager
     def interruptible(self) -> Iterator[None]:
-        """Mark a wait that `cancel` may cut; raises `CancelledError` when it was asked before."""
+        """Mark a wait that `cancel` may interrupt; raises `CancelledError` if already cancelled."""
         if self.cancel_cause:
             raise asyncio.CancelledError(self.cancel_cause)
         self._interruptible = True
@@ -96,15 +96,15 @@
             self._interruptible = False
 
     async def follow(self, offset: int = 0) -> AsyncIterator[ProgramEvent]:
-        """Iterate over the events, chunks from number `offset` on."""
+        """Iterate over the events, with the chunks from index `offset` onwards."""
         self.followers += 1
         self.unfollowed_at_seconds = None
-        told_start = False
+        start_sent = False
         position = offset
         try:
             while True:
-                if self.started is not None and not told_start:
-                    told_start = True
+                if self.started is not None and not start_sent:
+                    start_sent = True
                     yield self.started
                 elif position < len(self.chunks):
                     batch = self.chunks[position:]
@@ -114,13 +114,13 @@
                     yield self.final
                     return
                 else:
-                    await self._changed()
+                    await self._wait_for_change()
         finally:
             self.followers -= 1
             if self.followers == 0 and self.final is None:
                 self._on_unfollowed(self)
 
-    async def _changed(self) -> None:
+    async def _wait_for_change(self) -> None:
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         try:
@@ -129,7 +129,7 @@
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
 
-    def _wake(self) -> None:
+    def _notify_followers(self) -> None:
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.done():
--- a/src/foxwinch/commands/views.py
+++ b/src/foxwinch/commands/views.py
@@ -1,4 +1,4 @@
-"""Committed state as events: programs, and calls that have ended."""
+"""Convert committed programs and ended calls to events."""
 
 from collections.abc import AsyncIterator, Iterator
 
@@ -33,7 +33,7 @@
 
 
 def program_details(program: Program) -> ProgramDetails:
-    """Return a program as its tenant sees it."""
+    """Return the view of a program that its tenant may see."""
     parent = program.created.parent_program_id
     return ProgramDetails(
         program_id=program.program_id,
@@ -46,21 +46,21 @@
     )
 
 
-async def one_event(event: ProgramEvent) -> AsyncIterator[ProgramEvent]:
+async def single_event(event: ProgramEvent) -> AsyncIterator[ProgramEvent]:
     """Iterate over a single event."""
     yield event
 
 
-async def ended_call(
+async def ended_call_events(
     program: Program, call: Call, child: Program | None, offset: int
 ) -> AsyncIterator[ProgramEvent]:
-    """Iterate over the answer of a call that has ended, chunks from number `offset` on."""
+    """Iterate over the events of an ended call, with the chunks from index `offset` onwards."""
     outcome = call.outcome
     assert outcome is not None
     if outcome.result != CallOutcome.SUCCEEDED:
         yield recorded_refusal(outcome)
     elif call.admitted.kind == CallAdmitted.MODEL:
-        yield _started(program, call)
+        yield _start_event(program, call)
         chunks = list(_chunks(outcome))
         if chunks[offset:]:
             yield CallChunks(chunks[offset:])
@@ -71,14 +71,14 @@
             outcome.completion_tokens,
         )
     elif call.admitted.kind == CallAdmitted.TOOL:
-        yield _started(program, call)
+        yield _start_event(program, call)
         yield ToolFinished(call.call_id, outcome.answer[0])
     else:
         yield _child_details(program, call, child)
 
 
 def recorded_refusal(outcome: CallOutcome) -> Refused:
-    """Return the refusal that an outcome records."""
+    """Return the refusal recorded in an outcome."""
     known = outcome.reason in Reason._value2member_map_
     reason = Reason(outcome.reason) if known else Reason.INTERNAL
     run_state = RUN_STATE_OF_RESULT.get(outcome.result, RunState.UNKNOWN)
@@ -93,7 +93,7 @@
     return ProgramDetails(child_id, "", "finished", program.program_id, (), Amount(), budget)
 
 
-def _started(program: Program, call: Call) -> CallStarted:
+def _start_event(program: Program, call: Call) -> CallStarted:
     outcome = call.outcome
     assert outcome is not None
     worker = WorkerId(outcome.worker)
@@ -108,7 +108,7 @@
 
 
 def _chunks(outcome: CallOutcome) -> Iterator[CallChunk]:
-    """Cut the answer as it was sent; tool calls come whole with the last empty chunk."""
+    """Split the answer into the chunks that were sent; the last empty one has all tool calls."""
     answer = outcome.answer[0] if outcome.answer else HistoryMessage()
     lengths = list(outcome.chunk_lengths)
     tool_calls = tuple(from_history(answer).get("tool_calls") or ()) if answer.extra_json else ()
@@ -116,11 +116,11 @@
     position = 0
     for index, length in enumerate(lengths):
         calls = tool_calls if index == last_empty else ()
-        yield CallChunk(answer.content[position : position + length], _indexed(calls))
+        yield CallChunk(answer.content[position : position + length], _with_indexes(calls))
         position += length
     if last_empty is None and tool_calls:
-        yield CallChunk("", _indexed(tool_calls))
+        yield CallChunk("", _with_indexes(tool_calls))
 
 
-def _indexed(tool_calls: tuple[dict[str, object], ...]) -> tuple[object, ...]:
+def _with_indexes(tool_calls: tuple[dict[str, object], ...]) -> tuple[object, ...]:
     return tuple({"index": index, **call} for index, call in enumerate(tool_calls))
--- a/src/foxwinch/gateway/chat.py
+++ b/src/foxwinch/gateway/chat.py
@@ -1,4 +1,4 @@
-"""`/v1/chat/completions` and `/v1/models` in the widely used shapes."""
+"""The OpenAI-compatible endpoints `/v1/chat/completions` and `/v1/models`."""
 
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
@@ -19,11 +19,11 @@
     OFFSET_HEADER,
     append_flag,
     idempotency_key,
-    offset,
+    parse_offset,
     program_name,
 )
 from foxwinch.gateway.request_body import ChatBody, check_chat_body, read_json
-from foxwinch.gateway.respond import respond_stream, respond_whole
+from foxwinch.gateway.respond import respond_json, respond_stream
 from foxwinch.identifiers import ModelName, ProgramId
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.settings.process import CallerLimits
@@ -34,44 +34,44 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayContext:
-    """What the handlers of the caller side share."""
+    """Dependencies shared by the request handlers."""
 
     authenticator: Authenticator
     execute: Execute
     clock: Clock
     limits: CallerLimits
     new_program_name: Callable[[str], str]
-    """Returns a fresh name for a tenant's program, owned by this node where that can be."""
+    """Returns a new unique name for a tenant's program, served by this node if possible."""
 
-    def caller(self, request: web.Request) -> Caller | Refused:
+    def authenticate(self, request: web.Request) -> Caller | Refused:
         """Authenticate a request."""
         return self.authenticator.authenticate(request.headers.get("Authorization"))
 
 
 class ChatHandlers:
-    """Handlers of the chat-completions shape."""
+    """Handlers of the chat-completions API."""
 
     def __init__(self, context: GatewayContext) -> None:
-        """Serve by the shared context."""
+        """Handle requests with the shared `context`."""
         self._context = context
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Register the handlers."""
+        """Register the handlers with `router`."""
         router.add_post("/v1/chat/completions", self.complete)
         router.add_get("/v1/models", self.models)
         router.add_get("/v1/models/{model}", self.model)
 
     async def models(self, request: web.Request) -> web.StreamResponse:
         """List the models of the configuration."""
-        caller = self._context.caller(request)
+        caller = self._context.authenticate(request)
         if isinstance(caller, Refused):
             return error_response(caller)
         data = [_model_document(model.name) for model in caller.document.models]
         return web.json_response({"object": "list", "data": data})
 
     async def model(self, request: web.Request) -> web.StreamResponse:
-        """Show one model."""
-        caller = self._context.caller(request)
+        """Describe one model."""
+        caller = self._context.authenticate(request)
         if isinstance(caller, Refused):
             return error_response(caller)
         name = request.match_info["model"]
@@ -80,8 +80,8 @@
         return web.json_response(_model_document(name))
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
-        """Run a model call of the program that the header names, or of a program of one."""
-        caller = self._context.caller(request)
+        """Run a model call of the program named by the header, or of a new single-call program."""
+        caller = self._context.authenticate(request)
         if isinstance(caller, Refused):
             return error_response(caller)
         name = program_name(request)
@@ -93,9 +93,10 @@
 async def run_chat(
     context: GatewayContext, request: web.Request, caller: Caller, name: str, append: bool
 ) -> web.StreamResponse:
-    """Run a model call whose body has the chat-completions shape.
+    """Run a model call whose body has the chat-completions format.
 
-    `append` tells how `messages` is read when the request does not say so itself.
+    `append` is the default for a request without the append header: whether `messages` follow the
+    program's history.
     """
     body = await read_json(request, context.limits)
     if isinstance(body, Refused):
@@ -109,9 +110,9 @@
     events = context.execute(call)
     created = int(context.clock.wall())
     if chat.stream:
-        first = call.resume_offset == 0
-        return await respond_stream(request, events, created, chat.include_usage, first)
-    return await respond_whole(events, created)
+        from_start = call.resume_offset == 0
+        return await respond_stream(request, events, created, chat.include_usage, from_start)
+    return await respond_json(events, created)
 
 
 def _model_call(
@@ -128,9 +129,9 @@
     appended = append_flag(request, append)
     if isinstance(appended, Refused):
         return appended
-    resume = offset(OFFSET_HEADER, request.headers.get(OFFSET_HEADER, "0"))
-    if isinstance(resume, Refused):
-        return resume
+    resume_offset = parse_offset(OFFSET_HEADER, request.headers.get(OFFSET_HEADER, "0"))
+    if isinstance(resume_offset, Refused):
+        return resume_offset
     return ModelCallRequest(
         tenant=caller.tenant,
         program_id=_program_id(context, caller, name, key),
@@ -139,7 +140,7 @@
         append=appended,
         maximum_tokens=chat.maximum_tokens,
         idempotency_key=key,
-        resume_offset=resume if chat.stream else 0,
+        resume_offset=resume_offset if chat.stream else 0,
         parameters_json=chat.parameters_json,
         single_call=not name,
     )
--- a/src/foxwinch/gateway/chat_format.py
+++ b/src/foxwinch/gateway/chat_format.py
@@ -1,4 +1,7 @@
-"""Answers in the chat-completions shape; what repeats in every chunk is encoded once a stream."""
+"""Encode answers in the chat-completions format.
+
+The parts that are the same in every chunk are encoded once per stream.
+"""
 
 import json
 from collections.abc import Sequence
@@ -15,18 +18,18 @@
 class ChunkEncoder:
     """Encodes the server-sent events of one streamed answer."""
 
-    def __init__(self, started: CallStarted, created_seconds: int, first: bool) -> None:
-        """`first` is False for a stream that goes on from an offset: the role was sent before."""
+    def __init__(self, started: CallStarted, created_seconds: int, from_start: bool) -> None:
+        """Prepare a stream; `from_start` is False if it resumes from an offset, after the role."""
         common = (
             f'data: {{"id":"chatcmpl-{started.call_id}","object":"chat.completion.chunk",'
             f'"created":{created_seconds},"model":{json.dumps(started.target)},"choices":['
         )
         self._common = common.encode()
         self._delta_head = self._common + b'{"index":0,"delta":{'
-        self._role = b'"role":"assistant",' if first else b""
+        self._role = b'"role":"assistant",' if from_start else b""
 
     def chunks(self, chunks: Sequence[CallChunk]) -> bytes:
-        """Return the events of chunks, to be written together."""
+        """Return the concatenated events of several chunks."""
         frames = []
         for chunk in chunks:
             content = encode_basestring_ascii(chunk.text).encode()
@@ -40,7 +43,7 @@
         return b"".join(frames)
 
     def end(self, finished: CallFinished, include_usage: bool) -> bytes:
-        """Return the closing events."""
+        """Return the final events of the stream."""
         reason = json.dumps(finished.finish_reason).encode()
         tail = self._delta_head + b'},"finish_reason":' + reason + b"}]}\n\n"
         if include_usage:
@@ -48,23 +51,23 @@
         return tail + END_OF_STREAM
 
 
-def event(document: dict[str, Any]) -> bytes:
-    """Return one server-sent event."""
+def encode_event(document: dict[str, Any]) -> bytes:
+    """Return a document as one server-sent event."""
     return b"data: " + _json(document) + b"\n\n"
 
 
-def whole_answer(
+def answer_document(
     started: CallStarted,
     chunks: Sequence[CallChunk],
     finished: CallFinished,
     created_seconds: int,
 ) -> dict[str, Any]:
-    """Return an answer that is not streamed."""
+    """Return the body of an answer that is not streamed."""
     message: dict[str, Any] = {
         "role": "assistant",
         "content": "".join([chunk.text for chunk in chunks]),
     }
-    tool_calls = merge_tool_calls(piece for chunk in chunks for piece in chunk.tool_calls)
+    tool_calls = merge_tool_calls(fragment for chunk in chunks for fragment in chunk.tool_calls)
     if tool_calls:
         message["tool_calls"] = tool_calls
     choice = {"index": 0, "message": message, "finish_reason": finished.finish_reason}
@@ -79,7 +82,7 @@
 
 
 def usage(finished: CallFinished) -> dict[str, Any]:
-    """Return the usage of an answer."""
+    """Return the `usage` object of an answer."""
     return {
         "prompt_tokens": finished.prompt_tokens,
         "completion_tokens": finished.completion_tokens,
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -1,4 +1,4 @@
-"""The operators' queries over all nodes of the region, asked of any one node."""
+"""Operator queries over all nodes of the region, answered by any node."""
 
 import asyncio
 from collections.abc import Sequence
@@ -25,18 +25,18 @@
 
 FACTS_METHOD = "operator.facts"
 PROGRAM_METHOD = "operator.program"
-FACTS_SECONDS = 2.0
-"""A node that does not answer within this is named as silent; far above a region's round trip."""
-NODES_AT_ONCE = 32
-"""Nodes asked side by side, so that a query over hundreds of nodes causes no burst."""
+FACTS_TIMEOUT_SECONDS = 2.0
+"""Timeout after which a node is listed as unresponsive; far above a region's round-trip time."""
+MAX_CONCURRENT_REQUESTS = 32
+"""Limit on concurrent requests, so that a query over hundreds of nodes causes no burst."""
 DEFAULT_PROGRAMS = 100
 MAX_PROGRAMS = 1_000
-ASKED_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
+QUERIED_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 
 
 @dataclass(frozen=True, slots=True)
 class LocalFacts:
-    """What this node reports of itself."""
+    """The state that this node reports about itself."""
 
     node: NodeFacts
     workers: WorkerFacts
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterFacts:
-    """The answers of all nodes, and the nodes that did not answer."""
+    """The responses of all nodes, and the nodes that did not respond."""
 
-    answers: Sequence[FactsResponse]
-    silent: Sequence[NodeId]
+    responses: Sequence[FactsResponse]
+    unresponsive: Sequence[NodeId]
 
 
 class ClusterQueries:
-    """Asks every node for its facts and puts the answers together."""
+    """Requests the facts of every node and merges the responses."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         peers: PeerPort | None,
         local: LocalFacts,
     ) -> None:
-        """Ask the members by `peers`; registers the handlers by which fellow nodes ask."""
+        """Query the members over `peers`, and register handlers for the queries of other nodes."""
         self._membership = membership
         self._locate = locate
         self._peers = peers
@@ -71,62 +71,68 @@
             peers.handle(PROGRAM_METHOD, self._serve_program)
 
     async def nodes(self) -> Sequence[NodeStatus]:
-        """Return every known member, those that answered with their own status."""
-        facts = await self._ask_all(FactsRequest())
-        answered = {answer.node.node: answer.node for answer in facts.answers}
-        return [_merged(member, answered.get(member.node)) for member in self._members()]
+        """Return the status of every known member, with its own report if it responded."""
+        facts = await self._query_all(FactsRequest())
+        reported = {response.node.node: response.node for response in facts.responses}
+        return [_merge_status(member, reported.get(member.node)) for member in self._members()]
 
     async def workers(self) -> ListWorkersResponse:
-        """Return the workers of all coordinators in order of their names."""
-        facts = await self._ask_all(FactsRequest(workers=True))
-        found = [worker for answer in facts.answers for worker in answer.workers]
+        """Return the workers of all coordinators, sorted by name."""
+        facts = await self._query_all(FactsRequest(workers=True))
+        found = [worker for response in facts.responses for worker in response.workers]
         found.sort(key=lambda worker: worker.worker)
-        return ListWorkersResponse(workers=found, silent_nodes=facts.silent)
+        return ListWorkersResponse(workers=found, silent_nodes=facts.unresponsive)
 
     async def programs(self, request: ListProgramsRequest) -> ListProgramsResponse:
-        """Return programs that match, the newest first."""
+        """Return the matching programs, newest first."""
         limit = _limit(request)
-        facts = await self._ask_all(FactsRequest(programs=request))
-        found = [program for answer in facts.answers for program in answer.programs]
+        facts = await self._query_all(FactsRequest(programs=request))
+        found = [program for response in facts.responses for program in response.programs]
         found.sort(key=lambda program: (-program.created_at_seconds, program.program_id))
-        more = len(found) > limit or any(answer.more_programs for answer in facts.answers)
-        return ListProgramsResponse(programs=found[:limit], silent_nodes=facts.silent, more=more)
+        more = len(found) > limit or any(response.more_programs for response in facts.responses)
+        return ListProgramsResponse(
+            programs=found[:limit], silent_nodes=facts.unresponsive, more=more
+        )
 
     async def program(self, program_id: ProgramId) -> ProgramDetail | Refused:
-        """Return one program, asked of the node that serves it, or as the store has it."""
+        """Return one program from the node that serves it, else from this node or the store."""
         located = await self._locate(root_of(program_id))
         if isinstance(located, Refused):
             return located
         address = parse_address(located.address) if isinstance(located, OwnedElsewhere) else None
         if address is not None and self._peers is not None:
-            answer = await self._peers.call(
-                address, PROGRAM_METHOD, program_id.encode(), FACTS_SECONDS
+            response = await self._peers.call(
+                address, PROGRAM_METHOD, program_id.encode(), FACTS_TIMEOUT_SECONDS
             )
-            if not isinstance(answer, Refused):
-                return ProgramDetail.FromString(answer)
+            if not isinstance(response, Refused):
+                return ProgramDetail.FromString(response)
         return await self._local.programs.program(program_id)
 
     def _members(self) -> list[Member]:
         return sorted(self._membership.members(), key=lambda member: member.node)
 
-    async def _ask_all(self, request: FactsRequest) -> ClusterFacts:
-        this = self._membership.this_member().node
-        others = [m for m in self._members() if m.node != this and m.state in ASKED_STATES]
-        room = asyncio.Semaphore(NODES_AT_ONCE)
+    async def _query_all(self, request: FactsRequest) -> ClusterFacts:
+        this_node = self._membership.this_member().node
+        others = [m for m in self._members() if m.node != this_node and m.state in QUERIED_STATES]
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
         payload = request.SerializeToString()
-        answers = await asyncio.gather(*(self._ask(m, payload, room) for m in others))
-        silent = [m.node for m, answer in zip(others, answers, strict=True) if answer is None]
-        heard = [answer for answer in answers if answer is not None]
-        return ClusterFacts([self._facts(request), *heard], silent)
-
-    async def _ask(
-        self, member: Member, payload: bytes, room: asyncio.Semaphore
+        responses = await asyncio.gather(*(self._query_node(m, payload, semaphore) for m in others))
+        unresponsive = [
+            m.node for m, response in zip(others, responses, strict=True) if response is None
+        ]
+        received = [response for response in responses if response is not None]
+        return ClusterFacts([self._facts(request), *received], unresponsive)
+
+    async def _query_node(
+        self, member: Member, payload: bytes, semaphore: asyncio.Semaphore
     ) -> FactsResponse | None:
         if self._peers is None:
             return None
-        async with room:
-            answer = await self._peers.call(member.address, FACTS_METHOD, payload, FACTS_SECONDS)
-        return None if isinstance(answer, Refused) else FactsResponse.FromString(answer)
+        async with semaphore:
+            response = await self._peers.call(
+                member.address, FACTS_METHOD, payload, FACTS_TIMEOUT_SECONDS
+            )
+        return None if isinstance(response, Refused) else FactsResponse.FromString(response)
 
     def _facts(self, request: FactsRequest) -> FactsResponse:
         response = FactsResponse(node=self._local.node.status())
@@ -151,11 +157,11 @@
     return min(request.limit or DEFAULT_PROGRAMS, MAX_PROGRAMS)
 
 
-def _merged(member: Member, answered: NodeStatus | None) -> NodeStatus:
-    """Return the member as this node sees it, with what the node says of itself."""
+def _merge_status(member: Member, reported: NodeStatus | None) -> NodeStatus:
+    """Return a node's own report, with the membership fields as this node sees them."""
     status = NodeStatus()
-    if answered is not None:
-        status.CopyFrom(answered)
+    if reported is not None:
+        status.CopyFrom(reported)
         status.answered = True
     status.node = member.node
     status.address = str(member.address)
