--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,4 +1,4 @@
-"""Starts foxwinch from the copy of its sources and the packages that the build made."""
+"""Starts foxwinch from the sources and packages that the build step copied to `target`."""
 
 import os
 import signal
@@ -7,12 +7,12 @@
 
 
 def start() -> None:
-    """Prepare the process, then run the node."""
-    # A hangup tells a node of new settings; it must not end one that has not started to listen.
+    """Prepare the process and run the node."""
+    # SIGHUP means a settings reload; it must not kill a node that is still starting.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # A node here speaks no TLS, and aiohttp reads all certificate authorities when it is imported.
+    # This node uses no TLS, and aiohttp loads all certificate authorities at import.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
-    # The build compiles its copy: to compile the sources at each start costs processor time.
+    # The copy is compiled at build time, which saves CPU time at each start.
     sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "target" / "src"))
 
     from foxwinch.platform.start import main
--- a/src/foxwinch/backends/__init__.py
+++ b/src/foxwinch/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Engines and tools: ports and their adapters."""
+"""Ports to model engines and tools, and their adapters."""
--- a/src/foxwinch/backends/engine_http.py
+++ b/src/foxwinch/backends/engine_http.py
@@ -3,7 +3,7 @@
 `POST /v1/chat/completions` streams server-sent events; `POST /calls/{call}/cancel`,
 `POST /programs/{program}/release`, `POST /programs/release` for several programs at once,
 `GET /metrics`, `GET /cache/events?after=N`, `GET` and `PUT /cache/programs/{program}`,
-`POST /orders`. 412 means fenced by a newer epoch.
+`POST /orders`. Status 412 means that the request was fenced by a newer epoch.
 """
 
 import asyncio
@@ -49,19 +49,20 @@
 HEADER_PRIORITY = "x-priority"
 HEADER_RESUME = "x-resume-offset"
 REQUEST_SECONDS = 5.0
-"""For a small request's whole answer."""
+"""Timeout for the complete response to a small request."""
 TRANSFER_SECONDS = 30.0
-"""For the export or import of a program's cache."""
+"""Timeout for the export or import of a program's cache."""
 ORDER_SECONDS = 120.0
-"""Loading a model takes tens of seconds; a later answer is had by sending the token again."""
+"""Timeout of an order: loading a model takes tens of seconds. After a timeout, a retry with the
+same token returns the outcome."""
 DRAIN_SECONDS = 0.5
-"""For the end marker after the last event; later the connection is given up."""
+"""Timeout for the end marker after the last event; after it, the connection is closed."""
 SNAPSHOT_AFTER = 0
-"""Reading cache events after 0 gives a snapshot, whose numbers do not follow on."""
+"""Reading cache events after 0 returns a snapshot, whose sequence numbers are not contiguous."""
 
 
 class CacheEventDocument(BaseModel):
-    """A change of a prefix cache."""
+    """A change of an engine's prefix cache."""
 
     sequence: int
     kind: str
@@ -70,7 +71,7 @@
 
 
 class CacheEventsDocument(BaseModel):
-    """Cache events after a sequence number."""
+    """Response with the cache events after a sequence number."""
 
     events: list[CacheEventDocument]
     next_sequence: int
@@ -78,7 +79,7 @@
 
 
 class OrderDocument(BaseModel):
-    """A fenced order."""
+    """Body of a fenced order."""
 
     token: str
     epoch: int
@@ -88,18 +89,18 @@
 
 
 class ReleaseDocument(BaseModel):
-    """Programs that are over."""
+    """Body of a release of finished programs."""
 
     programs: list[str]
 
 
 class HttpEngine:
-    """Engines reached over HTTP; implements `foxwinch.backends.ports.EnginePort`."""
+    """HTTP client of engines; implements `foxwinch.backends.ports.EnginePort`."""
 
     def __init__(
         self, session: aiohttp.ClientSession, url_of: Callable[[WorkerId], str | None]
     ) -> None:
-        """Use `session`, which the caller closes; `url_of` finds a worker's base URL."""
+        """Use `session`, which the caller closes; `url_of` returns a worker's base URL."""
         self._session = session
         self._url_of = url_of
         self._releases = ReleaseBatches(self._release)
@@ -107,7 +108,10 @@
     async def generate(
         self, worker: WorkerId, order: GenerateOrder
     ) -> AsyncGenerator[EngineEvent, None]:
-        """Stream an answer; see the port. An engine that falls silent is given up as `unknown`."""
+        """Stream a response; see `GeneratePort`.
+
+        A silent engine times out with run state `unknown`.
+        """
         url = self._url_of(worker)
         if url is None:
             yield _unknown_worker(worker)
@@ -135,19 +139,21 @@
                                 await _drain(response)
                         if isinstance(event, (GenerateFinished, Refused)):
                             return
-            yield outcome_unknown(Reason.BACKEND_FAILED, f"worker {worker} ended its stream early")
+            yield outcome_unknown(
+                Reason.BACKEND_FAILED, f"worker {worker} ended its stream before the end marker"
+            )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            yield not_run(Reason.BACKEND_UNAVAILABLE, f"worker {worker} cannot be reached")
+            yield not_run(Reason.BACKEND_UNAVAILABLE, f"cannot connect to worker {worker}")
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             kind = type(error).__name__
-            yield outcome_unknown(Reason.BACKEND_FAILED, f"worker {worker} failed: {kind}")
+            yield outcome_unknown(Reason.BACKEND_FAILED, f"call to worker {worker} failed: {kind}")
 
     async def cancel(self, worker: WorkerId, call_id: CallId) -> Done | Refused:
-        """See the port."""
+        """See `EnginePort`."""
         return await self._done(worker, "POST", f"/calls/{_quoted(call_id)}/cancel")
 
     async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
-        """See the port."""
+        """See `EnginePort`."""
         return await self._releases.release(worker, program_id)
 
     async def _release(self, worker: WorkerId, programs: Sequence[ProgramId]) -> Done | Refused:
@@ -157,7 +163,7 @@
         return await self._done(worker, "POST", "/programs/release", body)
 
     async def load(self, worker: WorkerId) -> LoadReport | Refused:
-        """See the port."""
+        """See `EnginePort`."""
         answer = await self._send(worker, "GET", "/metrics")
         if isinstance(answer, Refused):
             return answer
@@ -165,7 +171,7 @@
         return malformed(_service(worker)) if report is None else report
 
     async def cache_events(self, worker: WorkerId, after: int) -> CacheEventPage | Refused:
-        """See the port; a gap is found in the numbers too, whatever the engine says of it."""
+        """See `EnginePort`; missing sequence numbers also count as a gap."""
         answer = await self._send(worker, "GET", "/cache/events", parameters={"after": str(after)})
         if isinstance(answer, Refused):
             return answer
@@ -181,7 +187,7 @@
         return CacheEventPage(events, document.next_sequence, gap)
 
     async def export_cache(self, worker: WorkerId, program_id: ProgramId) -> bytes | Refused:
-        """See the port."""
+        """See `EnginePort`."""
         path = f"/cache/programs/{_quoted(program_id)}"
         answer = await self._send(worker, "GET", path, timeout_seconds=TRANSFER_SECONDS)
         return answer if isinstance(answer, Refused) else answer.body
@@ -189,12 +195,12 @@
     async def import_cache(
         self, worker: WorkerId, program_id: ProgramId, data: bytes
     ) -> Done | Refused:
-        """See the port."""
+        """See `EnginePort`."""
         path = f"/cache/programs/{_quoted(program_id)}"
         return await self._done(worker, "PUT", path, data, TRANSFER_SECONDS)
 
     async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Done | Refused:
-        """See the port."""
+        """See `EnginePort`."""
         document = OrderDocument(
             token=order.token,
             epoch=order.epoch,
@@ -225,7 +231,7 @@
         timeout_seconds: float = REQUEST_SECONDS,
         parameters: dict[str, str] | None = None,
     ) -> HttpAnswer | Refused:
-        """Send a request; an answer other than success is a refusal."""
+        """Send a request; a response other than 200 or 204 is a refusal."""
         url = self._url_of(worker)
         if url is None:
             return _unknown_worker(worker)
@@ -236,7 +242,7 @@
         if answer.status == 412:
             return _fenced(worker)
         if answer.status == 404:
-            return not_run(Reason.NOT_FOUND, f"worker {worker} knows nothing of it")
+            return not_run(Reason.NOT_FOUND, f"not found on worker {worker}")
         return refusal(_service(worker), answer)
 
 
@@ -264,9 +270,9 @@
 
 
 def _refused_generation(worker: WorkerId, response: aiohttp.ClientResponse) -> Refused:
-    """Return what a status means: an engine answers 412, 429, 4xx and 503 before it runs."""
+    """Map an error status to a refusal; engines return 412, 429, 4xx and 503 before running."""
     status = response.status
-    detail = f"worker {worker} answered {status}"
+    detail = f"worker {worker} returned status {status}"
     retry_after = read_retry_after(response.headers.get(HEADER_RETRY_AFTER))
     if status == 412:
         return _fenced(worker)
@@ -280,7 +286,7 @@
 
 
 async def _drain(response: aiohttp.ClientResponse) -> None:
-    """Read the end of a stream that is over, so that its connection can be used again."""
+    """Read the end of a finished stream, so that its connection can be reused."""
     try:
         async with asyncio.timeout(DRAIN_SECONDS):
             while not response.content.at_eof():
@@ -306,7 +312,7 @@
 
 
 def _unknown_worker(worker: WorkerId) -> Refused:
-    return not_run(Reason.BACKEND_UNAVAILABLE, f"worker {worker} is not known")
+    return not_run(Reason.BACKEND_UNAVAILABLE, f"unknown worker {worker}")
 
 
 def _quoted(name: str) -> str:
--- a/src/foxwinch/backends/engine_load.py
+++ b/src/foxwinch/backends/engine_load.py
@@ -1,4 +1,4 @@
-"""Load of an engine as Prometheus text."""
+"""Encoding and decoding of an engine's load report in Prometheus text format."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 def write_load(report: LoadReport) -> str:
-    """Return a report as Prometheus text."""
+    """Return a load report in Prometheus text format."""
     values = {
         RUNNING: report.running,
         WAITING: report.waiting,
@@ -31,7 +31,7 @@
 
 
 def read_load(text: str) -> LoadReport | None:
-    """Return the report, or None when the text is not Prometheus text with the needed metrics."""
+    """Return the load report, or None if the text is malformed or lacks a required metric."""
     values: dict[str, float] = {}
     models: list[ModelName] = []
     try:
--- a/src/foxwinch/backends/engine_stream.py
+++ b/src/foxwinch/backends/engine_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events of an engine's chat completions, read into engine events."""
+"""Decoder of the server-sent events of an engine's chat completions."""
 
 import json
 from collections.abc import AsyncGenerator, Callable, Iterator
@@ -12,20 +12,20 @@
 EVENT_PREFIX = "data: "
 END_OF_STREAM = "[DONE]"
 MAXIMUM_LINE_BYTES = 1024 * 1024
-"""A longer line without an end is no event of an engine."""
+"""Maximum length of a line; a longer one is malformed."""
 MALFORMED_ERRORS = (ValueError, KeyError, TypeError, AttributeError, IndexError)
-"""What reading an answer of another shape raises."""
-MALFORMED = outcome_unknown(Reason.BACKEND_FAILED, "an event of the engine is malformed")
+"""Exceptions that decoding a malformed event raises."""
+MALFORMED = outcome_unknown(Reason.BACKEND_FAILED, "the engine sent a malformed event")
 _decode_at = json.JSONDecoder().raw_decode
 
 
 async def read_events(
     content: aiohttp.StreamReader, on_begun: Callable[[], None]
 ) -> AsyncGenerator[EngineEvent, None]:
-    """Yield the events of a stream until it ends; an unreadable one ends it as `unknown`.
+    """Yield the events of a stream; a malformed event ends it with run state `unknown`.
 
-    All lines that have arrived together are read without a pause between their events.
-    `on_begun` is called once, when the first data has arrived.
+    All lines that have arrived together are decoded without yielding to the event loop. `on_begun`
+    is called once, when the first data has arrived.
     """
     reader = _EventReader()
     begun = False
@@ -47,7 +47,7 @@
 
 
 class _EventReader:
-    """Reads whole lines; `ended` tells that the end marker has been read."""
+    """Decodes complete lines; `ended` is true once the end marker has been read."""
 
     def __init__(self) -> None:
         self.ended = False
@@ -95,9 +95,9 @@
 
 
 def _refused(error: dict[str, Any]) -> Refused:
-    """Return an error that the engine sent inside its stream; unknown names mean the worst."""
+    """Decode an error event; unknown names mean that the call may have run."""
     try:
         reason, run_state = Reason(error["code"]), RunState(error["run_state"])
     except (KeyError, ValueError):
         reason, run_state = Reason.BACKEND_FAILED, RunState.UNKNOWN
-    return Refused(reason, run_state, "the engine ended the call with an error")
+    return Refused(reason, run_state, "the engine reported an error")
--- a/src/foxwinch/backends/no_tools.py
+++ b/src/foxwinch/backends/no_tools.py
@@ -1,12 +1,12 @@
-"""Tools of a node that is given no tool adapter."""
+"""Tool port of a node without a tool adapter."""
 
 from foxwinch.backends.ports import ToolOrder, ToolResult
 from foxwinch.outcomes import Reason, Refused, not_run
 
 
 class NoTools:
-    """Refuses every tool call; implements `foxwinch.backends.ports.ToolPort`."""
+    """Rejects every tool call; implements `foxwinch.backends.ports.ToolPort`."""
 
     async def call(self, order: ToolOrder) -> ToolResult | Refused:
-        """Refuse: nothing was run."""
+        """Reject the call without running it."""
         return not_run(Reason.BACKEND_UNAVAILABLE, "this node has no access to tools")
--- a/src/foxwinch/backends/ports.py
+++ b/src/foxwinch/backends/ports.py
@@ -1,6 +1,7 @@
-"""Ports to the back ends: what the rest of foxwinch knows of engines and tools.
+"""Ports to the back ends, that is model engines and tools.
 
-An adapter implements a port in one file, so that another dialect of engine replaces only that file.
+Each port is implemented by one adapter module, so that support for another engine API changes only
+that module.
 """
 
 from collections.abc import AsyncIterator
@@ -16,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message of a history, in the widely used chat-completions shape."""
+    """One message of a history, in the chat-completions format."""
 
     role: str
     content: str
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerateOrder:
-    """An order to generate one answer on one worker."""
+    """A request to generate one response on a worker."""
 
     call_id: CallId
     program_id: ProgramId
@@ -34,30 +35,30 @@
     messages: tuple[Message, ...]
     maximum_tokens: int
     priority: int
-    """Lower is more urgent, as the engines have it."""
+    """Lower is more urgent, as in the engines."""
     epoch: Epoch
-    """Epoch of the steward that granted the worker; the engine refuses an older one."""
+    """Epoch of the steward that granted the worker; the engine rejects an older one."""
     parameters: dict[str, JsonValue] = field(default_factory=dict)
     """Sampling parameters passed through unchanged."""
     resume_offset: int = 0
-    """Number of chunks already received of this very call; the engine sends what follows."""
+    """Number of chunks of this call that were already received; the engine sends the rest."""
     deadline_seconds: float | None = None
-    """What is left of the call's deadline; bounds how long the worker may be silent."""
+    """Remaining time of the call; limits how long the worker may be silent."""
 
 
 @dataclass(frozen=True, slots=True)
 class TokenChunk:
-    """One piece of a streamed answer."""
+    """One chunk of a streamed response."""
 
     text: str
     tokens: int
-    """Number of tokens in this piece."""
+    """Number of tokens in this chunk."""
     tool_calls: tuple[JsonValue, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class GenerateFinished:
-    """The end of a streamed answer and its usage."""
+    """The end of a streamed response, with its usage."""
 
     finish_reason: str
     prompt_tokens: int
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load of one worker as it reports it, with a lag."""
+    """Load that a worker reported; may be stale."""
 
     running: int
     waiting: int
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A change of a worker's prefix cache, as the engine publishes it: late and with gaps."""
+    """A change of a worker's prefix cache; events arrive late and may be lost."""
 
     sequence: int
     kind: str
@@ -94,17 +95,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEventPage:
-    """Cache events after a sequence number."""
+    """The cache events after a sequence number."""
 
     events: tuple[CacheEvent, ...]
     next_sequence: int
     gap: bool
-    """True when events between the asked and the first given were lost: resync."""
+    """True if events after the requested number were lost; the reader must resynchronize."""
 
 
 @dataclass(frozen=True, slots=True)
 class ModelOrder:
-    """A fenced order to a worker: load, unload, adapter, version or role."""
+    """A fenced order to a worker to change its models, adapters, version or role."""
 
     token: str
     epoch: Epoch
@@ -112,62 +113,62 @@
     """`load`, `unload`, `load_adapter`, `unload_adapter`, `set_version` or `set_role`."""
     model: ModelName
     value: str = ""
-    """Adapter, version or role, where the kind needs one."""
+    """Adapter, version or role, if the kind requires one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """An order or release was carried out (or had been before: orders are idempotent)."""
+    """Success of an idempotent operation, now or earlier."""
 
 
 class GeneratePort(Protocol):
-    """Generation of answers by model engines."""
+    """Generation of responses by model engines."""
 
     def generate(self, worker: WorkerId, order: GenerateOrder) -> AsyncIterator[EngineEvent]:
-        """Stream an answer; the last event is `GenerateFinished` or `Refused`.
+        """Stream a response; the last event is `GenerateFinished` or `Refused`.
 
-        Closing the iterator early cancels the engine's work on the call.
+        Closing the iterator early cancels the call in the engine.
         """
         ...
 
 
 class EnginePort(GeneratePort, Protocol):
-    """What foxwinch asks of model engines."""
+    """Operations of model engines."""
 
     async def cancel(self, worker: WorkerId, call_id: CallId) -> Done | Refused:
-        """Cancel a call; cancelling an unknown or finished call is `Done`."""
+        """Cancel a call; returns `Done` also for an unknown or finished call."""
         ...
 
     async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
-        """Free the cache that is held only for this program."""
+        """Free the cache that only this program uses."""
         ...
 
     async def load(self, worker: WorkerId) -> LoadReport | Refused:
-        """Read the worker's lagging load."""
+        """Read the worker's load, which may be stale."""
         ...
 
     async def cache_events(self, worker: WorkerId, after: int) -> CacheEventPage | Refused:
-        """Read cache events with a sequence number greater than `after`."""
+        """Read the cache events with a sequence number greater than `after`."""
         ...
 
     async def export_cache(self, worker: WorkerId, program_id: ProgramId) -> bytes | Refused:
-        """Read the cache entries of a program in the engine's own format."""
+        """Export the cache entries of a program in the engine's own format."""
         ...
 
     async def import_cache(
         self, worker: WorkerId, program_id: ProgramId, data: bytes
     ) -> Done | Refused:
-        """Give a worker cache entries that another one exported."""
+        """Import cache entries that another worker exported."""
         ...
 
     async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Done | Refused:
-        """Carry out a fenced order; an older epoch than the worker has seen is `FENCED`."""
+        """Apply a fenced order; refused as `FENCED` if the worker has seen a newer epoch."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class ToolOrder:
-    """One call of a tool."""
+    """A request to call a tool."""
 
     call_id: CallId
     program_id: ProgramId
@@ -178,14 +179,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ToolResult:
-    """A tool's whole answer."""
+    """The complete response of a tool."""
 
     content: str
 
 
 class ToolPort(Protocol):
-    """What foxwinch asks of tool services."""
+    """Operations of tool services."""
 
     async def call(self, order: ToolOrder) -> ToolResult | Refused:
-        """Run a tool once; the refusal's run state tells whether it may have run."""
+        """Call a tool once; the run state of a refusal states whether it may have run."""
         ...
--- a/src/foxwinch/backends/release_batch.py
+++ b/src/foxwinch/backends/release_batch.py
@@ -1,8 +1,8 @@
-"""Gathers the releases for one engine of one turn of the event loop into one request.
+"""Batching of releases to one engine within one iteration of the event loop.
 
-Many small programs end at once on a busy node, and a request each would cost the engine and the
-node as much as the calls themselves. Whoever comes first sends for all; there is no task and no
-pause.
+Many small programs end at the same time on a busy node, and one request each would cost the engine
+and the node as much as the calls themselves. The first caller sends the request for all others;
+there is no background task and no delay.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 from foxwinch.outcomes import Reason, Refused, outcome_unknown
 
 MAXIMUM_PROGRAMS = 256
-"""In one request: some 40 kB at most, which every engine takes."""
-CUT_SHORT = outcome_unknown(Reason.BACKEND_FAILED, "the release was cut short")
+"""Maximum number of programs in one request: at most about 40 kB, which every engine accepts."""
+CUT_SHORT = outcome_unknown(Reason.BACKEND_FAILED, "the release request was cancelled")
 SendReleases = Callable[[WorkerId, Sequence[ProgramId]], Awaitable[Done | Refused]]
 
 
@@ -25,17 +25,17 @@
 
 
 class ReleaseBatches:
-    """Releases that wait for their turn's request, one batch a worker."""
+    """Releases waiting to be sent, one batch per worker."""
 
     def __init__(self, send: SendReleases) -> None:
-        """Send by `send`, which takes 1 to `MAXIMUM_PROGRAMS` programs."""
+        """Send batches with `send`, which receives 1 to `MAXIMUM_PROGRAMS` programs."""
         self._send = send
         self._open: dict[WorkerId, _Batch] = {}
 
     async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
-        """Release a program; the outcome is that of the request that bore it.
+        """Release a program and return the outcome of the batch.
 
-        When the one who sends is cancelled, the others are told that the outcome is unknown.
+        If the caller that sends the batch is cancelled, the others get an unknown outcome.
         """
         batch = self._open.get(worker)
         if batch is not None and len(batch.programs) < MAXIMUM_PROGRAMS:
--- a/src/foxwinch/backends/tools_http.py
+++ b/src/foxwinch/backends/tools_http.py
@@ -1,8 +1,8 @@
 """Adapter of the tool port over HTTP: `POST {worker}/{tool}` with the call's arguments as JSON.
 
-Each call is sent at most once. Its run state is `not_run` only when no connection was had or the
-service itself refused (429, another client error, or a server error that says so); a time-out, a
-reset or an unreadable answer is `unknown`.
+Each call is sent at most once. Its run state is `not_run` only if no connection was made or the
+service rejected the call (429, another client error, or a server error that states it); a timeout,
+a connection reset or a malformed response is `unknown`.
 """
 
 import json
@@ -23,26 +23,26 @@
 
 
 class ToolDocument(BaseModel):
-    """A tool's answer."""
+    """Response body of a tool."""
 
     content: str
 
 
 class HttpTools:
-    """Tool services over HTTP; implements `foxwinch.backends.ports.ToolPort`."""
+    """HTTP client of tool services; implements `foxwinch.backends.ports.ToolPort`."""
 
     def __init__(
         self,
         session: aiohttp.ClientSession,
         urls_of: Callable[[ToolName], Sequence[str]],
     ) -> None:
-        """Use a session without kept connections; `urls_of` finds the workers of a tool."""
+        """Use a session without keep-alive; `urls_of` returns the base URLs of a tool's workers."""
         self._session = session
         self._urls_of = urls_of
         self._calls = 0
 
     async def call(self, order: ToolOrder) -> ToolResult | Refused:
-        """Send the call to one worker, the workers taking turns."""
+        """Send the call to one of the tool's workers, round robin."""
         urls = self._urls_of(order.tool)
         if not urls:
             detail = f"no worker serves tool {order.tool}"
--- a/src/foxwinch/clock.py
+++ b/src/foxwinch/clock.py
@@ -1,4 +1,4 @@
-"""Time and randomness: what services are given, and the system's own."""
+"""Interface to time and randomness, and its implementation by the system."""
 
 import asyncio
 import random
@@ -8,14 +8,14 @@
 
 
 class Clock(Protocol):
-    """Time and randomness, given from outside so that tests decide both."""
+    """Source of time and randomness, injected so that tests control both."""
 
     def monotonic(self) -> float:
-        """Seconds on a clock that never goes back."""
+        """Return seconds of a clock that never goes backwards."""
         ...
 
     def wall(self) -> float:
-        """Seconds since the Unix epoch; may jump; never used for safety."""
+        """Return seconds since the Unix epoch; may jump, so correctness must not depend on it."""
         ...
 
     def identifier(self) -> str:
@@ -23,23 +23,23 @@
         ...
 
     def uniform(self) -> float:
-        """Return a random number from 0 up to 1, for jitter and choices."""
+        """Return a random number in [0, 1), for jitter and random choices."""
         ...
 
     async def sleep(self, seconds: float) -> None:
-        """Wait; services wait only through this, so that tests can freeze a node."""
+        """Wait; services use only this method to wait, so that tests can pause a node."""
         ...
 
 
 class SystemClock:
-    """Real time and randomness; see `Clock`."""
+    """System time and randomness; implements `Clock`."""
 
     def monotonic(self) -> float:
-        """Seconds of the running event loop, which a test may run on virtual time."""
+        """Return the time of the running event loop, which is virtual in some tests."""
         return asyncio.get_running_loop().time()
 
     def wall(self) -> float:
-        """Seconds since the Unix epoch."""
+        """Return seconds since the Unix epoch."""
         return time.time()
 
     def identifier(self) -> str:
@@ -47,7 +47,7 @@
         return uuid.uuid4().hex
 
     def uniform(self) -> float:
-        """Return a random number from 0 up to 1."""
+        """Return a random number in [0, 1)."""
         return random.random()
 
     async def sleep(self, seconds: float) -> None:
--- a/src/foxwinch/http_exchange.py
+++ b/src/foxwinch/http_exchange.py
@@ -1,8 +1,8 @@
-"""One HTTP request and its whole answer, as values: what failed, and whether it may have run.
+"""HTTP requests whose failures are values that state whether the request may have taken effect.
 
-Only a failure to connect is certainly `not_run`. Once a connection was had, anything that goes
-wrong may have happened after the effect. aiohttp repeats a GET, PUT or DELETE by itself when a kept
-connection turns out dead, and follows redirects by sending again; POST is never repeated by it, and
+Only a failure to connect is certainly `not_run`. After a connection was made, any failure may have
+happened after the effect. aiohttp itself retries a GET, PUT or DELETE if a persistent connection
+turns out to be closed, but never a POST. It resends a request when it follows a redirect, so
 redirects are not followed here.
 """
 
@@ -16,13 +16,14 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run, outcome_unknown
 
 CONNECT_SECONDS = 3.0
-"""For a connection to be made; back ends and the platform are near."""
+"""Connect timeout; back ends and the platform are close."""
 MAXIMUM_RETRY_AFTER_SECONDS = 3_600.0
-"""A service that asks for more is taken to mean this."""
+"""Upper limit of accepted Retry-After values."""
 MAXIMUM_ANSWER_BYTES = 32 * 1024 * 1024
-"""A whole answer is held in memory, of which a node has 256 MB."""
+"""Limit of a response body, which is kept in memory; a node has 256 MB."""
 HEADER_RUN_STATE = "x-run-state"
-"""A service tells by it that a refused request did not run; without it a 5xx is `unknown`."""
+"""Header in which a service states that a failed request did not run; without it, the run state of
+a 5xx response is `unknown`."""
 HEADER_RETRY_AFTER = "Retry-After"
 STATUS_CLIENT_ERROR = 400
 STATUS_TOO_MANY_REQUESTS = 429
@@ -30,10 +31,10 @@
 
 
 def new_session(keep_connections: bool = True) -> aiohttp.ClientSession:
-    """Return a session, to be closed by the caller; call it on the running loop.
+    """Return a new session, which the caller closes; must be called in a running event loop.
 
-    Without `keep_connections` each request has a connection of its own, so that none is ever sent
-    into a kept connection that the other side is just closing: its outcome would be unknown.
+    Without `keep_connections`, each request uses a new connection. A request on a persistent
+    connection that the server is just closing would have an unknown outcome.
     """
     connector = aiohttp.TCPConnector(limit=0, force_close=not keep_connections)
     return aiohttp.ClientSession(
@@ -45,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request."""
+    """An HTTP request."""
 
     method: str
     url: str
     timeout_seconds: float
-    """For the whole answer."""
+    """Timeout until the complete response has arrived."""
     body: bytes | None = None
     headers: Mapping[str, str] | None = None
     parameters: Mapping[str, str] | None = None
@@ -58,31 +59,31 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """A whole answer of any status."""
+    """A complete HTTP response of any status."""
 
     status: int
     body: bytes
     retry_after_seconds: float | None
     run_state: str | None
-    """What the service itself says of the effect, where it does."""
+    """Run state that the service reports, if any."""
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """How failures of a service are named."""
+    """Name of a service in error messages, and the reasons for its failures."""
 
     name: str
     unavailable: Reason
     late: Reason
-    """Reason when no answer came in time."""
+    """Reason for a timeout."""
 
 
 async def exchange(
     session: aiohttp.ClientSession, service: Service, request: HttpRequest
 ) -> HttpAnswer | Refused:
-    """Send a request once and read its whole answer."""
+    """Send a request once and read the complete response."""
     if not _sendable(request):
-        return not_run(Reason.INVALID_REQUEST, "a header value holds control characters")
+        return not_run(Reason.INVALID_REQUEST, "a header value contains control characters")
     try:
         async with (
             asyncio.timeout(request.timeout_seconds),
@@ -97,20 +98,22 @@
         ):
             body = await _read_body(response)
             if body is None:
-                return outcome_unknown(service.unavailable, f"{service.name} answered too much")
+                return outcome_unknown(
+                    service.unavailable, f"{service.name} returned too large a response"
+                )
             retry_after = read_retry_after(response.headers.get(HEADER_RETRY_AFTER))
             run_state = response.headers.get(HEADER_RUN_STATE)
             return HttpAnswer(response.status, body, retry_after, run_state)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-        return not_run(service.unavailable, f"{service.name} cannot be reached")
+        return not_run(service.unavailable, f"cannot connect to {service.name}")
     except (aiohttp.InvalidURL, aiohttp.NonHttpUrlClientError):
-        return not_run(Reason.INVALID_REQUEST, f"{service.name} has no valid address")
+        return not_run(Reason.INVALID_REQUEST, f"{service.name} has an invalid address")
     except TimeoutError:
-        detail = f"{service.name} did not answer in {request.timeout_seconds} s"
+        detail = f"{service.name} did not respond within {request.timeout_seconds} s"
         return outcome_unknown(service.late, detail)
     except (aiohttp.ClientError, OSError) as error:
         kind = type(error).__name__
-        return outcome_unknown(service.unavailable, f"{service.name} broke off: {kind}")
+        return outcome_unknown(service.unavailable, f"connection to {service.name} failed: {kind}")
 
 
 def _sendable(request: HttpRequest) -> bool:
@@ -118,7 +121,7 @@
 
 
 async def _read_body(response: aiohttp.ClientResponse) -> bytes | None:
-    """Return the body, or None when it is larger than any answer should be."""
+    """Return the body, or None if it exceeds `MAXIMUM_ANSWER_BYTES`."""
     body = bytearray()
     async for piece in response.content.iter_any():
         body += piece
@@ -128,12 +131,12 @@
 
 
 def refusal(service: Service, answer: HttpAnswer) -> Refused:
-    """Return what a status that the adapter does not know means.
+    """Return the refusal for a status that the adapter does not handle itself.
 
-    429 and other client errors are refusals before any work. A redirect, another success or a
-    server error tells nothing about the effect unless the service says so.
+    429 and other client errors mean that the request did not run. After a redirect, another success
+    status or a server error the effect is unknown, unless the service reports the run state.
     """
-    detail = f"{service.name} answered {answer.status}"
+    detail = f"{service.name} returned status {answer.status}"
     if answer.status < STATUS_CLIENT_ERROR:
         return outcome_unknown(service.unavailable, detail)
     if answer.status == STATUS_TOO_MANY_REQUESTS:
@@ -148,12 +151,12 @@
 
 
 def malformed(service: Service) -> Refused:
-    """Return what an answer that cannot be read means: the effect may have taken place."""
-    return outcome_unknown(service.unavailable, f"{service.name} gave a malformed answer")
+    """Return the refusal for a malformed response: the request may have taken effect."""
+    return outcome_unknown(service.unavailable, f"{service.name} returned a malformed response")
 
 
 def read_retry_after(value: str | None) -> float | None:
-    """Return the seconds of a Retry-After header; None for a date or anything unreadable."""
+    """Return the seconds of a Retry-After header; None for a date or a malformed value."""
     if value is None:
         return None
     try:
--- a/src/foxwinch/identifiers.py
+++ b/src/foxwinch/identifiers.py
@@ -1,12 +1,12 @@
-"""Names and numbers that identify things, as distinct types so that they are not mixed up."""
+"""Distinct types of identifiers, so that type checking finds mix-ups."""
 
 from dataclasses import dataclass
 from typing import NewType
 
 ProgramId = NewType("ProgramId", str)
-"""A program: one conversation or task. Globally unique, chosen by the caller or a node."""
+"""A program, that is one conversation or task; globally unique, chosen by a caller or a node."""
 CallId = NewType("CallId", str)
-"""One call of a program: a model call, a tool call or the start of a sub-agent."""
+"""A call of a program: a model call, a tool call or the start of a sub-agent."""
 TenantName = NewType("TenantName", str)
 """A tenant of the cluster configuration."""
 ClassName = NewType("ClassName", str)
@@ -18,20 +18,20 @@
 WorkerId = NewType("WorkerId", str)
 """A back-end worker (an engine process)."""
 NodeId = NewType("NodeId", str)
-"""One life of one node process: a restarted process has a new identity."""
+"""A node process; a restarted node has a new id."""
 ZoneName = NewType("ZoneName", str)
 """A failure zone inside a region."""
 RegionName = NewType("RegionName", str)
-"""A region: a set of zones joined by good links."""
+"""A region, that is a set of zones with low latency between them."""
 Epoch = NewType("Epoch", int)
-"""A fencing number: the holder of a higher epoch makes every lower one void."""
+"""A fencing token: a higher epoch invalidates all lower ones."""
 Revision = NewType("Revision", int)
-"""A monotonic revision of the cluster configuration."""
+"""A monotonically increasing revision of the cluster configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """Where a node's peer side listens (TCP and UDP on the same port)."""
+    """Address of a node's peer port, the same for TCP and UDP."""
 
     host: str
     port: int
--- a/src/foxwinch/log.py
+++ b/src/foxwinch/log.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, on standard error."""
+"""Structured logging: one logfmt line per event on standard error."""
 
 import logging
 import math
@@ -10,9 +10,9 @@
 
 
 def configure_logging(level: str = "INFO") -> None:
-    """Send the project's log lines to standard error in logfmt.
+    """Write foxwinch's log lines to standard error in logfmt.
 
-    `level` is a name known to `logging`, such as "INFO".
+    `level` is a level name of `logging`, such as "INFO".
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
@@ -25,31 +25,31 @@
 
 
 def age_ms(seconds: float) -> int | None:
-    """Return an age in whole milliseconds for a log line; None for one that is not known."""
+    """Return an age in whole milliseconds for a log line; None if `seconds` is not finite."""
     return int(1e3 * seconds) if math.isfinite(seconds) else None
 
 
 class EventLog:
-    """Writes events of one subsystem; every event is a name and key=value pairs."""
+    """Logger of one subsystem; an event is a name with key=value pairs."""
 
     def __init__(self, subsystem: str) -> None:
         """Log under `foxwinch.<subsystem>`."""
         self._logger = logging.getLogger(f"{LOGGER_NAME}.{subsystem}")
 
     def debug(self, event: str, **pairs: object) -> None:
-        """Log an event that only a developer needs."""
+        """Log an event for developers."""
         self._write(logging.DEBUG, event, pairs)
 
     def info(self, event: str, **pairs: object) -> None:
-        """Log an ordinary event."""
+        """Log a normal event."""
         self._write(logging.INFO, event, pairs)
 
     def warning(self, event: str, **pairs: object) -> None:
-        """Log an event that an operator should know of."""
+        """Log an event that operators should notice."""
         self._write(logging.WARNING, event, pairs)
 
     def error(self, event: str, **pairs: object) -> None:
-        """Log an event that an operator should act on."""
+        """Log an event that requires action by operators."""
         self._write(logging.ERROR, event, pairs)
 
     def _write(self, level: int, event: str, pairs: dict[str, object]) -> None:
--- a/src/foxwinch/log_sink.py
+++ b/src/foxwinch/log_sink.py
@@ -1,8 +1,8 @@
-"""Log lines to standard output without ever blocking: bounded, and what is dropped is counted.
+"""Non-blocking logging to standard output with a bounded buffer and a count of dropped lines.
 
-Lines wait in memory until the loop finds standard output writable. A reader that does not read
-costs lines, never time. The rate is bounded as well, so that a loaded node spends its processor on
-requests.
+Lines are buffered in memory until standard output accepts them. A slow reader causes lines to be
+dropped but never blocks the node. The rate is limited as well, so that a loaded node spends its CPU
+time on requests.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 LINES_PER_SECOND = 300.0
 LINES_BURST = 600.0
 FLUSH_SECONDS = 0.25
-"""Lines are written in batches: each system call costs."""
+"""Interval between writes; batching reduces the number of system calls."""
 
 
 class BoundedSink(logging.Handler):
-    """Keeps formatted lines and writes them when standard output takes them."""
+    """Logging handler that buffers formatted lines and writes them without blocking."""
 
     def __init__(self, descriptor: int, now: float) -> None:
-        """Write to `descriptor`, which is made non-blocking."""
+        """Write to the file descriptor, which becomes non-blocking; `now` is the loop's time."""
         super().__init__()
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
@@ -36,10 +36,10 @@
         self._bucket = TokenBucket.full(LINES_PER_SECOND, LINES_BURST, now)
         self._flushing = False
         self.dropped = 0
-        """Lines that were not written."""
+        """Number of lines dropped since the last report."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a line, or count it as dropped; never waits."""
+        """Buffer a line or count it as dropped; never blocks."""
         loop = _running_loop()
         now = loop.time() if loop is not None else 0.0
         urgent = record.levelno >= logging.WARNING
@@ -70,7 +70,7 @@
             loop.call_later(FLUSH_SECONDS, self._flush_later)
 
     def flush(self) -> None:
-        """Write what standard output takes now."""
+        """Write as many bytes as the descriptor accepts."""
         data = self._rest + b"".join(self._lines)
         self._lines.clear()
         try:
@@ -90,7 +90,7 @@
 
 
 def log_to_standard_output(level: str) -> BoundedSink:
-    """Send the project's log lines to standard output in logfmt; `level` as `logging` names it."""
+    """Write foxwinch's log lines to standard output in logfmt, from the given `logging` level."""
     sink = BoundedSink(sys.stdout.fileno(), 0.0)
     sink.setFormatter(Logfmter(keys=["at", "when"], mapping={"at": "levelname", "when": "created"}))
     root = logging.getLogger()
--- a/src/foxwinch/node/__init__.py
+++ b/src/foxwinch/node/__init__.py
@@ -1,1 +1,1 @@
-"""One node: its parts wired together as services."""
+"""Assembly of a node from its subsystems, and its process."""
--- a/src/foxwinch/node/admission_gate.py
+++ b/src/foxwinch/node/admission_gate.py
@@ -1,4 +1,4 @@
-"""The caller side's gate: counts requests in progress and refuses new ones while draining."""
+"""Admission of callers' requests: counts those in flight and rejects new ones while draining."""
 
 import asyncio
 from collections.abc import Iterator
@@ -11,16 +11,15 @@
 from foxwinch.outcomes import Reason, not_run
 
 RETRY_AFTER_SECONDS = 1.0
-"""Another node takes the request at once; the wait only spreads the callers."""
+"""Other nodes accept the request at once; the delay only spreads the retries."""
 WORK_PREFIX = "/v1/"
-"""Paths under which requests do work; health and metrics stay open while draining."""
+"""Paths that are rejected while draining; health and metrics stay available."""
 
 
 class AdmissionGate:
-    """Open until `close`; `wait_idle` returns when no request is in progress."""
+    """Counts requests in flight and rejects new ones once closed."""
 
     def __init__(self) -> None:
-        """Start open and idle."""
         self._closed = False
         self._running = 0
         self._idle = asyncio.Event()
@@ -28,25 +27,25 @@
 
     @property
     def closed(self) -> bool:
-        """True when new requests are refused."""
+        """Whether new requests are rejected."""
         return self._closed
 
     @property
     def running(self) -> int:
-        """Requests in progress."""
+        """Number of requests in flight."""
         return self._running
 
     def close(self) -> None:
-        """Refuse every request from now on; those in progress go on."""
+        """Reject new requests; requests in flight continue."""
         self._closed = True
 
     async def wait_idle(self) -> None:
-        """Wait until no request is in progress."""
+        """Wait until no request is in flight."""
         await self._idle.wait()
 
     @contextmanager
     def admitted(self) -> Iterator[None]:
-        """Count one request as in progress."""
+        """Count one request as in flight within the context."""
         self._enter()
         try:
             yield
@@ -54,14 +53,14 @@
             self._leave()
 
     def middleware(self) -> Middleware:
-        """Return the middleware that applies the gate."""
+        """Return the aiohttp middleware that counts and rejects requests."""
 
         @web.middleware
         async def apply(request: web.Request, handler: Handler) -> web.StreamResponse:
             if not request.path.startswith(WORK_PREFIX):
                 return await handler(request)
             if self._closed:
-                detail = "this node is about to stop; send the request again to another node"
+                detail = "this node is draining; retry the request on another node"
                 return error_response(not_run(Reason.DRAINING, detail, RETRY_AFTER_SECONDS))
             with self.admitted():
                 return await handler(request)
--- a/src/foxwinch/node/dev.py
+++ b/src/foxwinch/node/dev.py
@@ -1,4 +1,4 @@
-"""`foxwinch dev`: a node and the embedded stand-ins on loopback, in one process."""
+"""`foxwinch dev`: a node and emulated back ends on loopback, in one process."""
 
 import secrets
 from collections.abc import Callable
@@ -16,11 +16,14 @@
 MAXIMUM_ANSWER_TOKENS = 64
 KEY_BYTES = 24
 PATHS = {"engine": "workers", "tool": "tools"}
-"""Where the stand-ins serve the workers of a pool, by its kind."""
+"""Emulator path of a pool's workers, by kind of pool."""
 
 
 def run_dev(document: ClusterConfiguration, announce: Callable[[dict[str, str]], None]) -> bool:
-    """Run until a signal; `announce` gets the addresses and the keys made for this run."""
+    """Run until a signal; return False if the drain timed out.
+
+    `announce` receives the addresses and the keys that are generated for this run.
+    """
     stand_ins = EmulatorService(settings_of_cluster(document, MAXIMUM_ANSWER_TOKENS))
     loop = uvloop.new_event_loop()
     with entrypoint(stand_ins, loop=loop, log_config=False, catch_signals=()):
@@ -49,7 +52,7 @@
 def _for_dev(
     document: ClusterConfiguration, base_url: str, caller_key: str
 ) -> ClusterConfiguration:
-    """Point the workers at the stand-ins and give the first tenant a key made for this run."""
+    """Point the workers to the emulator and add `caller_key` to the first tenant."""
     paths = {pool.name: PATHS[pool.kind] for pool in document.pools}
     workers = [
         worker.model_copy(update={"url": f"{base_url}/{paths[worker.pool]}/{worker.name}"})
--- a/src/foxwinch/node/health.py
+++ b/src/foxwinch/node/health.py
@@ -1,4 +1,4 @@
-"""`/healthz`, `/readyz` and `/metrics` on the caller side."""
+"""Handlers of `/healthz`, `/readyz` and `/metrics` on the callers' port."""
 
 from collections.abc import Callable
 
@@ -10,12 +10,12 @@
 
 
 class HealthHandlers:
-    """Handlers that an orchestrator and a metrics collector ask."""
+    """Handlers for orchestrators and metrics collectors."""
 
     def __init__(
         self, registry: CollectorRegistry, not_ready_because: Callable[[], str | None]
     ) -> None:
-        """Serve `registry`; `not_ready_because` returns None when the node takes work."""
+        """Serve `registry`; `not_ready_because` returns None while the node accepts work."""
         self._registry = registry
         self._not_ready_because = not_ready_because
 
@@ -26,11 +26,11 @@
         router.add_get("/metrics", self.metrics)
 
     async def healthy(self, request: web.Request) -> web.Response:
-        """Answer as long as the process runs its loop."""
+        """Return 200 whenever the event loop runs."""
         return web.json_response({"status": "ok"})
 
     async def ready(self, request: web.Request) -> web.Response:
-        """Answer 200 when the node takes new work, else 503 with the reason."""
+        """Return 200 if the node accepts new work, else 503 with the reason."""
         reason = self._not_ready_because()
         if reason is None:
             return web.json_response({"status": "ready"})
--- a/src/foxwinch/node/http_ports.py
+++ b/src/foxwinch/node/http_ports.py
@@ -1,4 +1,4 @@
-"""The ports of a deployed node: HTTP to back ends and platform, sockets to fellow nodes."""
+"""Adapters of a deployed node: HTTP to back ends and platform, sockets to peers."""
 
 from dataclasses import dataclass
 
@@ -20,12 +20,12 @@
 from foxwinch.workers.worker_directory import WorkerDirectory
 
 BURST_SECONDS = 2.0
-"""Requests to the platform that may come at once, as seconds of its rate."""
+"""Burst of requests to the platform, as seconds of the request rate."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenPorts:
-    """Open ports with what must be closed after them."""
+    """Open ports and the resources to close with them."""
 
     node: NodeId
     ports: NodePorts
@@ -42,7 +42,7 @@
 
 
 async def open_ports(settings: NodeSettings, alone: bool = False) -> OpenPorts:
-    """Open the ports that the settings name; `alone` opens no peer side."""
+    """Open the ports for `settings`; with `alone`, no peer port is opened."""
     clock = SystemClock()
     node = new_node_identity(settings, clock)
     directory = WorkerDirectory()
@@ -66,7 +66,7 @@
 
 
 def _advertised(settings: NodeSettings, peers: PeerService | None) -> PeerAddress:
-    """Return the address that other nodes are told."""
+    """Return the peer address that is advertised to other nodes."""
     if peers is None:
         return NO_PEER_ADDRESS
     given = parse_address(settings.peer_advertised) if settings.peer_advertised else None
--- a/src/foxwinch/node/http_service.py
+++ b/src/foxwinch/node/http_service.py
@@ -1,4 +1,4 @@
-"""An aiohttp application as an aiomisc service that knows the port it was bound to."""
+"""An aiohttp application as an aiomisc service that exposes its bound port."""
 
 import ssl
 from typing import Any
@@ -10,11 +10,11 @@
 from foxwinch.settings.process import CallerLimits
 
 SHUTDOWN_SECONDS = 2.0
-"""For handlers still running when the service stops; a drain has let them finish before."""
+"""Grace period of running handlers at shutdown; normally a drain has finished them before."""
 
 
 class HttpService(Service):
-    """Listens on `host:port`; after the start `bound_port` holds the real port."""
+    """HTTP listener on `host:port`; `bound_port` is the actual port once started."""
 
     host: str = "127.0.0.1"
     port: int = 0
@@ -22,16 +22,16 @@
     limits: CallerLimits | None = None
     bound_port: int = 0
     handler_cancellation: bool = True
-    """Whether a request is dropped when its client goes away."""
+    """Whether a handler is cancelled when its client disconnects."""
 
     def __init__(self, application: web.Application, **kwargs: Any) -> None:
-        """Serve `application`; the class attributes may be given by name."""
+        """Serve `application`; keyword arguments override the class attributes."""
         super().__init__(**kwargs)
         self._application = application
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Bind and serve."""
+        """Bind the socket and start serving."""
         limits = self.limits or CallerLimits()
         self._runner = web.AppRunner(
             self._application,
@@ -47,6 +47,6 @@
         self.bound_port = self._runner.addresses[0][1]
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Stop listening and finish open connections."""
+        """Stop listening and close all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
--- a/src/foxwinch/node/local.py
+++ b/src/foxwinch/node/local.py
@@ -1,4 +1,4 @@
-"""Single-process implementations of the node's interfaces, for one node without fellow nodes."""
+"""In-memory journal, family store and limits for a node without peers."""
 
 from collections.abc import Sequence
 
@@ -21,48 +21,46 @@
 
 
 class LocalJournal(FamilyJournal):
-    """A journal in this process's memory; nothing survives its end."""
+    """A journal in memory, lost when the process ends."""
 
     def __init__(self, records: list[JournalRecord]) -> None:
-        """Append to `records`."""
         self._records = records
         self._batches = 0
 
     @property
     def batches(self) -> int:
-        """How many times it has been appended to."""
+        """Number of appended batches."""
         return self._batches
 
     def on_applied(self, applied: Applied) -> None:
-        """Accept a listener that will never be called: no append is ever in doubt."""
+        """Ignore the listener: every append has a known outcome."""
 
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
-        """Keep the records."""
+        """Append the records; never refused."""
         self._records.extend(records)
         self._batches += 1
         return None
 
     async def confirm(self) -> Refused | None:
-        """Nobody else can take the family over."""
+        """Confirm ownership; no other node can take the family over."""
         return None
 
     async def remove(self) -> Refused | None:
-        """Drop the records."""
+        """Remove all records."""
         self._records.clear()
         return None
 
 
 class LocalFamilies(Families):
-    """This node serves every family."""
+    """Family store of a node that owns every family."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._records: dict[ProgramId, list[JournalRecord]] = {}
 
     async def open(
         self, root: ProgramId, over: NodeId | None = None
     ) -> OpenedFamily | ServedElsewhere | Refused:
-        """Return the family."""
+        """Open the family; never refused."""
         records = self._records.setdefault(root, [])
         return OpenedFamily(LocalJournal(records), list(records))
 
@@ -71,18 +69,18 @@
         return list(self._records.get(root, ()))
 
     async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
-        """Return nothing: there is no other node whose families could be left behind."""
+        """Return no families: there is no other node to take them over from."""
         return ()
 
 
 class LocalLimits:
-    """Admits everything."""
+    """Limits that admit every request."""
 
     def admit(
         self, tenant: TenantName, class_name: ClassName, estimated_tokens: int
     ) -> Admitted | Refused:
-        """Admit."""
+        """Admit the request."""
         return Admitted(tenant, estimated_tokens)
 
     def settle(self, admitted: Admitted, used_tokens: int) -> None:
-        """Nothing to correct."""
+        """Do nothing: no usage is counted."""
--- a/src/foxwinch/node/local_cluster.py
+++ b/src/foxwinch/node/local_cluster.py
@@ -1,4 +1,4 @@
-"""Single-process implementations of membership, gossip, epochs and the peer port."""
+"""In-process membership, gossip, epochs and peer port for a node without peers."""
 
 from collections import defaultdict
 from collections.abc import AsyncIterator, Callable, Mapping, Sequence
@@ -12,81 +12,78 @@
 
 
 class LocalMembership:
-    """A membership of one."""
+    """Membership that consists of this node only."""
 
     def __init__(self, member: Member) -> None:
-        """Hold this node as the only member."""
         self._member = member
 
     def this_member(self) -> Member:
-        """Return this node itself."""
+        """Return this node."""
         return self._member
 
     def members(self) -> Sequence[Member]:
-        """Return this node."""
+        """Return this node as the only member."""
         return (self._member,)
 
     def subscribe(self, listener: Callable[[Member], None]) -> None:
-        """Accept a listener that will never be called."""
+        """Ignore the listener: membership never changes."""
 
 
 class LocalGossip:
-    """Gossip that reaches only this node."""
+    """Gossip that is visible to this node only."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._entries: defaultdict[GossipKind, dict[str, GossipEntry]] = defaultdict(dict)
 
     def publish(self, entry: GossipEntry) -> None:
-        """Keep an entry unless a version at least as high is held."""
+        """Store the entry unless the same or a newer version is present."""
         held = self._entries[entry.kind].get(entry.key)
         if held is None or held.version < entry.version:
             self._entries[entry.kind][entry.key] = entry
 
     def entries(self, kind: GossipKind) -> Mapping[str, GossipEntry]:
-        """Return the entries held of a kind, by key."""
+        """Return the entries of a kind, by key."""
         return dict(self._entries[kind])
 
     def subscribe(self, kind: GossipKind, listener: Callable[[GossipEntry], None]) -> None:
-        """Accept a listener that will never be called: nothing arrives from outside."""
+        """Ignore the listener: no entries arrive from other nodes."""
 
 
 class LocalEpochs:
-    """Epochs counted in this process."""
+    """Epochs counted in memory."""
 
     def __init__(self) -> None:
-        """Start with no claims."""
         self._epochs: defaultdict[str, int] = defaultdict(int)
 
     async def raise_epoch(self, resource: str) -> EpochClaim | Refused:
-        """Raise and claim; there is nobody to race with."""
+        """Increment and claim the epoch; there are no competing claims."""
         self._epochs[resource] += 1
         return EpochClaim(resource, Epoch(self._epochs[resource]))
 
 
 class NoPeers:
-    """A peer side that reaches nobody."""
+    """Peer port of a node without peers."""
 
     async def call(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> bytes | Refused:
-        """Refuse."""
-        return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
+        """Refuse the call: no peer is reachable."""
+        return not_run(Reason.PEER_UNREACHABLE, "this node has no peer port")
 
     async def stream(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncIterator[bytes | Refused]:
-        """Refuse."""
-        yield not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
+        """Refuse the call: no peer is reachable."""
+        yield not_run(Reason.PEER_UNREACHABLE, "this node has no peer port")
 
     def send_datagram(self, address: PeerAddress, payload: bytes) -> None:
-        """Send to nobody."""
+        """Discard the datagram."""
 
     def handle(self, method: str, handler: UnaryHandler) -> None:
-        """Accept a handler that will never be called."""
+        """Ignore the handler: no peer sends anything."""
 
     def handle_stream(self, method: str, handler: StreamHandler) -> None:
-        """Accept a handler that will never be called."""
+        """Ignore the handler: no peer sends anything."""
 
     def handle_datagrams(self, handler: DatagramHandler) -> None:
-        """Accept a handler that will never be called."""
+        """Ignore the handler: no peer sends anything."""
--- a/src/foxwinch/node/node.py
+++ b/src/foxwinch/node/node.py
@@ -1,4 +1,4 @@
-"""One node: its parts wired together, started, drained and stopped in order."""
+"""A node: assembly of its subsystems, and their ordered startup, drain and shutdown."""
 
 import asyncio
 from dataclasses import dataclass
@@ -27,13 +27,13 @@
 from foxwinch.workers.worker_directory import WorkerDirectory
 
 IDENTITY_DIGITS = 12
-"""Hexadecimal digits that tell the lives of one name apart."""
+"""Hexadecimal digits that distinguish restarts of a node with the same name."""
 log = EventLog("node")
 
 
 @dataclass(frozen=True, slots=True)
 class NodeParts:
-    """The parts of a node, in the order in which they start."""
+    """The subsystems of a node, in startup order."""
 
     membership: MembershipPart
     configuration: ConfigurationPart
@@ -43,7 +43,7 @@
     operator: OperatorPart
 
     def services(self) -> tuple[NodeService, ...]:
-        """Return every service in the order in which they start."""
+        """Return all services in startup order."""
         return (
             *self.membership.services,
             *self.configuration.services,
@@ -53,10 +53,9 @@
 
 
 class Node:
-    """A node whose ports are open; its listening sides are started by the process."""
+    """A node on open ports; `NodeProcess` starts its listeners."""
 
     def __init__(self, context: NodeContext, parts: NodeParts) -> None:
-        """Hold the parts; `start` runs them."""
         self.context = context
         self.parts = parts
         self.gate = context.gate
@@ -64,11 +63,11 @@
 
     @property
     def configuration(self) -> ConfigurationView:
-        """The configuration in force."""
+        """View of the active configuration."""
         return self.parts.configuration.configuration
 
     async def start(self) -> None:
-        """Start every service in order; stops those started when one fails."""
+        """Start all services in order; if one fails, stop those already started."""
         try:
             for service in self.parts.services():
                 await service.start()
@@ -79,7 +78,7 @@
         log.info("node_started", node=self.context.node)
 
     async def stop(self) -> None:
-        """Stop every started service, the last one first."""
+        """Stop all started services in reverse order."""
         self.gate.close()
         while self._started:
             service = self._started.pop()
@@ -87,7 +86,7 @@
         log.info("node_stopped", node=self.context.node)
 
     async def drain(self) -> bool:
-        """Refuse new work, finish what runs and hand over; False when the limit came first."""
+        """Reject new work, finish work in flight and hand over; return False on timeout."""
         self.gate.close()
         self.parts.membership.announce_leaving()
         log.info("drain_started", node=self.context.node, running=self.gate.running)
@@ -101,7 +100,7 @@
         return True
 
     def caller_application(self) -> web.Application:
-        """Return the caller side."""
+        """Return the HTTP application for callers."""
         limits = self.context.settings.caller_limits
         application = web.Application(
             client_max_size=limits.body_bytes, middlewares=[self.gate.middleware(), typed_errors()]
@@ -113,10 +112,11 @@
         return application
 
     async def _hand_over(self) -> None:
-        """Drain part by part, after the requests of the callers at this node have ended.
+        """Drain the subsystems in order, after all callers' requests at this node have ended.
 
-        Programs go first, each once its calls have ended: as long as calls of one run here, fellow
-        nodes send its calls here. Workers go after the last call that was granted here.
+        Programs are handed over first, each once its calls have ended: while calls of a program
+        run here, peers forward its calls to this node. Workers follow after the last call that was
+        granted here.
         """
         await self.gate.wait_idle()
         parts = self.parts
@@ -133,10 +133,10 @@
     registry: CollectorRegistry | None = None,
     node: NodeId | None = None,
 ) -> Node:
-    """Wire one node on open ports; nothing runs before `Node.start`.
+    """Build a node on open ports; nothing runs before `Node.start`.
 
-    `proposed` is the configuration to propose when the cluster holds none yet; `node` is the
-    identity that the peer side was opened with.
+    `proposed` is the configuration to propose if the cluster has none yet; `node` is the id that
+    the peer port was opened with.
     """
     context = NodeContext(
         node=node or new_node_identity(settings, ports.clock),
@@ -156,12 +156,12 @@
 
 
 def new_node_identity(settings: NodeSettings, clock: Clock) -> NodeId:
-    """Return an identity for one life of a process: the name and a part nobody had before."""
+    """Return a node id that is unique to this process: the name and a random suffix."""
     return NodeId(f"{settings.name}-{clock.identifier()[:IDENTITY_DIGITS]}")
 
 
 def build_single_node(document: ClusterConfiguration, session: aiohttp.ClientSession) -> Node:
-    """Wire one node without fellow nodes or platform; `session` is closed by the caller."""
+    """Build a node without peers or platform; the caller closes `session`."""
     directory = WorkerDirectory()
     ports = NodePorts(clock=SystemClock(), engine=HttpEngine(session, directory.url_of))
     settings = NodeSettings(name="single", region=document.region, zone=document.zones[0])
--- a/src/foxwinch/node/parts/__init__.py
+++ b/src/foxwinch/node/parts/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of a node: one module with one builder for each subsystem."""
+"""Subsystems of a node: one module with one builder for each."""
--- a/src/foxwinch/node/parts/configuration.py
+++ b/src/foxwinch/node/parts/configuration.py
@@ -1,4 +1,4 @@
-"""Part: the cluster configuration in force, and the limits that it sets."""
+"""Subsystem: the active cluster configuration and the limits it defines."""
 
 from dataclasses import dataclass
 
@@ -18,20 +18,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationPart:
-    """Configuration and limits of the node."""
+    """The configuration subsystem."""
 
     configuration: ConfigurationView
     limits: LimitView
     changes: ConfigurationChanges
-    """Takes operators' changes and tells the revision at each node."""
+    """Applies operators' changes and reports the revision at each node."""
     services: tuple[NodeService, ...] = ()
 
 
 def build_configuration(context: NodeContext, membership: MembershipPart) -> ConfigurationPart:
-    """Build the part; without a store the proposed document is kept as it is."""
+    """Build the subsystem; without a store, the proposed document is used unchanged."""
     if context.ports.records is None:
         if context.proposed is None:
-            raise ValueError("a node without a store needs a cluster configuration to propose")
+            raise ValueError("a node without a store requires a cluster configuration")
         return _fixed(context, context.proposed)
     ports = ConfigurationServicePorts(
         clock=context.ports.clock,
--- a/src/foxwinch/node/parts/context.py
+++ b/src/foxwinch/node/parts/context.py
@@ -1,4 +1,4 @@
-"""What every part of a node is built from."""
+"""Context and service protocols shared by the subsystems of a node."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -14,38 +14,38 @@
 
 
 class NodeService(Protocol):
-    """A running part: it starts its tasks, and stops them without leaving one behind."""
+    """A service that starts background tasks and stops all of them."""
 
     async def start(self) -> None:
-        """Start; returns once the service can be used."""
+        """Start the service; return once it is usable."""
         ...
 
     async def stop(self) -> None:
-        """Stop all tasks; harmless when not started."""
+        """Stop all tasks; does nothing if the service was not started."""
         ...
 
 
 @runtime_checkable
 class DrainingService(NodeService, Protocol):
-    """A service that has something to hand over before a planned stop."""
+    """A service that hands over state before a graceful shutdown."""
 
     async def drain(self) -> None:
-        """Hand over what is held and return when nothing is; cancelled at the drain limit."""
+        """Hand over all state, then return; cancelled at the drain timeout."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class NodeContext:
-    """Identity, settings and ports of the node being built."""
+    """Id, settings and ports of the node being built."""
 
     node: NodeId
     settings: NodeSettings
     ports: NodePorts
     registry: CollectorRegistry
-    """Metrics of this node; never the default registry."""
+    """Metrics registry of this node, distinct from the default registry."""
     proposed: ClusterConfiguration | None = None
-    """Configuration to propose when the cluster holds none yet."""
+    """Configuration to propose if the cluster has none yet."""
     gate: AdmissionGate = field(default_factory=AdmissionGate)
     """Closed while the node drains."""
     stop_requested: asyncio.Event = field(default_factory=asyncio.Event)
-    """Set by a signal or an operator: the process begins the planned stop."""
+    """Set by a signal or an operator to start the graceful shutdown."""
--- a/src/foxwinch/node/parts/grants.py
+++ b/src/foxwinch/node/parts/grants.py
@@ -1,4 +1,4 @@
-"""Part: grants of workers, their stewards and the orders to engines."""
+"""Subsystem: grants of workers, their stewards and the orders to engines."""
 
 from dataclasses import dataclass, field
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantsPart:
-    """Access to the stewards of all workers."""
+    """The grants subsystem, with access to the stewards of all workers."""
 
     grants: GrantView
     facts: WorkerFacts = field(default_factory=NoWorkers)
@@ -30,30 +30,29 @@
 
 
 class GrantServices:
-    """Steward, orders and grants as one service: their orders of start and drain differ."""
+    """Steward, orders and grants as one service, because their start and drain orders differ."""
 
     def __init__(
         self, steward: StewardService, orders: OrdersService, grants: GrantsService
     ) -> None:
-        """Hold the three."""
         self._steward = steward
         self._orders = orders
         self._grants = grants
 
     async def start(self) -> None:
-        """Start the steward first: the others use it."""
+        """Start the steward first, because the other services use it."""
         await self._steward.start()
         await self._orders.start()
         await self._grants.start()
 
     async def stop(self) -> None:
-        """Stop in reverse."""
+        """Stop the services in reverse order."""
         await self._grants.stop()
         await self._orders.stop()
         await self._steward.stop()
 
     async def drain(self) -> None:
-        """Give every grant back before the workers are handed over."""
+        """Return all grants before the workers are handed over."""
         await self._grants.drain()
         await self._steward.drain()
 
@@ -64,7 +63,7 @@
     configuration: ConfigurationPart,
     records: RecordsPart,
 ) -> GrantsPart:
-    """Build the part; a node without fellow nodes is steward of every worker."""
+    """Build the subsystem; a node without peers is the steward of every worker."""
     directory = StewardDirectory(membership.membership, membership.gossip)
     steward = StewardService(_steward_ports(context, membership, configuration, records), directory)
     client = StewardClient(context.node, steward.desk, context.ports.peers)
--- a/src/foxwinch/node/parts/membership.py
+++ b/src/foxwinch/node/parts/membership.py
@@ -1,4 +1,4 @@
-"""Part: who is there, and the gossip between nodes."""
+"""Subsystem: cluster membership and gossip between nodes."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -17,19 +17,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipPart:
-    """Membership and gossip of the node."""
+    """The membership subsystem."""
 
     membership: MembershipView
     gossip: GossipView
     services: tuple[NodeService, ...] = ()
     announce_leaving: Callable[[], None] = lambda: None
-    """Tell the other nodes that this one takes no new work and will go."""
+    """Announce to the other nodes that this node accepts no new work and will leave."""
     regions: Callable[[], Sequence[RegionState]] = tuple
-    """What is known of every region, for operators."""
+    """Return the known state of every region, for operators."""
 
 
 def build_membership(context: NodeContext) -> MembershipPart:
-    """Build the part; without a peer side the node is its own only member."""
+    """Build the subsystem; without a peer port, the node is the only member."""
     member = Member(
         node=context.node,
         address=context.ports.peer_address,
--- a/src/foxwinch/node/parts/operator.py
+++ b/src/foxwinch/node/parts/operator.py
@@ -1,4 +1,4 @@
-"""Part: the operators' queries and commands over the other parts."""
+"""Subsystem: operators' queries and commands on the other subsystems."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 
 class Readiness:
-    """Whether this node takes new work, and its own status for operators."""
+    """Readiness and status of this node."""
 
     def __init__(
         self,
@@ -27,21 +27,20 @@
         families: Callable[[], int],
         regions: Callable[[], Sequence[RegionState]],
     ) -> None:
-        """Read the gate of `context` and the given parts."""
         self._context = context
         self._regions = regions
         self._configuration = configuration
         self._families = families
 
     def not_ready_because(self) -> str | None:
-        """Return None when the node takes new work, else the reason."""
+        """Return the reason why the node does not accept new work, or None if it does."""
         if self._context.gate.closed:
             return "draining"
         snapshot = self._configuration.current()
         return snapshot.detail if isinstance(snapshot, Refused) else None
 
     def status(self) -> NodeStatus:
-        """Return what this node says of itself."""
+        """Return the status message of this node."""
         snapshot = self._configuration.current()
         return NodeStatus(
             node=self._context.node,
@@ -56,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorPart:
-    """What the operators' side serves."""
+    """The operator subsystem."""
 
     handlers: OperatorHandlers
     readiness: Readiness
@@ -69,7 +68,7 @@
     grants: GrantsPart,
     programs: ProgramsPart,
 ) -> OperatorPart:
-    """Build the part over the facts and commands of the others."""
+    """Build the subsystem from the queries and commands of the others."""
     readiness = Readiness(
         context,
         configuration.configuration,
--- a/src/foxwinch/node/parts/programs.py
+++ b/src/foxwinch/node/parts/programs.py
@@ -1,4 +1,4 @@
-"""Part: the programs that this node serves, and the way to the nodes that serve the others."""
+"""Subsystem: the programs owned by this node, and forwarding of calls to other owners."""
 
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
@@ -32,44 +32,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramsPart:
-    """What the caller side serves."""
+    """The programs subsystem."""
 
     add_caller_routes: Callable[[web.UrlDispatcher], None]
     owner: ProgramOwner
     execute: Callable[[ProgramRequest], AsyncIterator[ProgramEvent]]
-    """Carries a caller's request out, here or at the node that serves the program."""
+    """Executes a caller's request on this node or on the node that owns the program."""
     facts: ProgramFacts
     abandons: ProgramAbandons
     services: tuple[NodeService, ...] = ()
 
 
 class ProgramService:
-    """The owner with its sweeper and its search for programs left behind, as one service."""
+    """The program owner, its sweeper and the takeover of failed nodes' programs, as one service."""
 
     def __init__(
         self, owner: ProgramOwner, router: ProgramRouter, membership: MembershipView
     ) -> None:
-        """Run `owner` behind `router`."""
         self._owner = owner
         self._router = router
         self._sweeper = ProgramSweeper(owner)
         self._adoption = FamilyAdoption(owner, membership)
 
     async def start(self) -> None:
-        """Start sweeping and looking."""
+        """Start the sweeper and the takeover."""
         await self._sweeper.start()
         await self._adoption.start()
 
     async def stop(self) -> None:
-        """End every call truthfully."""
+        """End every call, with an outcome that states whether it ran."""
         await self._adoption.stop()
         await self._sweeper.stop()
         await self._owner.stop()
 
     async def drain(self) -> None:
-        """Wait until every call has ended, also without followers, and every answer is sent.
+        """Wait until every call has ended, even one without readers, and every response is sent.
 
-        What is idle meanwhile is left to whichever node is asked for it next.
+        An idle program moves to the node that receives its next request.
         """
         self._owner.closing = True
         await self._owner.wait_idle()
@@ -83,7 +82,7 @@
     records: RecordsPart,
     grants: GrantsPart,
 ) -> ProgramsPart:
-    """Build the part."""
+    """Build the subsystem."""
     limits = context.settings.caller_limits
     ports = ProgramPorts(
         clock=context.ports.clock,
--- a/src/foxwinch/node/parts/records.py
+++ b/src/foxwinch/node/parts/records.py
@@ -1,4 +1,4 @@
-"""Part: what lies in the shared store: families of programs, and epochs of workers."""
+"""Subsystem: state in the shared store, that is program families and worker epochs."""
 
 from dataclasses import dataclass
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsPart:
-    """Families and epochs."""
+    """The records subsystem."""
 
     families: Families
     epochs: EpochView
 
 
 def build_records(context: NodeContext) -> RecordsPart:
-    """Build the part; without a store this node serves all and keeps it in memory."""
+    """Build the subsystem; without a store, this node owns everything and keeps it in memory."""
     ports = context.ports
     if ports.records is None:
         return RecordsPart(LocalFamilies(), LocalEpochs())
--- a/src/foxwinch/node/ports.py
+++ b/src/foxwinch/node/ports.py
@@ -1,4 +1,4 @@
-"""The ports that one node is given: the only way by which its parts reach anything outside."""
+"""Ports of a node: the only access of its subsystems to the outside."""
 
 from dataclasses import dataclass
 
@@ -9,20 +9,20 @@
 from foxwinch.storage.ports import MachinePort
 
 NO_PEER_ADDRESS = PeerAddress("127.0.0.1", 0)
-"""Address of a node without a peer side."""
+"""Address of a node without a peer port."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodePorts:
-    """Ports of one node, opened before it is built and closed after it has stopped."""
+    """Ports of a node, opened before it is built and closed after it has stopped."""
 
     clock: Clock
     engine: EnginePort
     tools: ToolPort | None = None
     records: RecordStore | None = None
-    """None: no shared store is configured; all is kept in memory."""
+    """None: without a shared store, all state is kept in memory."""
     machines: MachinePort | None = None
     peers: PeerPort | None = None
-    """None: a node without fellow nodes."""
+    """None: the node has no peers."""
     peer_address: PeerAddress = NO_PEER_ADDRESS
-    """Where `peers` listens, with the real port."""
+    """Address of `peers`, with the bound port."""
--- a/src/foxwinch/node/process.py
+++ b/src/foxwinch/node/process.py
@@ -1,4 +1,4 @@
-"""`foxwinch node`: one node process with its listening sides, from start to planned stop."""
+"""`foxwinch node`: the process of one node, from startup to graceful shutdown."""
 
 import asyncio
 import signal
@@ -21,13 +21,13 @@
 CALLER_PROTOCOLS = ("http/1.1",)
 OPERATOR_PROTOCOLS = ("h2",)
 READY_SECONDS = 20.0
-"""A node that is not ready by then announces its addresses anyway: operators may need to ask it."""
+"""Time after which a node announces its addresses even if not ready, so operators can query it."""
 READY_POLL_SECONDS = 0.05
 log = EventLog("process")
 
 
 class NodeProcess(Service):
-    """A node with its caller and operator sides."""
+    """A node with its listeners for callers and operators."""
 
     def __init__(
         self,
@@ -35,9 +35,10 @@
         proposed: ClusterConfiguration | None,
         alone: bool = False,
     ) -> None:
-        """Run a node by `settings`; `proposed` is put in force where nothing is yet.
+        """Configure a node from `settings`.
 
-        A node that runs `alone` has no peer side.
+        `proposed` becomes the active configuration if the cluster has none yet. With `alone`, the
+        node has no peer port.
         """
         super().__init__()
         self._settings = settings
@@ -49,7 +50,7 @@
         self._operators: OperatorServer | None = None
 
     async def start(self) -> None:
-        """Open the ports, start the node and then its listening sides."""
+        """Open the ports, start the node, then its listeners."""
         settings = self._settings
         self._open = await open_ports(settings, self._alone)
         node = build_node(settings, self._open.ports, self._proposed, node=self._open.node)
@@ -74,7 +75,7 @@
         await self._operators.start()
 
     def addresses(self) -> dict[str, str]:
-        """Return where the started process listens, by the names that it prints."""
+        """Return the addresses of the started process, keyed by the names that it prints."""
         assert self._callers is not None
         assert self._operators is not None
         assert self._open is not None
@@ -86,7 +87,7 @@
         }
 
     async def wait_ready(self) -> None:
-        """Return when the node takes work; after a bound also when it does not."""
+        """Wait until the node accepts work, at most `READY_SECONDS`."""
         assert self._node is not None
         not_ready_because = self._node.parts.operator.readiness.not_ready_because
         clock = self._node.context.ports.clock
@@ -98,9 +99,9 @@
             log.warning("not_ready", cause=not_ready_because())
 
     async def run(self) -> bool:
-        """Wait for a signal or an operator's drain, then drain; False when work was cut.
+        """Wait for a signal or an operator's drain, then drain; return False on drain timeout.
 
-        Raises TaskFailedError after a drain that a failed task has asked for.
+        Raises TaskFailedError after the drain if a failed background task caused it.
         """
         assert self._node is not None
         assert self._operators is not None
@@ -123,7 +124,7 @@
         return whole
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Stop listening, stop the node, close the ports."""
+        """Stop the listeners and the node, then close the ports."""
         if self._callers is not None:
             await self._callers.stop()
         if self._operators is not None:
@@ -139,10 +140,13 @@
     proposed: ClusterConfiguration | None,
     announce: Callable[[dict[str, str]], None],
 ) -> bool:
-    """Run one node until its planned stop; `announce` gets its addresses once it is ready."""
+    """Run one node until it is stopped; return False if its drain timed out.
+
+    `announce` receives the addresses once the node is ready.
+    """
     process = NodeProcess(settings, proposed)
     loop = uvloop.new_event_loop()
-    # A loop of our own: the entry point would otherwise start a pool of threads.
+    # Without an explicit loop, `entrypoint` would start a thread pool.
     with entrypoint(process, loop=loop, log_config=False, catch_signals=()):
         loop.run_until_complete(process.wait_ready())
         announce(process.addresses())
--- a/src/foxwinch/node/tls.py
+++ b/src/foxwinch/node/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts of the caller and operator sides."""
+"""TLS contexts of the listeners for callers and operators."""
 
 import ssl
 
@@ -8,9 +8,9 @@
 def server_context(
     settings: TlsSettings | None, protocols: tuple[str, ...]
 ) -> ssl.SSLContext | None:
-    """Return a server context that offers `protocols` (ALPN names), or None without settings.
+    """Return a server context that offers `protocols` (ALPN names); None without settings.
 
-    With an authority file, clients must show a certificate that it signed.
+    With an authority file, clients must present a certificate signed by that authority.
     """
     if settings is None:
         return None
--- a/src/foxwinch/operator/__init__.py
+++ b/src/foxwinch/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator side: gRPC by grpclib."""
+"""The gRPC service for operators: server, handlers and client."""
--- a/src/foxwinch/operator/authentication.py
+++ b/src/foxwinch/operator/authentication.py
@@ -1,4 +1,4 @@
-"""Bearer keys of operators, known to a node only as hashes."""
+"""Authentication of operators by bearer keys, of which a node stores only hashes."""
 
 import hmac
 from collections.abc import Mapping, Sequence
@@ -10,11 +10,11 @@
 
 
 def check_operator_key(metadata: Mapping[str, object], key_hashes: Sequence[str]) -> Refused | None:
-    """Return why a request is refused, or None when it carries an operator's key."""
+    """Return a refusal, or None if the request carries a valid operator key."""
     header = str(metadata.get(AUTHORIZATION_KEY, ""))
     if not header.startswith(BEARER_PREFIX):
-        return not_run(Reason.UNAUTHENTICATED, "an operator's bearer key is required")
+        return not_run(Reason.UNAUTHENTICATED, "missing bearer key of an operator")
     digest = hash_key(header[len(BEARER_PREFIX) :].strip())
     if any(hmac.compare_digest(digest, known) for known in key_hashes):
         return None
-    return not_run(Reason.UNAUTHENTICATED, "the operator key is not known")
+    return not_run(Reason.UNAUTHENTICATED, "unknown operator key")
--- a/src/foxwinch/operator/client.py
+++ b/src/foxwinch/operator/client.py
@@ -1,4 +1,4 @@
-"""Client of the operators' service, for the command line: refusals are values."""
+"""Client of the operator service for the command line; errors are returned as values."""
 
 import ssl
 from collections.abc import Callable
@@ -20,12 +20,12 @@
 
 
 class OperatorClient:
-    """A connection to one node's operator side; use as an async context manager."""
+    """A connection to one node's operator service; use as an async context manager."""
 
     def __init__(
         self, host: str, port: int, key: str, seconds: float, tls: ssl.SSLContext | None = None
     ) -> None:
-        """Connect on first use; `seconds` is the deadline of each request."""
+        """Connect on first use; `seconds` is the timeout of each request."""
         self._channel = Channel(host, port, ssl=tls)
         self._stub = OperatorStub(self._channel)
         self._metadata = {AUTHORIZATION_KEY: f"{BEARER_PREFIX}{key}"}
@@ -47,11 +47,11 @@
         self._channel.close()
 
     async def query(self, method: Method, request: Message) -> Any | Refused:
-        """Ask a question, which has no effect."""
+        """Send a query, which has no side effects."""
         return await self._call(method, request, is_command=False)
 
     async def command(self, method: Method, request: Message) -> Any | Refused:
-        """Give a command; when its answer is lost the refusal's run state is `unknown`."""
+        """Send a command; if its response is lost, the run state of the refusal is `unknown`."""
         return await self._call(method, request, is_command=True)
 
     async def _call(self, method: Method, request: Message, is_command: bool) -> Any | Refused:
@@ -61,9 +61,9 @@
         except GRPCError as error:
             return refusal_of(error, self._trailing, is_command)
         except (ConnectionRefusedError, ssl.SSLError) as error:
-            return not_run(Reason.PEER_UNREACHABLE, f"the node cannot be reached: {error}")
+            return not_run(Reason.PEER_UNREACHABLE, f"cannot connect to the node: {error}")
         except TimeoutError:
-            detail = f"no answer within {self._seconds:g} s"
+            detail = f"no response within {self._seconds:g} s"
             return Refused(Reason.DEADLINE, _lost(is_command), detail)
         except (OSError, StreamTerminatedError) as error:
             detail = f"the connection was lost: {error}"
--- a/src/foxwinch/operator/handlers.py
+++ b/src/foxwinch/operator/handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of the operators' service: each turns a message into one query or command."""
+"""Handlers of the operator service: each runs one query or command for a request."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Any, TypeVar
@@ -24,7 +24,7 @@
 
 
 class OperatorHandlers(OperatorBase):
-    """The service `foxwinch.v1.Operator`."""
+    """Implementation of the gRPC service `foxwinch.v1.Operator`."""
 
     def __init__(
         self,
@@ -33,46 +33,46 @@
         commands: OperatorCommands,
         revisions_at_nodes: Callable[[], Awaitable[Sequence[NodeRevision]]],
     ) -> None:
-        """Answer by `queries` and `commands`."""
+        """Serve requests with `queries` and `commands`."""
         self._revisions_at_nodes = revisions_at_nodes
         self._configuration = configuration
         self._queries = queries
         self._commands = commands
 
     async def ListNodes(self, stream: Stream[Any, Any]) -> None:
-        """Answer with every known node."""
+        """Return all known nodes."""
         await _answer(stream, self._list_nodes)
 
     async def ListWorkers(self, stream: Stream[Any, Any]) -> None:
-        """Answer with the workers of all stewards."""
+        """Return the workers of all stewards."""
         await _answer(stream, lambda request: self._queries.workers())
 
     async def ListPrograms(self, stream: Stream[Any, Any]) -> None:
-        """Answer with programs that match."""
+        """Return the programs that match the filter."""
         await _answer(stream, self._queries.programs)
 
     async def ShowProgram(self, stream: Stream[Any, Any]) -> None:
-        """Answer with one program."""
+        """Return the details of one program."""
         await _answer(stream, self._show_program)
 
     async def GetConfiguration(self, stream: Stream[Any, Any]) -> None:
-        """Answer with the configuration in force at this node."""
+        """Return the active configuration of this node."""
         await _answer(stream, self._get_configuration)
 
     async def CheckConfiguration(self, stream: Stream[Any, Any]) -> None:
-        """Answer with what is wrong with a document."""
+        """Validate a configuration document and return its problems."""
         await _answer(stream, self._check_configuration)
 
     async def DiffConfiguration(self, stream: Stream[Any, Any]) -> None:
-        """Answer with the differences from the configuration in force."""
+        """Return the differences between a document and the active configuration."""
         await _answer(stream, self._diff_configuration)
 
     async def GetConfigurationStatus(self, stream: Stream[Any, Any]) -> None:
-        """Answer with the revision at each node."""
+        """Return the configuration revision of each node."""
         await _answer(stream, self._configuration_status)
 
     async def DrainNode(self, stream: Stream[Any, Any]) -> None:
-        """Begin the planned stop of a node."""
+        """Start the drain and shutdown of a node."""
         await _answer(stream, self._drain_node)
 
     async def DrainWorker(self, stream: Stream[Any, Any]) -> None:
@@ -84,7 +84,7 @@
         await _answer(stream, self._abandon_program)
 
     async def ApplyConfiguration(self, stream: Stream[Any, Any]) -> None:
-        """Put a document in force."""
+        """Make a document the active configuration."""
         await _answer(stream, self._apply_configuration)
 
     async def _list_nodes(self, request: pb.ListNodesRequest) -> pb.ListNodesResponse:
@@ -188,10 +188,10 @@
 async def _answer(
     stream: Stream[Any, Any], handler: Callable[[Request], Awaitable[Response | Refused]]
 ) -> None:
-    """Read the one request, and send the one answer or a refusal."""
+    """Read the request of a unary call, and send the response or a refusal."""
     request = await stream.recv_message()
     if request is None:
-        refused = not_run(Reason.INVALID_REQUEST, "the request carries no message")
+        refused = not_run(Reason.INVALID_REQUEST, "the request has no message")
         await _refuse(stream, refused)
         return
     outcome = await handler(request)
--- a/src/foxwinch/operator/refusals.py
+++ b/src/foxwinch/operator/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals as gRPC statuses with trailing metadata, both ways."""
+"""Conversion between refusals and gRPC statuses with trailing metadata."""
 
 from collections.abc import Mapping
 
@@ -39,9 +39,9 @@
 
 
 def refusal_of(error: GRPCError, trailing: Mapping[str, object], is_command: bool) -> Refused:
-    """Return the refusal behind a failed call; `trailing` is its trailing metadata.
+    """Return the refusal for a failed call; `trailing` is its trailing metadata.
 
-    Without metadata a command may have taken effect, unless the status says that it was rejected.
+    Without metadata, a command may have taken effect, unless its status means a rejection.
     """
     detail = error.message or error.status.name
     try:
--- a/src/foxwinch/operator/server.py
+++ b/src/foxwinch/operator/server.py
@@ -1,4 +1,4 @@
-"""The operators' listening side: gRPC with health, reflection, keys, deadlines and size limits."""
+"""gRPC server for operators, with health, reflection, authentication, deadlines and size limits."""
 
 import asyncio
 import ssl
@@ -20,30 +20,30 @@
 from foxwinch.operator.handlers import OperatorHandlers
 
 DEFAULT_DEADLINE_SECONDS = 10.0
-"""For a request without a deadline."""
+"""Timeout of a request without a deadline."""
 MAXIMUM_DEADLINE_SECONDS = 60.0
-"""A change of the configuration is tried for some 20 s while the table is down."""
+"""Limit of client deadlines; a configuration change is retried for about 20 s during an outage."""
 MAXIMUM_REQUEST_BYTES = 1024 * 1024
-"""A cluster configuration of today's size is some 20 KB; requests are small."""
+"""Size limit of a request; a typical cluster configuration has about 20 KB."""
 CONNECTION_WINDOW_BYTES = 1024 * 1024
 STREAM_WINDOW_BYTES = 64 * 1024
-"""What a client may send before a handler reads: keys are checked before that."""
+"""Data that a client can send before a handler reads it; the key is checked before that."""
 SERVICE_PREFIX = "/foxwinch.v1.Operator/"
 
 
 class SmallMessageCodec(ProtoCodec):
-    """Protobuf with a limit on the size of a request."""
+    """Protobuf codec with a size limit for requests."""
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Decode a request, or refuse one that is too large."""
+        """Decode a request; raise GRPCError if it is too large."""
         if len(data) > MAXIMUM_REQUEST_BYTES:
-            detail = f"a request may have {MAXIMUM_REQUEST_BYTES} bytes; this one has {len(data)}"
+            detail = f"request too large: limit {MAXIMUM_REQUEST_BYTES} bytes, got {len(data)}"
             raise GRPCError(Status.RESOURCE_EXHAUSTED, detail)
         return super().decode(data, message_type)
 
 
 class OperatorServer:
-    """Listens for operators; after the start `port` holds the real port."""
+    """gRPC listener for operators; `port` is the actual port once started."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         port: int,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Serve `handlers` to holders of a key; without any key hash every request is refused."""
+        """Serve `handlers` to holders of a key; without any key hash, all requests are rejected."""
         self.host = host
         self.port = port
         self._handlers = handlers
@@ -63,11 +63,11 @@
         self._server: Server | None = None
 
     def set_serving(self, serving: bool) -> None:
-        """Set what the health service answers."""
+        """Set the status that the health service reports."""
         self._status.set(serving)
 
     async def start(self) -> None:
-        """Bind and serve."""
+        """Bind the socket and start serving."""
         services: list[Any] = [self._handlers]
         health = Health({self._handlers: [self._status], OVERALL: [self._status]})
         everything = ServerReflection.extend([*services, health])
@@ -86,7 +86,7 @@
         self._status.set(True)
 
     async def stop(self) -> None:
-        """Stop listening and end open requests."""
+        """Stop listening and end requests in flight."""
         if self._server is not None:
             self._status.set(False)
             self._server.close()
@@ -94,7 +94,7 @@
             self._server = None
 
     async def _admit(self, event: RecvRequest) -> None:
-        """Check the key, and bound the time of the handler."""
+        """Authenticate a request and limit the run time of its handler."""
         if not event.method_name.startswith(SERVICE_PREFIX):
             return
         refused = check_operator_key(event.metadata, self._key_hashes)
@@ -108,6 +108,6 @@
                 async with asyncio.timeout(seconds):
                     await handle(stream)
             except TimeoutError:
-                raise GRPCError(Status.DEADLINE_EXCEEDED, "the deadline has passed") from None
+                raise GRPCError(Status.DEADLINE_EXCEEDED, "deadline exceeded") from None
 
         event.method_func = bounded
--- a/src/foxwinch/outcomes.py
+++ b/src/foxwinch/outcomes.py
@@ -1,7 +1,7 @@
-"""Outcomes as values: what an operation returns in place of raising.
+"""Outcomes of fallible operations as values.
 
-Every fallible operation returns either its result type or a `Refused`. Exceptions are kept for
-broken invariants, which stop the process.
+A fallible operation returns either its result or a `Refused`. Exceptions are reserved for violated
+invariants, which stop the process.
 """
 
 from dataclasses import dataclass
@@ -9,18 +9,18 @@
 
 
 class RunState(StrEnum):
-    """Whether the work behind a refused request has taken effect."""
+    """Whether a refused request has taken effect."""
 
     NOT_RUN = "not_run"
-    """Certainly without effect: the caller may send it again."""
+    """Did not take effect; the caller may retry it."""
     RAN = "ran"
-    """Certainly took effect, but its answer cannot be given."""
+    """Took effect, but its response is not available."""
     UNKNOWN = "unknown"
-    """May have taken effect: never run again automatically when it is not repeatable."""
+    """May have taken effect; never retried automatically unless it is idempotent."""
 
 
 class Reason(StrEnum):
-    """Why an operation was refused; stable names that callers may rely on."""
+    """Reason for a refusal; the values are a stable part of the API."""
 
     INVALID_REQUEST = "invalid_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -49,26 +49,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A refusal or failure, with what is known about its effect."""
+    """A refusal or failure, with its run state."""
 
     reason: Reason
     run_state: RunState
     detail: str
-    """One sentence for a person; holds no content of conversations and no keys."""
+    """Message for humans, without any content of conversations or keys."""
     retry_after_seconds: float | None = None
-    """When trying again can help, or None when it cannot."""
+    """Time after which a retry may succeed; None if it will not or the time is unknown."""
 
 
 def not_run(reason: Reason, detail: str, retry_after_seconds: float | None = None) -> Refused:
-    """Return a refusal whose work certainly did not run."""
+    """Return a refusal of a request that did not run."""
     return Refused(reason, RunState.NOT_RUN, detail, retry_after_seconds)
 
 
 def outcome_unknown(reason: Reason, detail: str) -> Refused:
-    """Return a failure whose work may have run."""
+    """Return a failure of a request that may have run."""
     return Refused(reason, RunState.UNKNOWN, detail)
 
 
 def ran(reason: Reason, detail: str) -> Refused:
-    """Return a failure whose work certainly ran but whose answer is not available."""
+    """Return a failure of a request that ran but whose response is not available."""
     return Refused(reason, RunState.RAN, detail)
--- a/src/foxwinch/platform/__init__.py
+++ b/src/foxwinch/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: translates its wire, store, settings and names into foxwinch's own."""
+"""Adapters between the hosting platform and foxwinch: HTTP, store, settings and names."""
--- a/src/foxwinch/platform/connections.py
+++ b/src/foxwinch/platform/connections.py
@@ -1,8 +1,8 @@
-"""Kept connections that are replaced together once one of them has gone silent.
+"""Connection pools that are replaced as a whole after one connection stops responding.
 
-Connections may go silent without a reset, many at the same moment, while new ones work. A call that
-got no answer therefore takes the whole pool out of use: its retry must not meet the next silent
-connection. Calls that are under way on the old pool go on, and close it when the last has ended.
+Many connections can stop responding at the same time without a reset while new connections work. A
+call that times out therefore retires the whole pool, so that its retry does not pick another dead
+connection. Calls in flight on a retired pool continue, and the last of them closes it.
 """
 
 import socket
@@ -13,22 +13,22 @@
 import aiohttp
 
 CONNECT_SECONDS = 0.5
-"""Until another way is tried: many times the way between zones, and below the second after which
-a lost opening packet is sent again."""
+"""Connect timeout: many times the round trip between zones, and below the 1 s after which a lost
+SYN packet is retransmitted."""
 UNACKNOWLEDGED_MS = 1_000
-"""Until a connection whose peer acknowledges nothing is given up: lost packets are sent again two
-or three times within it, and a busy process does not delay it, as its system acknowledges."""
+"""Timeout for unacknowledged data (`TCP_USER_TIMEOUT`). It allows two or three retransmissions. A
+busy peer process does not exceed it, because its kernel sends the acknowledgements."""
 PROBE_IDLE_SECONDS = 1
-"""Before an idle connection is probed; the shortest that the system knows."""
+"""Idle time before the first keepalive probe; the shortest that the kernel supports."""
 PROBE_SECONDS = 1
-"""Between probes; the shortest that the system knows."""
+"""Interval between keepalive probes; the shortest that the kernel supports."""
 PROBES_MAXIMUM = 2
 
 
 def open_session(kept_seconds: float, **options: Any) -> aiohttp.ClientSession:
-    """Open a session whose connections are closed once their peer is silent at the system's level.
+    """Return a session that closes connections whose peer stops acknowledging packets.
 
-    Idle connections are kept for `kept_seconds`; `options` go to the session.
+    Idle connections are kept for `kept_seconds`; `options` are passed to `ClientSession`.
     """
     connector = aiohttp.TCPConnector(
         limit=0, keepalive_timeout=kept_seconds, socket_factory=_open_socket
@@ -53,17 +53,17 @@
 
 
 class ConnectionPool:
-    """A client session that can be replaced while calls are under way."""
+    """A client session that can be replaced while calls are in flight."""
 
     def __init__(self, make_session: Callable[[], aiohttp.ClientSession]) -> None:
-        """Open sessions by `make_session`; call on the running loop."""
+        """Create sessions with `make_session`; must be called in a running event loop."""
         self._make_session = make_session
         self._current = make_session()
         self._calls: dict[aiohttp.ClientSession, int] = {}
 
     @asynccontextmanager
     async def session(self) -> AsyncIterator[aiohttp.ClientSession]:
-        """Lend the newest session for one call."""
+        """Provide the current session for one call."""
         session = self._current
         self._calls[session] = self._calls.get(session, 0) + 1
         try:
@@ -76,13 +76,13 @@
                     await session.close()
 
     def retire(self, session: aiohttp.ClientSession) -> bool:
-        """Let later calls open connections of their own; False when they do so already."""
+        """Replace the session for later calls; return False if it has already been replaced."""
         if session is not self._current:
             return False
         self._current = self._make_session()
         return True
 
     async def close(self) -> None:
-        """Close every connection, those of calls under way too."""
+        """Close all connections, including those of calls in flight."""
         for session in {self._current, *self._calls}:
             await session.close()
--- a/src/foxwinch/platform/documents.py
+++ b/src/foxwinch/platform/documents.py
@@ -1,8 +1,7 @@
-"""The platform's documents, checked and decoded once into types with the project's names.
+"""Pydantic models of the platform's documents, with foxwinch's field names.
 
-A document that lacks a field, or holds one of another type, is refused as a whole; each route and
-service of the operator's configuration is such a document. Fields that are not named here are
-passed over.
+A document with a missing field or a field of the wrong type is rejected as a whole; each route and
+each service of the operator's configuration is a document of its own. Unknown fields are ignored.
 """
 
 from enum import StrEnum
@@ -18,27 +17,27 @@
 
 
 def _known_kind(value: object) -> object:
-    """Return a kind that may run once in place of one that is not known: it allows the least."""
+    """Replace an unknown kind by `UNSAFE`, the most restrictive one."""
     return value if value in tuple(RouteKind) else RouteKind.UNSAFE
 
 
 class _Document(BaseModel):
-    """Base of documents; fields have the project's names, their aliases are the platform's."""
+    """Base class of documents; field aliases are the platform's names."""
 
     model_config = ConfigDict(frozen=True, populate_by_name=True)
 
 
 class WorkerState(StrEnum):
-    """What a worker says of itself."""
+    """State that a worker reports in its entry."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class WorkerEntry(_Document):
-    """A worker's own entry in the list of workers; its key is the worker's id.
+    """A worker's entry in the worker list; the row key is the worker's id.
 
-    Other writers put entries there too, so no type is converted into another one.
+    Validation is strict, without type coercion, because other writers add entries to the table too.
     """
 
     model_config = ConfigDict(strict=True)
@@ -50,35 +49,35 @@
     slots: Annotated[int, Field(ge=1)]
     state: WorkerState
     cold_ms: Milliseconds = Field(alias="cold_left_ms")
-    """How much longer it stays slow after its start."""
+    """Remaining warm-up time, during which the worker is slow."""
     entry_count: int = Field(alias="seq")
-    """Counts the entries that it wrote in this life."""
+    """Number of entries that the worker has written since it started."""
     started_ms: int | None = Field(default=None, alias="born")
-    """Unix time of its start; tells its lives under one id apart."""
+    """Unix start time; distinguishes restarts of a worker under the same id."""
 
 
 class BackendDocument(_Document):
-    """A service that takes a part of a route's requests."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: Name
     weight: Annotated[float, Field(ge=0, allow_inf_nan=False)] = 1.0
 
 
 class RouteDocument(_Document):
-    """Where the requests of a host and path prefix go."""
+    """A route from a host and path prefix to one or more services."""
 
     name: Name
     host: Name
     path_prefix: str
     kind: Annotated[RouteKind, BeforeValidator(_known_kind)] = Field(alias="type")
     service: Name | None = None
-    """The only service; None where `backends` shares the requests out."""
+    """The only service; None if `backends` lists several."""
     backends: tuple[BackendDocument, ...] | None = None
     timeout_ms: Milliseconds | None = None
     target_ms: Milliseconds | None = None
     event_gap_ms: Milliseconds | None = Field(default=None, alias="gap_aim_ms")
     workers_maximum: int | None = Field(default=None, alias="attempts")
-    """Workers that one request may run on."""
+    """Maximum number of workers that one request may be sent to."""
     priority: int | None = None
     resumable: bool | None = None
     retained: bool | None = Field(default=None, alias="retain")
@@ -87,29 +86,29 @@
     @model_validator(mode="after")
     def _names_a_service(self) -> Self:
         if self.service is None and not self.backends:
-            raise ValueError("names no service")
+            raise ValueError("route has neither service nor backends")
         return self
 
 
 class EngineDocument(_Document):
-    """What model workers of a service have in common."""
+    """Settings shared by the model workers of a service."""
 
     slots: int | None = None
     tokens_per_event: int | None = Field(default=None, alias="chunk_tokens")
 
 
 class ServiceDocument(_Document):
-    """A group of workers that do the same work."""
+    """A group of interchangeable workers."""
 
     name: Name
     health_path: str | None = None
     connections_maximum: int | None = Field(default=None, alias="max_conns")
-    """Connections that one worker accepts over all callers."""
+    """Maximum number of connections that one worker accepts from all clients together."""
     engine: EngineDocument | None = None
 
 
 class LimitsDocument(_Document):
-    """What a caller may send, and how long it may take."""
+    """Size limits and timeouts for callers' requests."""
 
     header_bytes: int | None = Field(default=None, alias="max_header_bytes")
     body_bytes: int | None = Field(default=None, alias="max_body_bytes")
@@ -118,12 +117,12 @@
 
 
 class ConfigurationDocument(_Document):
-    """The operator's whole configuration; its entries are checked one by one."""
+    """The operator's configuration; its entries are validated one by one."""
 
     version: int
     routes: tuple[Any, ...] = ()
-    """Of `RouteDocument`."""
+    """Entries for `RouteDocument`, not yet validated."""
     services: tuple[Any, ...] = ()
-    """Of `ServiceDocument`."""
+    """Entries for `ServiceDocument`, not yet validated."""
     limits: Any = None
-    """Of `LimitsDocument`; None where there are none."""
+    """An entry for `LimitsDocument`, not yet validated; None if there are no limits."""
--- a/src/foxwinch/platform/front_door.py
+++ b/src/foxwinch/platform/front_door.py
@@ -1,4 +1,4 @@
-"""The callers' side on the platform: HTTP requests in, the product's messages out."""
+"""HTTP server for callers on the platform: translates requests for the serving node."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -47,10 +47,9 @@
 
 
 class FrontDoor:
-    """Turns HTTP requests into service requests."""
+    """Translates HTTP requests into service requests and passes them to the node."""
 
     def __init__(self, node: ServingNode, clock: Clock) -> None:
-        """Serve through `node`."""
         self._node = node
         self._clock = clock
 
@@ -61,7 +60,7 @@
         return application
 
     def ready_application(self) -> web.Application:
-        """Return the application that tells whether new callers should come."""
+        """Return the application of the readiness endpoint."""
         application = web.Application()
         application.router.add_get("/v1/ready", self._ready)
         return application
@@ -88,7 +87,7 @@
         return caller.response
 
     def _translate(self, request: web.Request, body: bytes) -> ServiceRequest | None:
-        """Read the headers; None when a number among them cannot be read."""
+        """Build the service request; None if a numeric header is malformed."""
         headers = request.headers
         try:
             deadline_ms = _number(headers.get(DEADLINE_MS))
@@ -152,22 +151,22 @@
 
 
 class HttpCaller:
-    """One caller's side; implements `foxwinch.serving.messages.Caller`."""
+    """The HTTP response to one caller; implements `foxwinch.serving.messages.Caller`."""
 
     def __init__(self, request: web.Request, leave: Callable[[], bool]) -> None:
-        """Answer `request`; while `leave` holds, each answer closes its connection."""
+        """Respond to `request`; responses sent while `leave()` is true close the connection."""
         self._request = request
         self._leave = leave
         self._response: web.StreamResponse | None = None
 
     @property
     def response(self) -> web.StreamResponse:
-        """Return what was answered."""
+        """Return the response that was sent."""
         assert self._response is not None
         return self._response
 
     async def reject(self, rejected: RejectedRequest) -> None:
-        """Give a final answer of foxwinch's own."""
+        """Send an error response that foxwinch itself generates."""
         response = web.Response(
             status=STATUS_OF[rejected.rejection],
             body=json.dumps({"error": rejected.reason}).encode(),
@@ -182,29 +181,29 @@
         await self._send(response)
 
     async def answer(self, head: AnswerHead, body: bytes) -> None:
-        """Give a worker's whole answer."""
+        """Send a worker's complete response."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall("Content-Type", None)
         response.headers.extend(head.headers)
         await self._send(response)
 
     async def begin(self, head: AnswerHead) -> None:
-        """Begin a stream."""
+        """Send the response head and start a chunked body."""
         response = web.StreamResponse(status=head.status)
         response.headers.extend(head.headers)
         response.enable_chunked_encoding()
         await self._send(response)
 
     async def send(self, data: bytes) -> None:
-        """Pass on whole events."""
+        """Send complete server-sent events."""
         await self.response.write(data)
 
     async def finish(self) -> None:
-        """End a stream that is complete."""
+        """End the body of a complete stream."""
         await self.response.write_eof()
 
     def break_off(self) -> None:
-        """Close the connection inside the body."""
+        """Close the connection before the end of the body, so that the caller sees an error."""
         transport = self._request.transport
         if transport is not None:
             transport.close()
--- a/src/foxwinch/platform/names.py
+++ b/src/foxwinch/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names for headers, tables and fields; nothing outside this folder knows them."""
+"""The platform's names of headers, tables and fields; used only in this package."""
 
 from typing import Final
 
@@ -25,14 +25,14 @@
 ROW_TABLE: Final = "table"
 ROW_PARTITION: Final = "part"
 ROW_KEY: Final = "tls_key"
-"""The key of a row; it has nothing to do with TLS."""
+"""Key of a row; unrelated to TLS."""
 ROW_VALUE: Final = "value"
-"""In base64."""
+"""Base64 encoded."""
 ROW_VERSION: Final = "ver"
-"""Of a row; in an answer, the store's newest."""
+"""Version of a row; at the top level of a response, the newest version of the store."""
 ROW_REMOVED: Final = "gone"
 CONDITIONS: Final = "if_rev"
-"""Rows with the versions that they must have."""
+"""Rows with the versions that a transaction expects."""
 WRITES: Final = "put"
 REMOVALS: Final = "remove"
 ROWS: Final = "rows"
@@ -40,11 +40,11 @@
 STORE_CLOCK_MS: Final = "now_ms"
 FIRST_KEY: Final = "from"
 END_KEY: Final = "target_version"
-"""The key before which a read ends; not a version."""
+"""Exclusive end key of a read; not a version."""
 PAGE_ROWS: Final = "limit"
 AFTER_VERSION: Final = "after"
 HELD_MS: Final = "wait_ms"
-"""How long the store holds a call for changes open."""
+"""Long-poll timeout of a call for changes."""
 
 CONFIGURATION_TABLE: Final = "op"
 CONFIGURATION_KEY: Final = "config"
@@ -65,4 +65,4 @@
         "expect",
     }
 )
-"""Headers that concern one connection, or that the HTTP library sets itself; in lower case."""
+"""Hop-by-hop headers and headers that the HTTP library sets itself, in lower case."""
--- a/src/foxwinch/platform/process.py
+++ b/src/foxwinch/platform/process.py
@@ -1,4 +1,4 @@
-"""`foxwinch serve`: one node on the platform, from its settings file to its planned stop."""
+"""`foxwinch serve`: the process of one node on the platform, from startup to graceful shutdown."""
 
 import asyncio
 import signal
@@ -27,21 +27,21 @@
 from foxwinch.settings.base import SettingsError
 
 IDLE_CONNECTION_SECONDS = 75.0
-"""Longer than any caller's connection may rest before it is used again."""
+"""Keep-alive timeout; longer than any caller keeps an idle connection before it reuses it."""
 LAPSE_HEARTBEATS = 3
-"""After which the store drops the entry of a worker that is silent."""
+"""Missed heartbeats after which the store drops a worker's entry."""
 STOP_MARGIN_SECONDS = 0.7
-"""Before the process would be killed."""
+"""Time reserved for shutdown before the platform kills the process."""
 HEADER_BYTES = 65_536
 BACKLOG = 1_024
 log = EventLog("process")
 
 
 class ServeProcess(Service):
-    """A node with its listening sides."""
+    """A serving node with its HTTP listeners."""
 
     def __init__(self, settings: ServeSettings, settings_path: Path | None) -> None:
-        """Run a node by `settings`; a signal reads `settings_path` again."""
+        """Configure a node from `settings`; SIGHUP reloads `settings_path`."""
         super().__init__()
         self._settings = settings
         self._settings_path = settings_path
@@ -56,7 +56,7 @@
         self._failure: TaskFailedError | None = None
 
     async def start(self) -> None:
-        """Start the node, then its listening sides."""
+        """Build the node, open its listeners, then start it."""
         settings = self._settings
         stop_on_failure(asyncio.get_running_loop(), self._stop_after)
         clock = SystemClock()
@@ -110,13 +110,13 @@
         return self._node
 
     def address_of(self, side: str) -> str:
-        """Return `ip:port` of a started side: `callers`, `ready` or `metrics`."""
+        """Return `ip:port` of a listener: `callers`, `ready` or `metrics`."""
         return self._addresses[side]
 
     async def run(self) -> None:
-        """Wait for the signal to stop, then stop as planned.
+        """Wait for a stop signal, then shut down gracefully.
 
-        Raises TaskFailedError after a stop that a failed task has asked for.
+        Raises TaskFailedError if a failed background task caused the shutdown.
         """
         await self._stop_requested.wait()
         assert self._node is not None
@@ -125,17 +125,17 @@
             raise self._failure
 
     def _stop_after(self, failure: TaskFailedError) -> None:
-        """Stop: a node without one of its tasks would go on by what it once knew."""
+        """Shut down: without one of its tasks the node would continue with stale data."""
         self._failure = failure
         self._stop_requested.set()
 
     async def stop_listening(self) -> None:
-        """Take no new connections; open ones stay."""
+        """Stop accepting connections; open connections stay."""
         for site in self._sites:
             await site.stop()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Close what is open."""
+        """Close the node, its listeners and its clients."""
         if self._node is not None:
             await self._node.close()
         for runner in self._runners:
@@ -152,7 +152,7 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _reload(self) -> None:
-        """Read the settings again; what may change while running is taken, the rest is told."""
+        """Read the settings file again and log which settings differ from the running ones."""
         assert self._settings_path is not None
         read = load_serve_settings(self._settings_path)
         if isinstance(read, SettingsError):
@@ -196,7 +196,7 @@
 
 
 def serve(settings_path: Path) -> tuple[str, ...]:
-    """Run one node by a settings file until its planned stop; returns why it could not start."""
+    """Run one node until it is stopped; return the errors that prevented its start."""
     settings = load_serve_settings(settings_path)
     if isinstance(settings, SettingsError):
         return tuple(f"{settings.source}: {problem}" for problem in settings.problems)
@@ -212,7 +212,7 @@
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     process = ServeProcess(settings, settings_path)
-    # A loop of our own: the entry point would otherwise start a pool of threads.
+    # Without an explicit loop, `entrypoint` would start a thread pool.
     with entrypoint(process, loop=loop, log_config=False, catch_signals=()):
         loop.run_until_complete(process.run())
     loop.close()
--- a/src/foxwinch/platform/settings.py
+++ b/src/foxwinch/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node on the users' platform, as `deploy/settings.toml` has them filled in."""
+"""Settings of a node on the platform; `deploy/settings.toml` is the template of the file."""
 
 from pathlib import Path
 from typing import Annotated
@@ -9,32 +9,32 @@
 from foxwinch.settings.base import SettingsError, StrictModel, check, read_toml
 
 ENVIRONMENT_VARIABLE = "FOXWINCH_CONFIG"
-"""Holds the path of the settings file."""
+"""Environment variable with the path of the settings file."""
 
 
 class ListenSettings(StrictModel):
-    """Where a node listens."""
+    """Listen addresses of a node."""
 
     callers: IpAndAnyPort
     ready: IpAndAnyPort
     peers: IpAndAnyPort
-    """TCP and UDP, for other nodes."""
+    """Address for other nodes, TCP and UDP."""
     metrics: IpAndAnyPort | None = None
 
 
 class StoreSettings(StrictModel):
-    """The platform's store."""
+    """Connection to the platform's store."""
 
     address: IpAndPort
     row_bytes: Annotated[int, Field(ge=1_024)] = 65_536
     notice_ms: Annotated[float, Field(ge=1_000, le=60_000)] = 3_000
-    """A change whose answer was lost must be noticed within it."""
+    """Time within which a node must notice a change after losing the response to a watch call."""
     heartbeat_ms: Annotated[float, Field(gt=0)] = 1_200
-    """How often workers write their entries anew."""
+    """Interval at which workers rewrite their entries."""
 
 
 class ServeSettings(StrictModel):
-    """Everything that a node on the platform is told."""
+    """Settings file of a node on the platform."""
 
     name: Annotated[str, Field(min_length=1)]
     ip: IpAddress
@@ -43,12 +43,12 @@
     listen: ListenSettings
     store: StoreSettings
     grace_seconds: Annotated[float, Field(gt=0)] = 8.0
-    """From the signal to stop until the process is killed."""
+    """Time between the stop signal and the kill of the process."""
     log_level: Annotated[str, Field(pattern=r"^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
 
 
 def load_serve_settings(path: Path) -> ServeSettings | SettingsError:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     values = read_toml(path)
     if isinstance(values, SettingsError):
         return values
--- a/src/foxwinch/platform/start.py
+++ b/src/foxwinch/platform/start.py
@@ -1,6 +1,6 @@
-"""Starts a node on the platform with few imports: a start costs processor time there.
+"""Entry point of a deployed node, with few imports because startup CPU time is limited there.
 
-`foxwinch serve` is the same with the command line around it.
+`foxwinch serve` does the same through the command line.
 """
 
 import os
@@ -12,11 +12,11 @@
 from foxwinch.platform.settings import ENVIRONMENT_VARIABLE
 
 EXIT_INVALID = 2
-"""As `foxwinch.cli.exit_codes` has it, which costs more to import."""
+"""Same value as in `foxwinch.cli.exit_codes`, which is slower to import."""
 
 
 def main() -> None:
-    """Run a node by the settings file that the platform names, until its planned stop."""
+    """Run a node with the settings file named by the environment until it is stopped."""
     path = os.environ.get(ENVIRONMENT_VARIABLE)
     if path is None:
         _fail(f"settings: set {ENVIRONMENT_VARIABLE}")
--- a/src/foxwinch/platform/store_answers.py
+++ b/src/foxwinch/platform/store_answers.py
@@ -1,4 +1,4 @@
-"""Decodes the answers of the platform's store, row by row, and writes down what goes to it."""
+"""Encoding of requests to the platform's store and decoding of its responses."""
 
 import base64
 from typing import Any, NamedTuple
@@ -37,12 +37,12 @@
 STATUS_LIMITED = 429
 STATUS_UNAVAILABLE = 503
 UNREADABLE = (ValueError, KeyError, TypeError, OverflowError)
-"""What decoding a document of another shape raises."""
+"""Exceptions that decoding a malformed document raises."""
 log = EventLog("store")
 
 
 class Answer(NamedTuple):
-    """Status and document of a whole answer."""
+    """Status and JSON document of a complete response."""
 
     status: int
     document: Any
@@ -51,7 +51,7 @@
 def transaction_document(
     conditions: tuple[RowCondition, ...], writes: tuple[RowWrite, ...]
 ) -> dict[str, Any]:
-    """Return the body of a transaction."""
+    """Return the JSON body of a transaction."""
     return {
         CONDITIONS: [{**_place(entry.row), ROW_VERSION: entry.version} for entry in conditions],
         WRITES: [
@@ -64,7 +64,7 @@
 
 
 def transacted(answer: Answer) -> Written | Conflict | Refused:
-    """Decode the answer to a transaction."""
+    """Decode the response to a transaction."""
     if answer.status not in (STATUS_DONE, STATUS_CONFLICT):
         return refusal(answer)
     try:
@@ -79,7 +79,7 @@
 
 
 def rows_read(answer: Answer) -> RowsRead | Refused:
-    """Decode a page of rows, or the changes of a table."""
+    """Decode a page of rows or the changes of a table."""
     if answer.status != STATUS_DONE:
         return refusal(answer)
     try:
@@ -92,8 +92,8 @@
 
 
 def refusal(answer: Answer) -> Refused:
-    """Tell from its status whether a refused call may have been done."""
-    detail = f"the store answered {answer.status}"
+    """Return the refusal for an error status, with whether the call may have taken effect."""
+    detail = f"the store returned status {answer.status}"
     if answer.status == STATUS_LIMITED:
         return not_run(Reason.RATE_LIMITED, detail)
     if answer.status == STATUS_UNAVAILABLE:
@@ -103,13 +103,13 @@
 
 def _unreadable(error: Exception) -> Refused:
     log.warning("store_answer_unreadable", error=type(error).__name__, detail=str(error))
-    return outcome_unknown(Reason.STORE_UNAVAILABLE, "the store's answer is unreadable")
+    return outcome_unknown(Reason.STORE_UNAVAILABLE, "the store returned a malformed response")
 
 
 def _read_rows(
     entries: list[Any], newest: int
 ) -> tuple[tuple[StoredRow, ...], tuple[UnreadableRow, ...]]:
-    """Decode rows one by one; those that cannot be decoded hide none of the others."""
+    """Decode rows one by one, so that a malformed row does not affect the others."""
     rows: list[StoredRow] = []
     unreadable: list[UnreadableRow] = []
     for entry in entries:
@@ -123,7 +123,7 @@
 
 
 def _read_row(entry: Any, newest: int) -> StoredRow | UnreadableRow:
-    """Decode one row; one that tells no version counts as the store's newest."""
+    """Decode one row; a malformed row without a version gets the store's newest version."""
     try:
         return _row(entry)
     except UNREADABLE as error:
@@ -139,7 +139,7 @@
 def _row(entry: dict[str, Any]) -> StoredRow:
     key = entry[ROW_KEY]
     if not isinstance(key, str):
-        raise TypeError("the key is no text")
+        raise TypeError("row key is not a string")
     row = RowKey(entry[ROW_TABLE], entry.get(ROW_PARTITION, ""), key)
     version = int(entry.get(ROW_VERSION, ABSENT_VERSION))
     if entry.get(ROW_REMOVED) or version == ABSENT_VERSION:
--- a/src/foxwinch/platform/store_client.py
+++ b/src/foxwinch/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store, behind the product's port."""
+"""HTTP client of the platform's store."""
 
 import asyncio
 import json
@@ -44,23 +44,23 @@
 KEPT_SECONDS = 10.0
 READ_LIMIT = 500
 AFTER_KEY = "\x01"
-"""Behind a key it makes the start of what follows that key."""
+"""Suffix that turns the last key of a page into the first key of the next page."""
 log = EventLog("store")
 
 
 class _CallTrace:
-    """What one call learns of the connection that it went out on."""
+    """Records which kind of connection a call used."""
 
     def __init__(self) -> None:
         self.connection = "none"
-        """`new`, `kept` (from the pool), or `none` before there was one."""
+        """`new`, `kept` (reused from the pool) or `none` (no connection was made)."""
 
 
 class PlatformStore:
     """The platform's store; implements `foxwinch.records.ports.RecordStore`."""
 
     def __init__(self, address: str, metrics: ServingMetrics) -> None:
-        """Speak to `address` (`ip:port`); call on the running loop."""
+        """Connect to `address` (`ip:port`); must be called in a running event loop."""
         self._base = f"http://{address}"
         self._metrics = metrics
         self._pool = ConnectionPool(_open_session)
@@ -81,7 +81,7 @@
         return answer if isinstance(answer, Refused) else transacted(answer)
 
     async def read(self, first: RowKey, end_key: str, timeout_seconds: float) -> RowsRead | Refused:
-        """Read the rows of a partition from `first` up to `end_key`."""
+        """Read the rows of a partition from `first` up to, but not including, `end_key`."""
         return await self._read_pages(
             {
                 ROW_TABLE: first.table,
@@ -93,7 +93,7 @@
         )
 
     async def read_table(self, table: str, timeout_seconds: float) -> RowsRead | Refused:
-        """Read all rows of a table whose partition is empty."""
+        """Read all rows of a table that has only the empty partition."""
         return await self._read_pages(
             {ROW_TABLE: table, ROW_PARTITION: "", FIRST_KEY: ""}, timeout_seconds
         )
@@ -101,7 +101,7 @@
     async def _read_pages(
         self, query: dict[str, str], timeout_seconds: float
     ) -> RowsRead | Refused:
-        """Read page by page; the version is the first page's, so that no later change is missed."""
+        """Read all pages; the version is the first page's, so that no later change is missed."""
         pages: list[RowsRead] = []
         query = {**query, PAGE_ROWS: str(READ_LIMIT)}
         while True:
@@ -120,14 +120,14 @@
                 )
             last_key = max((*(row.row.key for row in read.rows), *_keys(read)), default="")
             if last_key < query[FIRST_KEY] or not last_key:
-                detail = "a page of the store names no key to go on from"
+                detail = "the store returned a page without a key to continue from"
                 return outcome_unknown(Reason.STORE_UNAVAILABLE, detail)
             query[FIRST_KEY] = last_key + AFTER_KEY
 
     async def changes(
         self, table: str, after_version: int, wait_seconds: float
     ) -> RowsRead | HistoryLost | Refused:
-        """Wait for changes of a table after a version."""
+        """Wait up to `wait_seconds` for changes of a table after a version."""
         query = {
             ROW_TABLE: table,
             AFTER_VERSION: str(after_version),
@@ -192,14 +192,18 @@
                     raw = await response.read()
                     return Answer(response.status, json.loads(raw) if raw else {})
             except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-                return not_run(Reason.STORE_UNAVAILABLE, "the store cannot be reached")
+                return not_run(Reason.STORE_UNAVAILABLE, "cannot connect to the store")
             except TimeoutError:
                 if self._pool.retire(session):
                     log.info("store_connections_retired", connection=trace.connection)
-                return outcome_unknown(Reason.STORE_UNAVAILABLE, "the store did not answer in time")
+                return outcome_unknown(
+                    Reason.STORE_UNAVAILABLE, "the store did not respond in time"
+                )
             except (aiohttp.ClientError, OSError, ValueError) as error:
                 kind = type(error).__name__
-                return outcome_unknown(Reason.STORE_UNAVAILABLE, f"the store broke off: {kind}")
+                return outcome_unknown(
+                    Reason.STORE_UNAVAILABLE, f"the connection to the store failed: {kind}"
+                )
 
 
 def _open_session() -> aiohttp.ClientSession:
@@ -207,7 +211,7 @@
 
 
 def _connection_trace() -> aiohttp.TraceConfig:
-    """Note for each call whether its connection is new or was kept from an earlier call."""
+    """Return a trace that records whether each call used a new or a reused connection."""
 
     async def created(_: aiohttp.ClientSession, context: Any, __: Any) -> None:
         context.trace_request_ctx.connection = "new"
--- a/src/foxwinch/platform/translation.py
+++ b/src/foxwinch/platform/translation.py
@@ -1,4 +1,4 @@
-"""Turns the platform's documents into the product's configuration and workers."""
+"""Translation of the platform's documents into routing configuration and workers."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -28,19 +28,19 @@
 from foxwinch.records.ports import StoredRow
 
 ATTEMPTS_DEFAULT = 3
-"""Where a route does not tell."""
+"""Used if a route does not set it."""
 TIMEOUT_DEFAULT_MS = 30_000.0
-"""Where a route does not tell; longer than any caller's deadline."""
+"""Used if a route does not set it; longer than any caller's deadline."""
 TARGET_DEFAULT_MS = 1_000.0
-"""Where a route does not tell."""
+"""Used if a route does not set it."""
 PROBLEMS_MAXIMUM = 3
-"""Problems of one document in a log line."""
+"""Maximum number of problems of one document in a log line."""
 Document = TypeVar("Document", bound=BaseModel)
 log = EventLog("translation")
 
 
 def configuration_of(row: StoredRow) -> RoutingConfiguration | None:
-    """Read the operator's configuration; None for another row or an unreadable one."""
+    """Decode the operator's configuration; None for another row or a malformed document."""
     if row.row.key != CONFIGURATION_KEY or row.value is None:
         return None
     try:
@@ -51,7 +51,7 @@
 
 
 def worker_of(row: StoredRow) -> Worker | None:
-    """Read a worker's entry; None for one that names no worker to use."""
+    """Decode a worker's entry; None if it was removed or is malformed."""
     if row.value is None:
         return None
     try:
@@ -72,7 +72,7 @@
 
 
 def _problems(error: ValidationError) -> str:
-    """Name the fields that are wrong; never their values, which may be of any size."""
+    """Describe the invalid fields without their values, which may be of any size."""
     found = error.errors(include_url=False, include_input=False, include_context=False)
     named = [
         f"{'.'.join(str(part) for part in problem['loc']) or 'document'}: {problem['type']}"
@@ -96,7 +96,7 @@
 
 
 def _checked(kind: type[Document], entries: Iterable[object], version: int) -> list[Document]:
-    """Check entries of a configuration one by one: one that is wrong hides none of the others."""
+    """Validate entries one by one, so that an invalid entry does not affect the others."""
     checked: list[Document] = []
     for number, entry in enumerate(entries):
         try:
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -1,7 +1,8 @@
-"""Sends calls to the platform's workers over HTTP, and reads their answers with suspicion.
+"""HTTP client of the platform's workers.
 
-Every answer names the request that it belongs to. A surplus answer, which a faulty worker may send
-on a kept connection, is passed over by that name, and its connection is not used again.
+Every response carries the id of its request. A faulty worker may send extra responses on a
+persistent connection; they are recognized by their request id and skipped, and the connection is
+not reused.
 """
 
 import asyncio
@@ -36,19 +37,19 @@
 )
 
 KEPT_SECONDS = 3.0
-"""An idle connection is used again within it; workers close theirs later than that."""
+"""Keep-alive time of idle connections; workers close idle connections later than that."""
 STATUS_WRONG_WORKER = 421
 STATUS_UNAVAILABLE = 503
 NEVER_SENT = frozenset({"host", "accept-encoding", "user-agent", "accept", "content-type"})
-"""Headers that the HTTP library would add by itself."""
+"""Headers that the HTTP library would otherwise add by itself."""
 BROKEN = (aiohttp.ClientError, OSError, ValueError, asyncio.IncompleteReadError)
 
 
 class _MatchedResponse(aiohttp.ClientResponse):
-    """Passes over answers to other requests that stand before this one's on the connection."""
+    """Skips responses to other requests that precede this one's on the connection."""
 
     async def start(self, connection: "aiohttp.connector.Connection") -> "_MatchedResponse":
-        """Read the head of this request's own answer."""
+        """Read the head of the response to this request."""
         expected = self.request_info.headers.get(REQUEST_ID)
         protocol = connection.protocol
         assert protocol is not None
@@ -66,7 +67,7 @@
 def _put_back(
     protocol: ResponseHandler, message: RawResponseMessage, payload: StreamReader
 ) -> None:
-    """Let the next read return this answer, ahead of surplus ones that stand behind it."""
+    """Push a response back to the front of the queue, before extra responses behind it."""
     behind: list[tuple[RawResponseMessage, StreamReader]] = []
     while len(protocol):
         behind.append(protocol._buffer.popleft()[0])
@@ -82,10 +83,9 @@
 
 
 class HttpAnswer:
-    """An answer whose head has arrived; implements `foxwinch.serving.messages.WorkerAnswer`."""
+    """A response whose head has arrived; implements `foxwinch.serving.messages.WorkerAnswer`."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
-        """Read on from `response`."""
         self._response = response
         self._protocol = response.connection.protocol if response.connection else None
         headers = tuple(
@@ -100,7 +100,7 @@
         )
 
     async def read_whole(self) -> bytes | CallLost:
-        """Read the body."""
+        """Read the whole body."""
         try:
             body = await self._response.content.read()
         except BROKEN as error:
@@ -108,7 +108,7 @@
         return self._reset() or body
 
     async def pieces(self) -> AsyncIterator[bytes | CallLost]:
-        """Yield the body as it comes."""
+        """Yield the body as it arrives."""
         try:
             async for piece in self._response.content.iter_any():
                 yield piece
@@ -120,11 +120,11 @@
             yield reset
 
     def close(self) -> None:
-        """Drop what was not read; a connection that is not at its end is closed."""
+        """Discard the rest of the body; an incompletely read connection is closed."""
         self._response.close()
 
     def _reset(self) -> CallLost | None:
-        """An answer without a length ends with its connection: a reset one is not whole."""
+        """Return an error if a response without a length ended with a connection reset."""
         if self._framed or self._protocol is None:
             return None
         error = self._protocol.exception()
@@ -134,17 +134,17 @@
 
 
 class HttpWorkers:
-    """Calls workers; implements `foxwinch.serving.ports.Workers`."""
+    """Sends calls to workers; implements `foxwinch.serving.ports.Workers`."""
 
     def __init__(self) -> None:
-        """Open a pool of connections; call on the running loop."""
+        """Open a connection pool; must be called in a running event loop."""
         self._session = open_session(
             KEPT_SECONDS,
             response_class=_MatchedResponse,
             auto_decompress=False,
             skip_auto_headers=NEVER_SENT,
         )
-        # A request is repeated by the product's rules only, never by the library.
+        # Only foxwinch decides on retries, never the HTTP library.
         self._session._retry_connection = False
 
     async def close(self) -> None:
@@ -152,7 +152,7 @@
         await self._session.close()
 
     async def call(self, worker: Worker, call: OutgoingCall) -> HttpAnswer | CallRefused | CallLost:
-        """Send a call and wait for the head of its answer."""
+        """Send a call and wait for the head of its response."""
         request = call.request
         url = URL(f"http://{worker.address}{request.target}", encoded=True)
         try:
@@ -189,7 +189,7 @@
 
 def _not_run(response: aiohttp.ClientResponse) -> CallRefused | None:
     if response.status == STATUS_WRONG_WORKER:
-        return CallRefused(CallFailure.WRONG_WORKER, "another worker has the address")
+        return CallRefused(CallFailure.WRONG_WORKER, "the address belongs to another worker")
     if NOT_RUN not in response.headers:
         return None
     retry_after = response.headers.get(RETRY_AFTER)
--- a/src/foxwinch/service_tasks.py
+++ b/src/foxwinch/service_tasks.py
@@ -1,4 +1,4 @@
-"""The background tasks of one service: none dies silently, all end with the service."""
+"""Background tasks of a service, which report failures and end with the service."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -7,18 +7,18 @@
 from foxwinch.log import EventLog
 
 FAILED_SERVICE = "failed_service"
-"""Key of the loop's exception context that names the service of a failed task."""
+"""Key in the event loop's exception context for the service of a failed task."""
 log = EventLog("tasks")
 
 
 class TaskFailedError(Exception):
-    """A task that must not fail has failed: the process cannot go on."""
+    """A background task failed, so the process has to stop."""
 
 
 def stop_on_failure(
     loop: asyncio.AbstractEventLoop, stop: Callable[[TaskFailedError], None]
 ) -> None:
-    """Call `stop` when a task of a service fails; the loop's other exceptions go on as they do."""
+    """Call `stop` if a background task fails; other exceptions get the loop's default handling."""
 
     def handle(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         loop.default_exception_handler(context)
@@ -31,22 +31,22 @@
 
 
 class ServiceTasks:
-    """Keeps tasks; one that fails is a broken invariant and is given to the loop's handler."""
+    """Runs tasks; a failure is a violated invariant and goes to the loop's exception handler."""
 
     def __init__(self, service: str) -> None:
-        """Name the service for the log."""
+        """Use `service` as the name in log lines."""
         self._service = service
         self._tasks: set[asyncio.Task[None]] = set()
 
     def keep(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine until it ends or the service stops."""
+        """Run a coroutine as a task until it ends or the service stops."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._ended)
         return task
 
     async def stop(self) -> None:
-        """Cancel every task and wait for its end."""
+        """Cancel all tasks and wait for them."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/src/foxwinch/settings/__init__.py
+++ b/src/foxwinch/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Process settings and the cluster configuration, typed and checked."""
+"""Models and loaders of process settings and of the cluster configuration."""
--- a/src/foxwinch/settings/addresses.py
+++ b/src/foxwinch/settings/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in settings: IP numbers and ports, checked."""
+"""Validated types for IP addresses and ports in settings."""
 
 import ipaddress
 from typing import Annotated
@@ -6,7 +6,7 @@
 from pydantic import AfterValidator, Field
 
 Port = Annotated[int, Field(ge=0, le=65_535)]
-"""A TCP or UDP port; 0 lets the system choose, for tests."""
+"""A TCP or UDP port; 0 selects a free port, for tests."""
 MAXIMUM_PORT = 65_535
 
 
@@ -38,8 +38,8 @@
 
 
 IpAddress = Annotated[str, AfterValidator(_is_ip_number)]
-"""An IP number; names are not resolved."""
+"""An IP address; host names are not resolved."""
 IpAndPort = Annotated[str, AfterValidator(_is_ip_and_port)]
-"""An IP number and a port, such as `127.0.0.1:7003`."""
+"""An IP address and a port, such as `127.0.0.1:7003`."""
 IpAndAnyPort = Annotated[str, AfterValidator(_is_ip_and_any_port)]
-"""Where to listen: as `IpAndPort`, and port 0 lets the system choose, for tests."""
+"""A listen address: like `IpAndPort`, but port 0 selects a free port, for tests."""
--- a/src/foxwinch/settings/base.py
+++ b/src/foxwinch/settings/base.py
@@ -1,4 +1,4 @@
-"""What every settings model shares: unknown fields are refused, values are frozen and checked."""
+"""Base class and validation of settings models."""
 
 import tomllib
 from dataclasses import dataclass
@@ -9,20 +9,20 @@
 
 
 class StrictModel(BaseModel):
-    """A frozen settings model that refuses unknown fields."""
+    """An immutable settings model that rejects unknown fields."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsError:
-    """Why settings were refused: a line for each field, with its value and what is allowed."""
+    """Validation errors of settings: one line per field, with its value and the allowed values."""
 
     source: str
     problems: tuple[str, ...]
 
     def __str__(self) -> str:
-        """Return all problems, a line each."""
+        """Return all problems, one per line."""
         return "\n".join(f"{self.source}: {problem}" for problem in self.problems)
 
 
@@ -30,7 +30,7 @@
 
 
 def check(model: type[Model], values: dict[str, Any], source: str) -> Model | SettingsError:
-    """Check plain values against a settings model."""
+    """Validate plain values against a settings model."""
     try:
         return model.model_validate(values)
     except ValidationError as error:
@@ -38,7 +38,7 @@
 
 
 def read_toml(path: Path) -> dict[str, Any] | SettingsError:
-    """Read a TOML file into plain values."""
+    """Read a TOML file as plain values."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -58,7 +58,7 @@
 
 
 def _allowed_fields(model: type[BaseModel], location: tuple[Any, ...]) -> list[str]:
-    """Find the field names allowed at a location by walking the JSON Schema."""
+    """Return the field names allowed at a location of the JSON Schema."""
     schema = model.model_json_schema()
     node = schema
     for part in location[:-1]:
--- a/src/foxwinch/settings/cluster.py
+++ b/src/foxwinch/settings/cluster.py
@@ -1,7 +1,7 @@
-"""The cluster configuration: what operators declare and the platform's table keeps.
+"""Models of the cluster configuration, which operators apply and the shared store keeps.
 
-One document under one revision. It is checked as a whole, cross references included, before it is
-accepted anywhere.
+The configuration is one document with one revision. It is validated as a whole, including cross
+references, before any node accepts it.
 """
 
 from collections import Counter
@@ -14,17 +14,17 @@
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 """A name: letters, digits, dot, underscore and hyphen, up to 63 characters."""
 KeyHash = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
-"""SHA-256 of a bearer key in lower-case hexadecimal; keys themselves are never kept."""
+"""SHA-256 of a bearer key in lower-case hexadecimal; the keys themselves are never stored."""
 PositiveSeconds = Annotated[float, Field(gt=0, le=86_400)]
 
 
 class TenantSettings(StrictModel):
-    """A tenant: who may call, in which classes, and how much."""
+    """A tenant with its keys, priority classes and rate limits."""
 
     name: Name
     key_hashes: tuple[KeyHash, ...] = ()
     classes: tuple[Name, ...] = ()
-    """Classes that the tenant may use; empty means all."""
+    """Priority classes that the tenant may use; empty means all."""
     requests_per_second: Annotated[float, Field(gt=0)] = 100.0
     tokens_per_second: Annotated[float, Field(gt=0)] = 100_000.0
     burst_seconds: PositiveSeconds = 5.0
@@ -35,13 +35,13 @@
 
     name: Name
     rank: Annotated[int, Field(ge=0, le=9)]
-    """0 is the most urgent; the last to be refused under overload."""
+    """0 is the most urgent class, which is shed last under overload."""
     deadline_seconds: PositiveSeconds
-    """Goal for the latency of one whole program of this class, tool pauses not counted."""
+    """Latency target of a whole program of this class, without the time spent in tools."""
     requests_per_second: Annotated[float, Field(gt=0)] | None = None
-    """Over all tenants and nodes; None sets no limit."""
+    """Limit over all tenants and nodes; None means no limit."""
     tokens_per_second: Annotated[float, Field(gt=0)] | None = None
-    """Over all tenants and nodes; None sets no limit."""
+    """Limit over all tenants and nodes; None means no limit."""
 
 
 class ModelSettings(StrictModel):
@@ -55,12 +55,12 @@
 
 
 class PoolSettings(StrictModel):
-    """A pool of back-end workers of one kind."""
+    """A pool of workers of one kind."""
 
     name: Name
     kind: Literal["engine", "tool"]
     models: tuple[Name, ...] = ()
-    """Models that engines of this pool may serve."""
+    """Models that engines of this pool may load."""
 
 
 class WorkerSettings(StrictModel):
@@ -70,7 +70,7 @@
     pool: Name
     zone: Name
     url: Annotated[str, Field(pattern=r"^https?://[^\s]+$")]
-    """Base URL by IP number, such as `http://127.0.0.1:7101`."""
+    """Base URL with an IP address, such as `http://127.0.0.1:7101`."""
 
 
 class ToolSettings(StrictModel):
@@ -79,26 +79,26 @@
     name: Name
     pool: Name
     repeatable: bool
-    """False: runs at most once, and is never retried once it may have run."""
+    """Whether a call may be retried after it may have run; False means at most once."""
     timeout_seconds: PositiveSeconds = 30.0
 
 
 class BudgetSettings(StrictModel):
-    """What one program may spend, its sub-agents included."""
+    """Budget of one program, including its sub-agents."""
 
     tokens: Annotated[int, Field(ge=1)] = 1_000_000
     calls: Annotated[int, Field(ge=1)] = 500
     depth: Annotated[int, Field(ge=0, le=16)] = 4
-    """Levels of sub-agents below the program; 0 allows none."""
+    """Maximum levels of sub-agents below the program; 0 allows none."""
     wall_seconds: Annotated[float, Field(gt=0)] = 86_400.0
     cost: Annotated[float, Field(gt=0)] = 1_000_000.0
-    """In the operator's own unit; see `cost_per_token` and `cost_per_tool_call`."""
+    """Cost limit in the operator's unit; see `cost_per_token` and `cost_per_tool_call`."""
     repeated_calls: Annotated[int, Field(ge=2)] = 5
-    """Identical calls in a row after which the program counts as looping."""
+    """Number of identical consecutive calls after which a program is stopped as looping."""
 
 
 class TemplateSettings(StrictModel):
-    """A kind of program that callers create by name."""
+    """A template from which callers create programs."""
 
     name: Name
     class_name: Name
@@ -106,11 +106,11 @@
     tools: tuple[Name, ...] = ()
     budget: BudgetSettings = BudgetSettings()
     idle_seconds: PositiveSeconds = 3_600.0
-    """Without a call for so long, the program counts as abandoned."""
+    """Time without a call after which a program counts as abandoned."""
 
 
 class ClusterConfiguration(StrictModel):
-    """The whole document."""
+    """The configuration document."""
 
     deployment: Name
     region: Name
@@ -123,9 +123,9 @@
     tools: tuple[ToolSettings, ...] = ()
     templates: tuple[TemplateSettings, ...]
     default_template: Name
-    """Template of a call that names no program."""
+    """Template for calls that name no program."""
     objective: Literal["latency", "cache"] = "latency"
-    """What this deployment weighs more: program latency or wasted cache."""
+    """Scheduling objective: minimize program latency or wasted cache."""
     cost_per_token: Annotated[float, Field(ge=0)] = 0.0
     cost_per_tool_call: Annotated[float, Field(ge=0)] = 0.0
 
@@ -135,7 +135,7 @@
             counts = Counter(entry.name for entry in getattr(self, field))
             doubled = sorted(name for name, count in counts.items() if count > 1)
             if doubled:
-                raise ValueError(f"{field}: names must be unique; given twice: {doubled}")
+                raise ValueError(f"{field}: names must be unique; duplicates: {doubled}")
         return self
 
     @model_validator(mode="after")
@@ -152,7 +152,7 @@
         return self
 
     def _references(self) -> list[tuple[str, str, str]]:
-        """Return every reference as (field, name, field referred to)."""
+        """Return every reference as (field, name, referenced field)."""
         found = [("default_template", self.default_template, "templates")]
         for tenant in self.tenants:
             found += [(f"tenants.{tenant.name}.classes", n, "classes") for n in tenant.classes]
--- a/src/foxwinch/settings/load.py
+++ b/src/foxwinch/settings/load.py
@@ -1,4 +1,4 @@
-"""Settings from TOML files, with flags over them."""
+"""Loading of settings from TOML files, overridden by command-line flags."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -12,7 +12,7 @@
 def load_node_settings(
     path: Path | None, overrides: Mapping[str, Any]
 ) -> NodeSettings | SettingsError:
-    """Read node settings; `overrides` maps dotted field names to values, None meaning not given."""
+    """Read node settings; `overrides` maps dotted field names to values, or None if not given."""
     values: dict[str, Any] = {}
     if path is not None:
         read = read_toml(path)
@@ -29,7 +29,7 @@
 
 
 def load_cluster_configuration(path: Path) -> ClusterConfiguration | SettingsError:
-    """Read and check a cluster configuration."""
+    """Read and validate a cluster configuration."""
     values = read_toml(path)
     if isinstance(values, SettingsError):
         return values
@@ -39,7 +39,7 @@
 def load_proposed(
     settings: NodeSettings, settings_path: Path | None
 ) -> ClusterConfiguration | SettingsError | None:
-    """Read the configuration that node settings name, relative to their own file."""
+    """Read the configuration file that the settings refer to, relative to the settings file."""
     if settings.configuration_file is None:
         return None
     directory = settings_path.parent if settings_path is not None else Path()
--- a/src/foxwinch/settings/process.py
+++ b/src/foxwinch/settings/process.py
@@ -1,4 +1,4 @@
-"""Process settings of one node: addresses, zone, platform, limits; a file and flags over it."""
+"""Models of the process settings of a node."""
 
 from typing import Annotated
 
@@ -10,22 +10,22 @@
 
 
 class TlsSettings(StrictModel):
-    """Certificate files in PEM."""
+    """Certificate files in PEM format."""
 
     certificate_file: str
     key_file: str
     authority_file: str | None = None
-    """Authority that peers' certificates must be signed by (mutual TLS), where it is asked for."""
+    """Authority that must have signed clients' certificates; None disables mutual TLS."""
 
 
 class CallerLimits(StrictModel):
-    """Bounds on what one caller's request may cost a node."""
+    """Limits on callers' requests."""
 
     body_bytes: Annotated[int, Field(ge=1_024)] = 4 * 1024 * 1024
     header_bytes: Annotated[int, Field(ge=1_024)] = 16 * 1024
     history_bytes: Annotated[int, Field(ge=1_024)] = 4 * 1024 * 1024
     read_seconds: Annotated[float, Field(gt=0)] = 15.0
-    """For a whole request to arrive."""
+    """Timeout for receiving a complete request."""
     connections: Annotated[int, Field(ge=1)] = 4_096
 
 
@@ -35,11 +35,11 @@
     store_url: str | None = None
     machines_url: str | None = None
     store_requests_per_second: Annotated[float, Field(gt=0)] = 200.0
-    """This node's share of the store's rate; more requests wait, or are refused with a time."""
+    """This node's share of the store's rate; excess requests wait or get a retry time."""
 
 
 class NodeSettings(StrictModel):
-    """Everything that one node process is told at its start."""
+    """Settings of a node process."""
 
     name: Name
     region: Name
@@ -49,9 +49,9 @@
     operator_port: Port = 0
     peer_port: Port = 0
     peer_advertised: IpAndPort | None = None
-    """Where other nodes reach the peer side, if that is not `host:peer_port`."""
+    """Address under which other nodes reach the peer port, if not `host:peer_port`."""
     seeds: tuple[IpAndPort, ...] = ()
-    """Peer addresses `ip:port` to join by; hints only."""
+    """Addresses `ip:port` of nodes to contact when joining the cluster; they may be stale."""
     platform: PlatformSettings = PlatformSettings()
     caller_limits: CallerLimits = CallerLimits()
     caller_tls: TlsSettings | None = None
@@ -59,6 +59,6 @@
     peer_tls: TlsSettings | None = None
     operator_key_hashes: tuple[KeyHash, ...] = ()
     configuration_file: str | None = None
-    """Cluster configuration to propose when the store holds none yet."""
+    """Path of the cluster configuration to propose if the store has none yet."""
     drain_seconds: Annotated[float, Field(gt=0)] = 60.0
     log_level: Annotated[str, Field(pattern=r"^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
--- a/src/foxwinch/storage/__init__.py
+++ b/src/foxwinch/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Ports and clients of the table service, object store and machine list of the stand-ins."""
+"""Clients of the emulated table store and machine list."""
--- a/src/foxwinch/storage/machines_http.py
+++ b/src/foxwinch/storage/machines_http.py
@@ -13,7 +13,7 @@
 
 
 class MachineDocument(BaseModel):
-    """A machine."""
+    """A machine in the response body."""
 
     name: str
     kind: str
@@ -24,13 +24,13 @@
 
 
 class MachinesDocument(BaseModel):
-    """The list."""
+    """Response body with all machines."""
 
     machines: list[MachineDocument]
 
 
 class HttpMachines:
-    """The platform's list over HTTP; implements `foxwinch.storage.ports.MachinePort`."""
+    """HTTP client of the machine list; implements `foxwinch.storage.ports.MachinePort`."""
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         """Use `session`, which the caller closes."""
@@ -38,7 +38,7 @@
         self._url = url.rstrip("/")
 
     async def machines(self) -> tuple[Machine, ...] | Refused:
-        """See the port."""
+        """See `MachinePort`."""
         request = HttpRequest("GET", f"{self._url}/machines", REQUEST_SECONDS)
         answer = await exchange(self._session, SERVICE, request)
         if isinstance(answer, Refused):
--- a/src/foxwinch/storage/ports.py
+++ b/src/foxwinch/storage/ports.py
@@ -1,4 +1,4 @@
-"""Port to the platform's list of machines. The shared store's port is `foxwinch.records.ports`."""
+"""Port to the platform's machine list. The port to the shared store is `foxwinch.records.ports`."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """A machine as the platform's lagging list has it."""
+    """An entry of the platform's machine list."""
 
     name: str
     kind: str
@@ -22,7 +22,7 @@
 
 
 class MachinePort(Protocol):
-    """The platform's lagging list of machines: a hint, never a proof."""
+    """The platform's machine list, which may be stale and is only a hint."""
 
     async def machines(self) -> tuple[Machine, ...] | Refused:
         """Read the list."""
--- a/src/foxwinch/storage/rate_limit.py
+++ b/src/foxwinch/storage/rate_limit.py
@@ -1,15 +1,15 @@
-"""Keeps a client of the platform within the service's rate, and heeds its Retry-After."""
+"""Client-side rate limiting of requests to the platform, which respects Retry-After."""
 
 from foxwinch.clock import Clock
 from foxwinch.core.limits.token_bucket import TokenBucket
 from foxwinch.outcomes import Reason, Refused, not_run
 
 MAXIMUM_WAIT_SECONDS = 2.0
-"""A request that would wait longer is refused at once, and told when to come back."""
+"""Maximum queueing time; a request that would wait longer is refused with a retry time."""
 
 
 class RateLimiter:
-    """One bucket for all requests of this node to one service."""
+    """Token bucket for all requests of this node to one service."""
 
     def __init__(self, clock: Clock, requests_per_second: float, burst: float) -> None:
         """Allow `requests_per_second` with bursts of `burst` requests."""
@@ -19,19 +19,21 @@
         self._bucket: TokenBucket | None = None
 
     async def enter(self) -> Refused | None:
-        """Wait for this request's turn; refused when the turn is too far off."""
+        """Wait until a request may be sent; refuse it if the wait would be too long."""
         now = self._clock.monotonic()
         bucket = self._started(now)
         wait = max(0.0, 1.0 - bucket.available(now)) / self._rate
         if wait > MAXIMUM_WAIT_SECONDS:
-            return not_run(Reason.RATE_LIMITED, "the node's own share of the rate is used", wait)
+            return not_run(
+                Reason.RATE_LIMITED, "the node has used its share of the request rate", wait
+            )
         wait = bucket.reserve(1.0, now)
         if wait > 0:
             await self._clock.sleep(wait)
         return None
 
     def heed(self, outcome: object) -> None:
-        """Let nothing pass for as long as the service asked when it limited its rate."""
+        """Block requests for the Retry-After time if the service limited the rate."""
         if not isinstance(outcome, Refused) or outcome.reason is not Reason.RATE_LIMITED:
             return
         now = self._clock.monotonic()
--- a/src/foxwinch/storage/records_http.py
+++ b/src/foxwinch/storage/records_http.py
@@ -1,8 +1,8 @@
 """Adapter of the shared store's port over HTTP.
 
-`POST /transactions` answers 200 with the version, 412 with the rows whose conditions failed, 429
-with Retry-After. `GET /rows` reads a range of a partition, `GET /changes` waits for changes of a
-table and answers 410 when its history is gone. Values are base64.
+`POST /transactions` returns 200 with the version, 412 with the rows whose conditions failed, or 429
+with Retry-After. `GET /rows` reads a range of a partition. `GET /changes` waits for changes of a
+table and returns 410 if its history has been compacted. Values are base64 encoded.
 """
 
 from typing import NamedTuple, TypeVar
@@ -25,7 +25,7 @@
 from foxwinch.storage.rate_limit import RateLimiter
 
 FEED_SLACK_SECONDS = 1.0
-"""For the answer of a call that the store holds open."""
+"""Added to the timeout of a long-poll call for the response itself."""
 STATUS_DONE = 200
 STATUS_GONE = 410
 STATUS_CONFLICT = 412
@@ -35,7 +35,7 @@
 
 
 class RowDocument(BaseModel):
-    """A row; without a value it is absent."""
+    """A row; without a value, it does not exist."""
 
     table: str
     partition: str
@@ -45,7 +45,7 @@
 
 
 class RowsDocument(BaseModel):
-    """Rows as of a version."""
+    """Rows at a version of the store."""
 
     rows: list[RowDocument]
     version: int
@@ -53,7 +53,7 @@
 
 
 class ConditionDocument(BaseModel):
-    """A row and the version that it must have."""
+    """A row and its expected version."""
 
     table: str
     partition: str
@@ -62,7 +62,7 @@
 
 
 class WriteDocument(BaseModel):
-    """A write; without a value a removal."""
+    """A write; without a value, a removal."""
 
     table: str
     partition: str
@@ -71,21 +71,21 @@
 
 
 class TransactionDocument(BaseModel):
-    """A transaction."""
+    """Request body of a transaction."""
 
     conditions: list[ConditionDocument]
     writes: list[WriteDocument]
 
 
 class WrittenDocument(BaseModel):
-    """A transaction that is in force."""
+    """Response to a committed transaction."""
 
     version: int
     now_ms: int
 
 
 class ConflictDocument(BaseModel):
-    """The rows of the conditions as they stand."""
+    """Response to a failed transaction, with the current rows of its conditions."""
 
     rows: list[RowDocument]
     version: int
@@ -104,13 +104,14 @@
 
 
 class HttpRecords:
-    """The shared store reached over HTTP; implements `foxwinch.records.ports.RecordStore`.
+    """HTTP client of the shared store; implements `foxwinch.records.ports.RecordStore`.
 
-    One attempt a call: a lost answer is `unknown`, for the caller to settle.
+    Each call is one attempt. After a lost response the outcome is `unknown`, and the caller has to
+    resolve it.
     """
 
     def __init__(self, session: aiohttp.ClientSession, url: str, limiter: RateLimiter) -> None:
-        """Use `session`, which the caller closes."""
+        """Send requests through `limiter` and `session`, which the caller closes."""
         self._session = session
         self._url = url.rstrip("/")
         self._limiter = limiter
@@ -121,7 +122,7 @@
         writes: tuple[RowWrite, ...],
         timeout_seconds: float,
     ) -> Written | Conflict | Refused:
-        """See the port."""
+        """See `RecordStore`."""
         body = _transaction_document(conditions, writes).model_dump_json().encode()
         answer = await self._send(_Ask("POST", "/transactions", timeout_seconds, body=body))
         if isinstance(answer, Refused):
@@ -137,7 +138,7 @@
         return written if isinstance(written, Refused) else Written(written.version, written.now_ms)
 
     async def read(self, first: RowKey, end_key: str, timeout_seconds: float) -> RowsRead | Refused:
-        """See the port."""
+        """See `RecordStore`."""
         parameters = {
             "table": first.table,
             "partition": first.partition,
@@ -147,13 +148,13 @@
         return await self._read(_Ask("GET", "/rows", timeout_seconds, parameters))
 
     async def read_table(self, table: str, timeout_seconds: float) -> RowsRead | Refused:
-        """See the port."""
+        """See `RecordStore`."""
         return await self._read(_Ask("GET", "/rows", timeout_seconds, {"table": table}))
 
     async def changes(
         self, table: str, after_version: int, wait_seconds: float
     ) -> RowsRead | HistoryLost | Refused:
-        """See the port."""
+        """See `RecordStore`."""
         parameters = {"table": table, "after": str(after_version), "wait": f"{wait_seconds:.3f}"}
         ask = _Ask("GET", "/changes", wait_seconds + FEED_SLACK_SECONDS, parameters)
         answer = await self._send(ask)
@@ -181,7 +182,7 @@
 
 
 def row_document(row: StoredRow) -> RowDocument:
-    """Return a row as it is sent."""
+    """Return the document of a row."""
     return RowDocument.model_construct(
         table=row.row.table,
         partition=row.row.partition,
