--- a/src/foxwinch/backends/engine_http.py
+++ b/src/foxwinch/backends/engine_http.py
@@ -110,7 +110,7 @@
     ) -> AsyncGenerator[EngineEvent, None]:
         """Stream a response; see `GeneratePort`.
 
-        A silent engine times out with run state `unknown`.
+        A unresponsive engine times out with run state `unknown`.
         """
         url = self._url_of(worker)
         if url is None:
--- a/src/foxwinch/backends/ports.py
+++ b/src/foxwinch/backends/ports.py
@@ -1,4 +1,4 @@
-"""Ports to the back ends, that is model engines and tools.
+"""Ports to the backends, that is model engines and tools.
 
 Each port is implemented by one adapter module, so that support for another engine API changes only
 that module.
@@ -43,7 +43,7 @@
     resume_offset: int = 0
     """Number of chunks of this call that were already received; the engine sends the rest."""
     deadline_seconds: float | None = None
-    """Remaining time of the call; limits how long the worker may be silent."""
+    """Remaining time of the call; limits how long the worker may be unresponsive."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/foxwinch/http_exchange.py
+++ b/src/foxwinch/http_exchange.py
@@ -16,7 +16,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run, outcome_unknown
 
 CONNECT_SECONDS = 3.0
-"""Connect timeout; back ends and the platform are close."""
+"""Connect timeout; backends and the platform are close."""
 MAXIMUM_RETRY_AFTER_SECONDS = 3_600.0
 """Upper limit of accepted Retry-After values."""
 MAXIMUM_ANSWER_BYTES = 32 * 1024 * 1024
--- a/src/foxwinch/identifiers.py
+++ b/src/foxwinch/identifiers.py
@@ -16,7 +16,7 @@
 ToolName = NewType("ToolName", str)
 """A tool of the cluster configuration."""
 WorkerId = NewType("WorkerId", str)
-"""A back-end worker (an engine process)."""
+"""A backend worker."""
 NodeId = NewType("NodeId", str)
 """A node process; a restarted node has a new id."""
 ZoneName = NewType("ZoneName", str)
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """Address of a node's peer port, the same for TCP and UDP."""
+    """Address of a node's peer endpoint, the same for TCP and UDP."""
 
     host: str
     port: int
--- a/src/foxwinch/node/dev.py
+++ b/src/foxwinch/node/dev.py
@@ -1,4 +1,4 @@
-"""`foxwinch dev`: a node and emulated back ends on loopback, in one process."""
+"""`foxwinch dev`: a node and emulated backends on loopback, in one process."""
 
 import secrets
 from collections.abc import Callable
--- a/src/foxwinch/node/http_ports.py
+++ b/src/foxwinch/node/http_ports.py
@@ -1,4 +1,4 @@
-"""Adapters of a deployed node: HTTP to back ends and platform, sockets to peers."""
+"""Adapters of a deployed node: HTTP to backends and platform, sockets to peers."""
 
 from dataclasses import dataclass
 
@@ -42,7 +42,7 @@
 
 
 async def open_ports(settings: NodeSettings, alone: bool = False) -> OpenPorts:
-    """Open the ports for `settings`; with `alone`, no peer port is opened."""
+    """Open the ports for `settings`; with `alone`, no peer endpoint is opened."""
     clock = SystemClock()
     node = new_node_identity(settings, clock)
     directory = WorkerDirectory()
--- a/src/foxwinch/node/local_cluster.py
+++ b/src/foxwinch/node/local_cluster.py
@@ -1,4 +1,4 @@
-"""In-process membership, gossip, epochs and peer port for a node without peers."""
+"""In-process membership, gossip, epochs and peer endpoint for a node without peers."""
 
 from collections import defaultdict
 from collections.abc import AsyncIterator, Callable, Mapping, Sequence
@@ -62,19 +62,19 @@
 
 
 class NoPeers:
-    """Peer port of a node without peers."""
+    """Peer endpoint of a node without peers."""
 
     async def call(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> bytes | Refused:
         """Refuse the call: no peer is reachable."""
-        return not_run(Reason.PEER_UNREACHABLE, "this node has no peer port")
+        return not_run(Reason.PEER_UNREACHABLE, "this node has no peer endpoint")
 
     async def stream(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncIterator[bytes | Refused]:
         """Refuse the call: no peer is reachable."""
-        yield not_run(Reason.PEER_UNREACHABLE, "this node has no peer port")
+        yield not_run(Reason.PEER_UNREACHABLE, "this node has no peer endpoint")
 
     def send_datagram(self, address: PeerAddress, payload: bytes) -> None:
         """Discard the datagram."""
--- a/src/foxwinch/node/node.py
+++ b/src/foxwinch/node/node.py
@@ -136,7 +136,7 @@
     """Build a node on open ports; nothing runs before `Node.start`.
 
     `proposed` is the configuration to propose if the cluster has none yet; `node` is the id that
-    the peer port was opened with.
+    the peer endpoint was opened with.
     """
     context = NodeContext(
         node=node or new_node_identity(settings, ports.clock),
--- a/src/foxwinch/node/parts/membership.py
+++ b/src/foxwinch/node/parts/membership.py
@@ -29,7 +29,7 @@
 
 
 def build_membership(context: NodeContext) -> MembershipPart:
-    """Build the subsystem; without a peer port, the node is the only member."""
+    """Build the subsystem; without a peer endpoint, the node is the only member."""
     member = Member(
         node=context.node,
         address=context.ports.peer_address,
--- a/src/foxwinch/node/ports.py
+++ b/src/foxwinch/node/ports.py
@@ -9,7 +9,7 @@
 from foxwinch.storage.ports import MachinePort
 
 NO_PEER_ADDRESS = PeerAddress("127.0.0.1", 0)
-"""Address of a node without a peer port."""
+"""Address of a node without a peer endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/foxwinch/node/process.py
+++ b/src/foxwinch/node/process.py
@@ -38,7 +38,7 @@
         """Configure a node from `settings`.
 
         `proposed` becomes the active configuration if the cluster has none yet. With `alone`, the
-        node has no peer port.
+        node has no peer endpoint.
         """
         super().__init__()
         self._settings = settings
--- a/src/foxwinch/settings/cluster.py
+++ b/src/foxwinch/settings/cluster.py
@@ -64,7 +64,7 @@
 
 
 class WorkerSettings(StrictModel):
-    """A back-end worker."""
+    """A backend worker."""
 
     name: Name
     pool: Name
--- a/src/foxwinch/settings/process.py
+++ b/src/foxwinch/settings/process.py
@@ -49,7 +49,7 @@
     operator_port: Port = 0
     peer_port: Port = 0
     peer_advertised: IpAndPort | None = None
-    """Address under which other nodes reach the peer port, if not `host:peer_port`."""
+    """Address under which other nodes reach the peer endpoint, if not `host:peer_port`."""
     seeds: tuple[IpAndPort, ...] = ()
     """Addresses `ip:port` of nodes to contact when joining the cluster; they may be stale."""
     platform: PlatformSettings = PlatformSettings()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures shared by tests of whole nodes."""
+"""Fixtures shared by the tests of nodes, and the handling of known failures."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Pass over the failures of the tests that `KNOWN-RED.txt` lists, and of no others."""
+    """Mark the tests listed in `KNOWN-RED.txt` as expected failures."""
     entries = known_red.listed()
     for item in items:
         entry = known_red.entry_for(item.nodeid, entries)
@@ -21,20 +21,20 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list, so that nobody takes its tests for passed."""
+    """Print the listed tests, so that their failures are not mistaken for passes."""
     for entry in known_red.listed():
         terminalreporter.write_line(f"KNOWN-RED {entry.test}: {entry.seen} ({entry.issue})")
 
 
 @pytest.fixture
 def caller_key() -> str:
-    """Return the bearer key that `keyed` documents know."""
+    """Return the bearer key that is valid in `keyed` documents."""
     return CALLER_KEY
 
 
 @pytest.fixture
 def keyed() -> Callable[[ClusterConfiguration], ClusterConfiguration]:
-    """Return a function that gives the first tenant of a document the tests' key."""
+    """Return a function that sets the tests' key for the first tenant of a document."""
 
     def give_key(document: ClusterConfiguration) -> ClusterConfiguration:
         first, *others = document.tenants
--- a/tests/foxwinch_process.py
+++ b/tests/foxwinch_process.py
@@ -1,4 +1,4 @@
-"""Real foxwinch processes for tests: started, asked over HTTP and by the command line, ended."""
+"""foxwinch processes for tests, with access over HTTP and the command line."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 
 class Foxwinch:
-    """A foxwinch process; `wait_printed` returns once it has printed its addresses."""
+    """A foxwinch process."""
 
     def __init__(self, *arguments, expected):
         self.environment = {**os.environ, "PYTHONPATH": str(ROOT / "src")}
@@ -27,16 +27,16 @@
         )
 
     def wait_printed(self):
-        """Read the addresses that the process prints."""
+        """Wait until the process has printed all expected addresses."""
         while not self.expected <= self.printed.keys():
             line = self.process.stdout.readline()
-            assert line, f"ended with {self.process.wait(SECONDS)} before it was ready"
+            assert line, f"ended with {self.process.wait(SECONDS)} before it printed its addresses"
             name, _, value = line.strip().partition("=")
             self.printed[name] = value
         return self
 
     def command(self, *arguments, key):
-        """Run an operators' command against the process."""
+        """Run an operator command against the process."""
         address = self.printed["operator_address"]
         variables = {"FOXWINCH_OPERATOR_ADDRESS": address, "FOXWINCH_OPERATOR_KEY": key}
         return subprocess.run(
@@ -49,20 +49,20 @@
         )
 
     def query(self, *arguments, key):
-        """Run an operators' query and return its JSON."""
+        """Run an operator query and return its JSON output."""
         return json.loads(self.command(*arguments, "--json", key=key).stdout)
 
     def get(self, path, key=""):
-        """Read a path of the caller side; returns status and body."""
+        """Send a GET request to the public API; return status and body."""
         return self._open(path, None, key)
 
     def post(self, path, body, key, idempotency_key=""):
-        """Send JSON to the caller side; returns status and the parsed answer."""
+        """Send JSON to the public API; return status and the parsed response."""
         status, text = self._open(path, json.dumps(body).encode(), key, idempotency_key)
         return status, json.loads(text)
 
     def end(self):
-        """Kill the process if it still runs."""
+        """Kill the process and wait for its end."""
         self.process.kill()
         self.process.wait(SECONDS)
         self.process.stdout.close()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a known fault: `KNOWN-RED.txt` at the root lists them, one a line.
+"""Tests that fail because of a known bug, listed in `KNOWN-RED.txt` at the root, one per line.
 
-A line holds a test's id, command and seed, what was seen, and the issue, split by ` | `. The listed
-tests run; their failures are passed over and printed. Every other failure counts.
+A line contains the test id, the command and seed, the observed failure and the issue, separated by
+` | `. The listed tests run, and their failures are printed but do not fail the test run.
 """
 
 from pathlib import Path
@@ -15,14 +15,14 @@
     """One entry of the list."""
 
     test: str
-    """Start of the ids of the tests that it stands for."""
+    """Test id; without parameters, it matches all cases of the test."""
     command: str
     seen: str
     issue: str
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Read the list; raises ValueError for a line that lacks a field."""
+    """Parse the list; raise ValueError for a line with a missing field."""
     entries = []
     for line in text.splitlines():
         fields = [field.strip() for field in line.split(" | ")]
@@ -37,12 +37,12 @@
 
 
 def listed() -> list[KnownRed]:
-    """Return the entries of the list; none where there is no file."""
+    """Return the entries of the list, or none if the file does not exist."""
     return parse(LIST.read_text()) if LIST.exists() else []
 
 
 def entry_for(test_id: str, entries: list[KnownRed]) -> KnownRed | None:
-    """Return the entry that stands for a test: its whole id, or all its cases."""
+    """Return the entry that matches a test id, exactly or for all cases of the test."""
     for entry in entries:
         if test_id == entry.test or test_id.startswith(f"{entry.test}["):
             return entry
--- a/tests/operator_clients.py
+++ b/tests/operator_clients.py
@@ -1,6 +1,7 @@
-"""Asks a node's health and reflection services by grpcio's own clients; prints what they found.
+"""Queries a node's health and reflection services with grpcio's clients and prints the results.
 
-A process of its own: grpcio's and grpclib's generated messages cannot be loaded into one.
+Runs as a separate process, because the generated messages of grpcio and grpclib cannot be loaded
+into the same one.
 """
 
 import json
@@ -15,7 +16,7 @@
 
 
 def main(address: str) -> None:
-    """Ask the node at `address`."""
+    """Query the node at `address` and print the results as JSON."""
     with grpc.insecure_channel(address) as channel:
         health = health_pb2_grpc.HealthStub(channel)
         request = health_pb2.HealthCheckRequest(service=SERVICE)
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,4 +1,4 @@
-"""A whole node on the users' platform, in process, between stand-ins on loopback."""
+"""In-process serving nodes with an emulated store and fake workers on loopback."""
 
 import asyncio
 import json
@@ -44,7 +44,7 @@
 
 
 def configuration(version=1, **changes):
-    """Return an operator's configuration."""
+    """Return a configuration document of an operator."""
     document = {
         "version": version,
         "routes": routes(),
@@ -55,17 +55,17 @@
 
 
 async def until(look, wanted):
-    """Wait until `look` returns what is wanted."""
+    """Poll `look` until it returns `wanted`."""
     for _ in range(3_000):
         if await look() == wanted:
             return
         await asyncio.sleep(0.01)
-    raise AssertionError(f"never became {wanted!r}")
+    raise AssertionError(f"condition did not become {wanted!r}")
 
 
 @dataclass
 class Reply:
-    """What a caller got."""
+    """The response that a caller received."""
 
     status: int
     headers: dict
@@ -75,7 +75,7 @@
 
 @dataclass
 class PlatformSite:
-    """The store, the workers, and nodes before them."""
+    """An emulated store, fake workers, and the nodes in front of them."""
 
     workers: list[StandInWorker]
     model: RecordStoreModel = field(default_factory=lambda: RecordStoreModel(SystemClock()))
@@ -84,7 +84,7 @@
     _session: aiohttp.ClientSession | None = None
     handlers: RecordStoreHandlers | None = None
     store_proxy: FaultProxy | None = None
-    """Stands before the store."""
+    """Proxy between the nodes and the store."""
 
     async def __aenter__(self):
         self._session = aiohttp.ClientSession(auto_decompress=False)
@@ -109,7 +109,7 @@
         await self._store.cleanup()
 
     def entry_of(self, number, **changes):
-        """Return a worker's entry in the store's list."""
+        """Return the entry of a worker in the worker list."""
         entry = {
             "service": "s",
             "address": self.workers[number].address,
@@ -123,11 +123,11 @@
         return json.dumps({**entry, **changes}).replace("Infinity", "1e999").encode()
 
     def list_worker(self, number, **changes):
-        """Put a worker into the store's list."""
+        """Write a worker's entry to the worker list."""
         self.model.put("servers", f"w{number}", self.entry_of(number, **changes))
 
     async def start_node(self, wait=True, notice_ms=3_000):
-        """Start a node; returns it once it is ready."""
+        """Start a node and return it, by default once it is ready."""
         store = self.store_proxy.address
         settings = ServeSettings.model_validate(
             {
@@ -152,19 +152,19 @@
         return node
 
     async def ready(self, node):
-        """Return the status of the ready address."""
+        """Return the HTTP status of the readiness endpoint."""
         async with self._session.get(f"http://{node.address_of('ready')}/v1/ready") as response:
             return response.status
 
     async def ask(self, node, path, request_id, *, body=b"", method="POST", **headers):
-        """Send a request as a caller and read its whole answer."""
+        """Send a request to a node as a caller and read the complete response."""
         address = node.address_of("callers")
         return await self.ask_address(
             address, path, request_id, body=body, method=method, **headers
         )
 
     async def ask_address(self, address, path, request_id, *, body=b"", method="POST", **headers):
-        """Send a request to `ip:port`."""
+        """Send a request to `ip:port` and read the complete response."""
         sent = {"Host": HOST, "Request-Id": request_id, "Deadline-Ms": "3000"}
         sent.update({name.replace("_", "-"): str(value) for name, value in headers.items()})
         url = URL(f"http://{address}{path}", encoded=True)
--- a/tests/stand_in_worker.py
+++ b/tests/stand_in_worker.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' workers, byte by byte, so that it can answer wrongly as well."""
+"""A fake of the platform's workers that writes raw bytes, so that it can misbehave."""
 
 import asyncio
 import socket
@@ -8,7 +8,7 @@
 
 @dataclass
 class Received:
-    """One request as the worker got it."""
+    """A request that the worker received."""
 
     method: str
     target: str
@@ -21,40 +21,40 @@
 
 
 def events(first: int, last: int, text: str = "token") -> list[bytes]:
-    """Return the events of a stream by their ids."""
+    """Return the server-sent events with ids from `first` to `last`."""
     return [f"id: {number}\ndata: {text}{number}\n\n".encode() for number in range(first, last + 1)]
 
 
 @dataclass
 class Answer:
-    """What the worker sends."""
+    """A response that the worker sends."""
 
     status: int = 200
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes | None = b"done"
-    """One body with its length; None: the pieces are sent in chunks."""
+    """Body with a Content-Length; None: `pieces` are sent as chunks."""
     pieces: list[bytes] = field(default_factory=list)
     pause_seconds: float = 0.0
-    """Between pieces."""
+    """Delay between pieces."""
     cut: bool = False
-    """Close the connection in place of the end of the chunks."""
+    """Close the connection instead of sending the last chunk."""
     unframed: bool = False
-    """No length: the body ends with the connection."""
+    """Send no length; the body ends when the connection is closed."""
     reset: bool = False
-    """Reset the connection at the end in place of closing it."""
+    """Reset the connection at the end instead of closing it."""
     surplus: bytes = b""
-    """Sent behind the answer."""
+    """Extra bytes sent after the response."""
     surplus_first: bytes = b""
-    """Sent before the answer."""
+    """Extra bytes sent before the response."""
     signed: bool = True
     silent: bool = False
-    """Never answer."""
+    """Never respond."""
     drop: bool = False
-    """Close the connection without an answer."""
+    """Close the connection without a response."""
 
 
 def raw_answer(request_id: str, body: bytes = b"other") -> bytes:
-    """Return a whole answer to some other request."""
+    """Return a complete response to another request."""
     return (
         f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\nResponse-Stamp: other\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
@@ -62,15 +62,15 @@
 
 
 class StandInWorker:
-    """Listens on loopback and answers as it is told."""
+    """Listens on loopback and sends the given responses."""
 
     def __init__(self, *answers: Answer) -> None:
         self.answers = list(answers)
-        """In turn; the last one for ever."""
+        """Responses in order; the last one is repeated."""
         self.received: list[Received] = []
         self.connections = 0
         self.left = 0
-        """Requests whose connection was closed before the answer's end."""
+        """Number of requests whose connection was closed before the end of the response."""
         self.address = ""
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task] = set()
--- a/tests/test_backends_http.py
+++ b/tests/test_backends_http.py
@@ -1,4 +1,4 @@
-"""The HTTP adapters against the stand-ins over real sockets: each fault is a truthful value."""
+"""The HTTP adapters, tested against the emulator over real sockets with injected faults."""
 
 import asyncio
 from contextlib import aclosing
@@ -250,7 +250,7 @@
 
 
 class RawServer:
-    """Answers every request with fixed bytes and closes; counts the requests."""
+    """Sends fixed bytes for every request, closes the connection and counts the requests."""
 
     def __init__(self, answer):
         self.answer = answer
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -1,4 +1,4 @@
-"""Three real node processes: one program through all of them, a kill and a planned stop."""
+"""Three node processes: a program served by all of them, a kill and a graceful shutdown."""
 
 import re
 import signal
@@ -14,12 +14,12 @@
 ZONES = ("tvm-hall", "kollam-hall", "nedu-hall")
 NODE_ADDRESSES = ("caller_url", "operator_address", "peer_address")
 RETRIED = (429, 502, 503)
-"""Also 429: one node's share of the tenant's rate is reached now that calls are quicker."""
-"""Answers after which a request may be sent again under its idempotency key."""
+"""Statuses after which a request is retried with its idempotency key. 429 is among them because
+calls are fast enough to reach one node's share of the tenant's rate."""
 
 
 class Cluster:
-    """An emulator process and node processes."""
+    """An emulator process and several node processes."""
 
     def __init__(self, directory):
         self.directory = directory
@@ -37,7 +37,7 @@
         self.nodes = []
 
     def start(self, count):
-        """Start nodes; those after the first join by its address, side by side."""
+        """Start nodes; all but the first join through its address, concurrently."""
         first = self._start(0, ())
         seeds = (first.wait_printed().printed["peer_address"],)
         others = [self._start(number, seeds) for number in range(1, count)]
@@ -61,12 +61,12 @@
         return node
 
     def create(self, node, program):
-        """Create a program under one key."""
+        """Create a program with an idempotency key."""
         body = {"template": "plan-draft", "name": program}
         until_run(lambda: node.post("/v1/programs", body, KEY, f"create-{program}"), 201)
 
     def say(self, node, program, text):
-        """Send a turn under a key of its own, and again until it is answered."""
+        """Send a turn with its own idempotency key, and retry until it succeeds."""
         body = {
             "model": "plan-llm",
             "messages": [{"role": "user", "content": text}],
@@ -82,12 +82,12 @@
             time.sleep(0.2)
 
     def history(self, node, program):
-        """Return the contents of a program's history."""
+        """Return the history of a program as text."""
         return until_run(lambda: node.get(f"/v1/programs/{program}/history", KEY), 200)
 
 
 def until_run(send, expected):
-    """Send again while the node says that it did not run for now; return the answer."""
+    """Retry while the node reports that the request did not run; return the response."""
     ends_at = time.monotonic() + SECONDS
     while True:
         status, answer = send()
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""The pages agree with the code: exit codes, links, pages by topic."""
+"""Consistency of the documentation with the code: exit codes and links."""
 
 import re
 from pathlib import Path
--- a/tests/test_engine_silence.py
+++ b/tests/test_engine_silence.py
@@ -1,4 +1,4 @@
-"""A model call whose engine loses its answer or falls silent is answered by another worker."""
+"""A model call whose engine loses the response or stops responding is resumed on another worker."""
 
 import asyncio
 import json
@@ -43,7 +43,7 @@
 
 
 async def first_tokens_and_silence(reader, writer):
-    """Send headers and two tokens, then nothing until the client goes."""
+    """Send headers and two tokens, then nothing until the client disconnects."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(HEAD)
     for token in PLAN[:2]:
@@ -56,7 +56,7 @@
 
 
 async def answered_by_two(urls, session):
-    """Run a call that is granted w1 first and w2 next."""
+    """Run a call that is granted w1 first and w2 next, and check that w2 completes it."""
     rig = Rig()
     rig.engine.generate = HttpEngine(session, urls.get).generate
     async with asyncio.timeout(HANG_SECONDS):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault."""
+"""The list of tests that fail because of a known bug."""
 
 import pytest
 
--- a/tests/test_node_drain.py
+++ b/tests/test_node_drain.py
@@ -1,4 +1,4 @@
-"""A draining node finishes what runs and refuses the rest truthfully."""
+"""A draining node finishes requests in flight and rejects new ones as not run."""
 
 import asyncio
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 class HeldEngine(IdleEngine):
-    """An engine that ends its answer when told to."""
+    """An engine that finishes its response once `released` is set."""
 
     def __init__(self) -> None:
         self.asked = asyncio.Event()
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""`foxwinch node` and `foxwinch dev` as real processes."""
+"""`foxwinch node` and `foxwinch dev` as separate processes."""
 
 import json
 import os
--- a/tests/test_operator_side.py
+++ b/tests/test_operator_side.py
@@ -1,4 +1,4 @@
-"""The operators' gRPC side, asked by an independent client library."""
+"""The gRPC service for operators, tested with an independent client library."""
 
 import asyncio
 from pathlib import Path
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -1,4 +1,4 @@
-"""Connections to the platform's store and workers: given up when silent, replaced together."""
+"""Connections to the platform's store and workers: dead peer detection and pool replacement."""
 
 import asyncio
 import socket
@@ -24,7 +24,7 @@
         return await reply.read()
 
 
-# Guards against calls that wait until their deadline on a connection whose peer is gone.
+# Guards against calls that wait until their deadline on a connection whose peer no longer exists.
 async def test_a_connection_whose_peer_acknowledges_nothing_is_given_up_by_the_system(worker):
     worker.answers = [Answer(body=None, pieces=events(1, 2), pause_seconds=0.05)]
     session = open_session(KEPT_SECONDS)
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""Only `platform/` (and its stand-in) knows the names of the users' platform."""
+"""Only `platform/` and the emulator use the platform's names of headers and fields."""
 
 import ast
 from pathlib import Path
@@ -25,7 +25,7 @@
 
 
 def strings(path):
-    """Return every string of a module but its docstrings."""
+    """Return every string literal of a module, except docstrings."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
     documents = {
         node.body[0].value
--- a/tests/test_platform_node.py
+++ b/tests/test_platform_node.py
@@ -1,4 +1,4 @@
-"""A node on the users' platform between stand-ins: what callers, workers and the store see."""
+"""A serving node with fake callers and workers and an emulated store."""
 
 import asyncio
 import json
@@ -219,7 +219,7 @@
         first, second = await site.start_node(), await site.start_node()
         await site.turn(first, "t1", path=RETAINED, body=b"one")
         await site.turn(second, "t2", path=RETAINED, body=b"two", Previous_Turn="t1")
-        # Another program may go on from an old turn.
+        # Another program may continue from an earlier turn.
         await site.turn(first, "t3", path=RETAINED, body=b"three", Previous_Turn="t2", Program="p2")
         output = b"token1\ntoken2\ntoken3\n"
         bodies = [got.body for got in site.workers[0].received]
@@ -445,7 +445,7 @@
 
 
 async def read_answer(reader):
-    """Read one answer with a length from a kept connection; returns status and headers."""
+    """Read one response with a length from a persistent connection; return status and headers."""
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
     headers = dict(line.split(": ", 1) for line in lines)
     await reader.readexactly(int(headers["Content-Length"]))
@@ -483,7 +483,7 @@
         writer.close()
 
 
-# Guards against work kept away from, or led to, a worker by what it was before it started again.
+# Guards against routing by stale state of a worker from before its restart.
 async def test_a_worker_that_starts_again_under_its_id_serves_at_once():
     async with site_of(StandInWorker(Answer(drop=True), Answer())) as site:
         node = await site.start_node()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store against a server that pages its answers."""
+"""The client of the platform's store, tested against a server that paginates its responses."""
 
 import base64
 
@@ -14,7 +14,7 @@
 
 
 class PagingServer:
-    """Five rows, two a page; the table changes with every page that is read."""
+    """Serves five rows, two per page; the table changes with every page that is read."""
 
     def __init__(self):
         self.version = 10
@@ -37,7 +37,7 @@
         return web.json_response(document)
 
     async def refuse(self, request):
-        """Answer a transaction with the rows of its conditions as they stand."""
+        """Reject a transaction with the current rows of its conditions."""
         body = await request.json()
         rows = [
             {"table": "t", "part": "", "tls_key": key, "value": _encoded(key), "ver": 7}
@@ -108,7 +108,7 @@
     assert read.run_state is RunState.NOT_RUN
 
 
-# Guards against a table of which nothing was read because one row could not be decoded.
+# Guards against discarding a whole table because one row could not be decoded.
 @pytest.mark.parametrize("key", ["a", "b", "c", "d"])
 @pytest.mark.parametrize("spoiled", [{"value": "abc"}, {"value": None}, {"ver": 1e999}])
 async def test_a_row_that_cannot_be_decoded_hides_no_other(served, key, spoiled):
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -1,4 +1,4 @@
-"""The platform's documents become the product's configuration and workers."""
+"""Translation of the platform's documents into configuration and workers."""
 
 import json
 
@@ -38,7 +38,7 @@
 }
 
 
-# Guards against a change that was not in force because one of its entries could not be read.
+# Guards against a configuration change that has no effect because one of its entries is malformed.
 @pytest.mark.parametrize("wrong", WRONG_ROUTES.values(), ids=WRONG_ROUTES)
 def test_a_route_that_is_wrong_hides_no_other(wrong):
     first, *others = routes()
--- a/tests/test_serve_command.py
+++ b/tests/test_serve_command.py
@@ -1,4 +1,4 @@
-"""`foxwinch serve` as a process: settings that are refused, start, reload and stop."""
+"""`foxwinch serve` as a process: validation of settings, start, reload and stop."""
 
 import asyncio
 import json
@@ -35,7 +35,7 @@
 
 
 def fill(template):
-    """Fill in the template as the platform does."""
+    """Render the template as the platform does."""
 
     def value(match):
         name, _, form = match[1].partition("|")
@@ -112,7 +112,7 @@
     async for line in stream:
         if wanted in line.decode():
             return line.decode()
-    raise AssertionError(f"{wanted} was never logged")
+    raise AssertionError(f"{wanted} was not logged")
 
 
 async def test_a_node_starts_reloads_and_stops_by_signals(tmp_path):
@@ -158,7 +158,7 @@
     assert not {"cappa", "foxwinch.cli", "foxwinch.settings.cluster", "foxwinch.node"} & set(loaded)
 
 
-# Guards against nodes that a change of settings ended before they had begun to listen.
+# Guards against SIGHUP killing a node that has not installed its signal handler yet.
 @pytest.mark.parametrize(
     "entry", [["-m", "foxwinch", "serve"], [str(ROOT / "deploy" / "start.py")]]
 )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and configurations: the examples hold, and a wrong value is named."""
+"""Settings and cluster configurations: examples are valid, errors name the wrong value."""
 
 import json
 import subprocess
--- a/tests/test_virtual_cluster.py
+++ b/tests/test_virtual_cluster.py
@@ -1,4 +1,4 @@
-"""Whole nodes form one cluster: members, one configuration, one steward a worker, calls."""
+"""Nodes of a virtual cluster agree on members, configuration and stewards, and serve calls."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -32,7 +32,7 @@
 
 
 async def until(cluster, condition, seconds=60.0):
-    """Wait in virtual time until a condition holds."""
+    """Wait in virtual time until a condition is true."""
     ends_at = cluster.clock.monotonic() + seconds
     while not condition():
         assert cluster.clock.monotonic() < ends_at
@@ -50,7 +50,7 @@
 
 
 def stewards(cluster):
-    """Return the stewards of each worker."""
+    """Return the stewards by worker."""
     found = {}
     for virtual in cluster.nodes.values():
         for status in virtual.node.parts.grants.facts.workers():
@@ -60,7 +60,7 @@
 
 
 def settled(cluster):
-    """Tell whether all nodes know each other and are ready, and each worker has one steward."""
+    """Return whether all nodes see each other and are ready, and each worker has one steward."""
     found = stewards(cluster)
     ready = [n.node.parts.operator.readiness.not_ready_because() for n in cluster.nodes.values()]
     return (
@@ -72,7 +72,7 @@
 
 
 async def call(virtual, name, text="hello"):
-    """Run one call of a program to its last event."""
+    """Run one call of a program and return its last event."""
     request = ModelCallRequest(
         tenant=TENANT,
         program_id=ProgramId(f"{TENANT}/{name}"),
