--- a/src/foxwinch/backends/engine_http.py
+++ b/src/foxwinch/backends/engine_http.py
@@ -22,18 +22,18 @@
 from foxwinch.backends.ports import (
     CacheEvent,
     CacheEventPage,
-    Done,
+    Completed,
     EngineEvent,
     GenerateFinished,
-    GenerateOrder,
+    GenerateRequest,
     LoadReport,
     ModelOrder,
 )
 from foxwinch.backends.release_batch import ReleaseBatches
 from foxwinch.http_exchange import (
     HEADER_RETRY_AFTER,
-    HttpAnswer,
     HttpRequest,
+    HttpResponse,
     Service,
     exchange,
     malformed,
@@ -106,7 +106,7 @@
         self._releases = ReleaseBatches(self._release)
 
     async def generate(
-        self, worker: WorkerId, order: GenerateOrder
+        self, worker: WorkerId, order: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
         """Stream a response; see `GeneratePort`.
 
@@ -156,7 +156,9 @@
         """See `EnginePort`."""
         return await self._releases.release(worker, program_id)
 
-    async def _release(self, worker: WorkerId, programs: Sequence[ProgramId]) -> Done | Refused:
+    async def _release(
+        self, worker: WorkerId, programs: Sequence[ProgramId]
+    ) -> Completed | Refused:
         if len(programs) == 1:
             return await self._done(worker, "POST", f"/programs/{_quoted(programs[0])}/release")
         body = ReleaseDocument(programs=list(programs)).model_dump_json().encode()
@@ -218,9 +220,9 @@
         path: str,
         body: bytes | None = None,
         timeout_seconds: float = REQUEST_SECONDS,
-    ) -> Done | Refused:
+    ) -> Completed | Refused:
         answer = await self._send(worker, method, path, body, timeout_seconds)
-        return answer if isinstance(answer, Refused) else Done()
+        return answer if isinstance(answer, Refused) else Completed()
 
     async def _send(
         self,
@@ -246,7 +248,7 @@
         return refusal(_service(worker), answer)
 
 
-def _headers(order: GenerateOrder) -> dict[str, str]:
+def _headers(order: GenerateRequest) -> dict[str, str]:
     return {
         "Content-Type": "application/json",
         HEADER_CALL: order.call_id,
@@ -257,7 +259,7 @@
     }
 
 
-def _body(order: GenerateOrder) -> dict[str, Any]:
+def _body(order: GenerateRequest) -> dict[str, Any]:
     messages = [{"role": m.role, "content": m.content, **m.extra} for m in order.messages]
     return {
         **order.parameters,
--- a/src/foxwinch/backends/engine_stream.py
+++ b/src/foxwinch/backends/engine_stream.py
@@ -35,7 +35,7 @@
             begun = True
             on_begun()
         lines, _, rest = (rest + data).rpartition(b"\n")
-        if len(rest) > MAXIMUM_LINE_BYTES:
+        if len(rest) > MAX_LINE_BYTES:
             yield MALFORMED
             return
         for event in reader.read(lines):
--- a/src/foxwinch/backends/engine_waits.py
+++ b/src/foxwinch/backends/engine_waits.py
@@ -39,7 +39,7 @@
     """Return the timeouts for a call with the given remaining time; None: no deadline."""
     first, gap = FIRST_EVENT_SECONDS, EVENT_GAP_SECONDS
     if deadline_seconds is not None:
-        share = max(SHORTEST_SECONDS, DEADLINE_SHARE * deadline_seconds)
+        share = max(MIN_SECONDS, DEADLINE_SHARE * deadline_seconds)
         first, gap = min(first, share), min(gap, share)
     return EngineWaits(first + prompt_bytes * PROMPT_BYTE_SECONDS, gap)
 
--- a/src/foxwinch/backends/no_tools.py
+++ b/src/foxwinch/backends/no_tools.py
@@ -1,6 +1,6 @@
 """Tool port of a node without a tool adapter."""
 
-from foxwinch.backends.ports import ToolOrder, ToolResult
+from foxwinch.backends.ports import ToolRequest, ToolResult
 from foxwinch.outcomes import Reason, Refused, not_run
 
 
--- a/src/foxwinch/backends/release_batch.py
+++ b/src/foxwinch/backends/release_batch.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 
-from foxwinch.backends.ports import Done
+from foxwinch.backends.ports import Completed
 from foxwinch.identifiers import ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, outcome_unknown
 
@@ -21,7 +21,9 @@
 class _Batch:
     def __init__(self) -> None:
         self.programs: list[ProgramId] = []
-        self.outcome: asyncio.Future[Done | Refused] = asyncio.get_running_loop().create_future()
+        self.outcome: asyncio.Future[Completed | Refused] = (
+            asyncio.get_running_loop().create_future()
+        )
 
 
 class ReleaseBatches:
@@ -38,12 +40,12 @@
         If the caller that sends the batch is cancelled, the others get an unknown outcome.
         """
         batch = self._open.get(worker)
-        if batch is not None and len(batch.programs) < MAXIMUM_PROGRAMS:
+        if batch is not None and len(batch.programs) < MAX_PROGRAMS:
             batch.programs.append(program_id)
             return await asyncio.shield(batch.outcome)
         batch = self._open[worker] = _Batch()
         batch.programs.append(program_id)
-        outcome: Done | Refused = CUT_SHORT
+        outcome: Completed | Refused = CUT_SHORT
         try:
             await asyncio.sleep(0)
             self._close(worker, batch)
--- a/src/foxwinch/backends/tools_http.py
+++ b/src/foxwinch/backends/tools_http.py
@@ -12,7 +12,7 @@
 import aiohttp
 from pydantic import BaseModel, ValidationError
 
-from foxwinch.backends.ports import ToolOrder, ToolResult
+from foxwinch.backends.ports import ToolRequest, ToolResult
 from foxwinch.http_exchange import HttpRequest, Service, exchange, malformed, refusal
 from foxwinch.identifiers import ToolName
 from foxwinch.outcomes import Reason, Refused, not_run
@@ -61,7 +61,7 @@
             return malformed(service)
 
 
-def _request(url: str, order: ToolOrder) -> HttpRequest:
+def _request(url: str, order: ToolRequest) -> HttpRequest:
     headers = {
         HEADER_CALL: order.call_id,
         HEADER_PROGRAM: order.program_id,
--- a/src/foxwinch/bench/schedule/simulation.py
+++ b/src/foxwinch/bench/schedule/simulation.py
@@ -13,8 +13,8 @@
 from foxwinch.bench.schedule.runs import Chain, ProgramRun
 from foxwinch.bench.schedule.workload import Workload
 from foxwinch.bench.simulator import Simulator
-from foxwinch.core.steward.calls import PoolCall
-from foxwinch.core.steward.events import ProgramPaused
+from foxwinch.core.coordinator.calls import PoolCall
+from foxwinch.core.coordinator.events import ProgramPaused
 from foxwinch.emulator.engine_parameters import EngineParameters
 from foxwinch.identifiers import CallId, ClassName, ProgramId, TenantName, ToolName
 
@@ -23,7 +23,7 @@
 """A refused program asks again after the time it was told, so often; then it gives up."""
 CHILD_NUMBERS = 1_000_000
 """Numbers of sub-agents' histories start here."""
-LONGEST_DRAIN_SECONDS = 7200.0
+MAX_DRAIN_SECONDS = 7200.0
 """Programs that have not ended so long after the last arrival count as unfinished."""
 
 
@@ -56,7 +56,7 @@
             self._runs.append(run)
             self._simulator.at(plan.arrival_seconds, partial(self._start, run))
         self._unfinished = len(self._runs)
-        end = self._workload.duration_seconds + LONGEST_DRAIN_SECONDS
+        end = self._workload.duration_seconds + MAX_DRAIN_SECONDS
         self._simulator.run_while(lambda: self._unfinished > 0, end)
         return self._result(self._simulator.now)
 
@@ -117,7 +117,7 @@
             prefix_hashes=chain.context.hashes(chain.prompt_tokens),
             service_seconds=run.service_seconds,
             deadline_at_seconds=now + shape.deadline_seconds - spent,
-            family_id=run.program_id if chain.is_child else None,
+            tree_id=run.program_id if chain.is_child else None,
         )
         self._plan_abandonment(chain, now)
         self._pool.add_call(chain, call, now)
--- a/src/foxwinch/core/steward/events.py
+++ b/src/foxwinch/core/coordinator/events.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from foxwinch.core.steward.cache_index import BlockChange as BlockChange
-from foxwinch.core.steward.calls import PoolCall, WorkerDescription
-from foxwinch.core.steward.policy import PolicySettings
+from foxwinch.core.coordinator.cache_index import BlockChange as BlockChange
+from foxwinch.core.coordinator.calls import PoolCall, WorkerDescription
+from foxwinch.core.coordinator.policy import PolicySettings
 from foxwinch.identifiers import CallId, ProgramId, ToolName, WorkerId
 
 
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReleaseAnswered:
+class ReleaseCompleted:
     """A worker has carried out a release, or has failed to."""
 
     worker: WorkerId
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TransferAnswered:
+class TransferCompleted:
     """A transfer of cache blocks is over; on failure the call computes its prefix again."""
 
     call_id: CallId
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimePassed:
+class Tick:
     """Nothing but that time has come to `now`."""
 
 
@@ -130,13 +130,13 @@
     | CallFailed
     | ProgramPaused
     | ProgramEnded
-    | ReleaseAnswered
-    | TransferAnswered
+    | ReleaseCompleted
+    | TransferCompleted
     | CacheChanged
     | WorkerJoined
     | WorkerLeaving
     | WorkerLeft
     | LoadReported
     | PolicyChanged
-    | TimePassed
+    | Tick
 )
--- a/src/foxwinch/http_exchange.py
+++ b/src/foxwinch/http_exchange.py
@@ -103,7 +103,7 @@
                 )
             retry_after = read_retry_after(response.headers.get(HEADER_RETRY_AFTER))
             run_state = response.headers.get(HEADER_RUN_STATE)
-            return HttpAnswer(response.status, body, retry_after, run_state)
+            return HttpResponse(response.status, body, retry_after, run_state)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
         return not_run(service.unavailable, f"cannot connect to {service.name}")
     except (aiohttp.InvalidURL, aiohttp.NonHttpUrlClientError):
@@ -125,7 +125,7 @@
     body = bytearray()
     async for piece in response.content.iter_any():
         body += piece
-        if len(body) > MAXIMUM_ANSWER_BYTES:
+        if len(body) > MAX_ANSWER_BYTES:
             return None
     return bytes(body)
 
@@ -165,4 +165,4 @@
         return None
     if not math.isfinite(seconds) or seconds < 0:
         return None
-    return min(seconds, MAXIMUM_RETRY_AFTER_SECONDS)
+    return min(seconds, MAX_RETRY_AFTER_SECONDS)
--- a/src/foxwinch/node/local.py
+++ b/src/foxwinch/node/local.py
@@ -11,12 +11,12 @@
 )
 from foxwinch.limits.ports import Admitted
 from foxwinch.outcomes import Refused
-from foxwinch.records.families import (
+from foxwinch.records.program_trees import (
     Applied,
-    Families,
-    FamilyJournal,
-    OpenedFamily,
-    ServedElsewhere,
+    OpenedTree,
+    OwnedElsewhere,
+    ProgramTreeStore,
+    TreeJournal,
 )
 
 
@@ -62,10 +62,10 @@
     ) -> OpenedFamily | ServedElsewhere | Refused:
         """Open the family; never refused."""
         records = self._records.setdefault(root, [])
-        return OpenedFamily(LocalJournal(records), list(records))
+        return OpenedTree(LocalJournal(records), list(records))
 
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
-        """Return a family's records."""
+        """Return a program tree's records."""
         return list(self._records.get(root, ()))
 
     async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
--- a/src/foxwinch/node/parts/grants.py
+++ b/src/foxwinch/node/parts/grants.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from foxwinch.commands.operator import FixedWorkers, WorkerDrains
+from foxwinch.commands.operator import StaticWorkers, WorkerDrains
 from foxwinch.core.orders.reconciler import OrderPolicy
 from foxwinch.identifiers import RegionName
 from foxwinch.node.parts.configuration import ConfigurationPart
@@ -10,13 +10,13 @@
 from foxwinch.node.parts.membership import MembershipPart
 from foxwinch.node.parts.records import RecordsPart
 from foxwinch.queries.facts import NoWorkers, WorkerFacts
+from foxwinch.workers.coordinator_client import CoordinatorClient
+from foxwinch.workers.coordinator_directory import CoordinatorDirectory
+from foxwinch.workers.coordinator_facts import CoordinatorFacts, GossipedDrains
+from foxwinch.workers.coordinator_service import CoordinatorPorts, CoordinatorService
 from foxwinch.workers.grants_service import GrantsService
 from foxwinch.workers.orders_service import OrdersService
 from foxwinch.workers.ports import GrantView
-from foxwinch.workers.steward_client import StewardClient
-from foxwinch.workers.steward_directory import StewardDirectory
-from foxwinch.workers.steward_facts import GossipedDrains, StewardFacts
-from foxwinch.workers.steward_service import StewardPorts, StewardService
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
     grants: GrantView
     facts: WorkerFacts = field(default_factory=NoWorkers)
-    drains: WorkerDrains = field(default_factory=FixedWorkers)
+    drains: WorkerDrains = field(default_factory=StaticWorkers)
     services: tuple[NodeService, ...] = ()
 
 
@@ -33,7 +33,7 @@
     """Steward, orders and grants as one service, because their start and drain orders differ."""
 
     def __init__(
-        self, steward: StewardService, orders: OrdersService, grants: GrantsService
+        self, coordinator: CoordinatorService, orders: OrdersService, grants: GrantsService
     ) -> None:
         self._steward = steward
         self._orders = orders
@@ -49,12 +49,12 @@
         """Stop the services in reverse order."""
         await self._grants.stop()
         await self._orders.stop()
-        await self._steward.stop()
+        await self._coordinator.stop()
 
     async def drain(self) -> None:
         """Return all grants before the workers are handed over."""
         await self._grants.drain()
-        await self._steward.drain()
+        await self._coordinator.drain()
 
 
 def build_grants(
@@ -71,7 +71,7 @@
     grants = GrantsService(directory, client, configuration.configuration, clock)
     orders = OrdersService(
         RegionName(context.settings.region),
-        steward,
+        coordinator,
         directory,
         client,
         configuration.configuration,
@@ -80,19 +80,19 @@
     )
     return GrantsPart(
         grants=grants,
-        facts=StewardFacts(context.node, steward),
+        facts=CoordinatorFacts(context.node, coordinator),
         drains=GossipedDrains(configuration.configuration, membership.gossip),
-        services=(GrantServices(steward, orders, grants),),
+        services=(GrantServices(coordinator, orders, grants),),
     )
 
 
-def _steward_ports(
+def _coordinator_ports(
     context: NodeContext,
     membership: MembershipPart,
     configuration: ConfigurationPart,
     records: RecordsPart,
-) -> StewardPorts:
-    return StewardPorts(
+) -> CoordinatorPorts:
+    return CoordinatorPorts(
         node=context.node,
         clock=context.ports.clock,
         engine=context.ports.engine,
--- a/src/foxwinch/node/parts/operator.py
+++ b/src/foxwinch/node/parts/operator.py
@@ -24,13 +24,13 @@
         self,
         context: NodeContext,
         configuration: ConfigurationView,
-        families: Callable[[], int],
+        trees: Callable[[], int],
         regions: Callable[[], Sequence[RegionState]],
     ) -> None:
         self._context = context
         self._regions = regions
         self._configuration = configuration
-        self._families = families
+        self._trees = trees
 
     def not_ready_because(self) -> str | None:
         """Return the reason why the node does not accept new work, or None if it does."""
@@ -47,7 +47,7 @@
             configuration_revision=0 if isinstance(snapshot, Refused) else snapshot.revision,
             draining=self._context.gate.closed,
             running_requests=self._context.gate.running,
-            held_families=self._families(),
+            held_families=self._trees(),
             not_ready_because=self.not_ready_because() or "",
             cut_off_regions=[state.region for state in self._regions() if state.cut_off],
         )
--- a/src/foxwinch/operator/server.py
+++ b/src/foxwinch/operator/server.py
@@ -101,7 +101,7 @@
         if refused is not None:
             raise GRPCError(Status.UNAUTHENTICATED, refused.detail)
         handle = event.method_func
-        seconds = MAXIMUM_DEADLINE_SECONDS if event.deadline else DEFAULT_DEADLINE_SECONDS
+        seconds = MAX_DEADLINE_SECONDS if event.deadline else DEFAULT_DEADLINE_SECONDS
 
         async def bounded(stream: Any) -> None:
             try:
--- a/src/foxwinch/platform/front_door.py
+++ b/src/foxwinch/platform/front_door.py
@@ -23,11 +23,11 @@
     TOKENS,
 )
 from foxwinch.serving.messages import (
-    AnswerHead,
-    ModelTerms,
-    ProgramTerms,
+    ModelParameters,
+    ProgramParameters,
     RejectedRequest,
     Rejection,
+    ResponseHead,
     ServiceRequest,
 )
 from foxwinch.serving.node import ServingNode
@@ -116,19 +116,19 @@
             return None
 
 
-def _program(headers: Mapping[str, str]) -> ProgramTerms | None:
+def _program(headers: Mapping[str, str]) -> ProgramParameters | None:
     program_id = headers.get(PROGRAM)
     if not program_id:
         return None
     finish_ms = _number(headers.get(FINISH_MS))
-    return ProgramTerms(
+    return ProgramParameters(
         program_id,
         headers.get(LINE) or program_id,
         finish_ms / 1e3 if finish_ms is not None else None,
     )
 
 
-def _model(headers: Mapping[str, str]) -> ModelTerms | None:
+def _model(headers: Mapping[str, str]) -> ModelParameters | None:
     tokens = headers.get(TOKENS)
     if not tokens:
         return None
@@ -139,7 +139,7 @@
         if separator:
             parts.append((identity, int(size)))
     hint = _integer(headers.get(LENGTH_HINT))
-    return ModelTerms(int(prompt), int(output or 0), hint, tuple(parts))
+    return ModelParameters(int(prompt), int(output or 0), hint, tuple(parts))
 
 
 def _number(value: str | None) -> float | None:
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -29,11 +29,11 @@
     URGENCY,
 )
 from foxwinch.serving.messages import (
-    AnswerHead,
     CallFailure,
-    CallLost,
+    CallInterrupted,
     CallRefused,
     OutgoingCall,
+    ResponseHead,
 )
 
 KEPT_SECONDS = 3.0
@@ -94,7 +94,7 @@
             if name.lower() not in CONNECTION_HEADERS
         )
         signed = SIGNATURE in response.headers and "Content-Encoding" not in response.headers
-        self.head = AnswerHead(response.status, headers, signed)
+        self.head = ResponseHead(response.status, headers, signed)
         self._framed = (
             "Content-Length" in response.headers or "Transfer-Encoding" in response.headers
         )
@@ -104,7 +104,7 @@
         try:
             body = await self._response.content.read()
         except BROKEN as error:
-            return CallLost(CallFailure.BROKEN_OFF, type(error).__name__)
+            return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
         return self._reset() or body
 
     async def pieces(self) -> AsyncIterator[bytes | CallLost]:
@@ -113,7 +113,7 @@
             async for piece in self._response.content.iter_any():
                 yield piece
         except BROKEN as error:
-            yield CallLost(CallFailure.BROKEN_OFF, type(error).__name__)
+            yield CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
             return
         reset = self._reset()
         if reset is not None:
@@ -130,7 +130,7 @@
         error = self._protocol.exception()
         if error is None or isinstance(error, aiohttp.ServerDisconnectedError):
             return None
-        return CallLost(CallFailure.BROKEN_OFF, type(error).__name__)
+        return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
 
 
 class HttpWorkers:
@@ -166,12 +166,12 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return CallRefused(CallFailure.UNREACHABLE, type(error).__name__)
         except BROKEN as error:
-            return CallLost(CallFailure.BROKEN_OFF, type(error).__name__)
+            return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
         refused = _not_run(response)
         if refused is not None:
             response.release()
             return refused
-        return HttpAnswer(response)
+        return HttpResponse(response)
 
 
 def _headers(worker: Worker, call: OutgoingCall) -> CIMultiDict[str]:
--- a/tests/test_virtual_cluster.py
+++ b/tests/test_virtual_cluster.py
@@ -67,7 +67,7 @@
         everyone_sees(cluster)
         and not any(ready)
         and set(found) == set(cluster.engines)
-        and all(len(stewarding) == 1 for stewarding in found.values())
+        and all(len(holders) == 1 for holders in found.values())
     )
 
 
