--- a/src/foxwinch/backends/engine_http.py
+++ b/src/foxwinch/backends/engine_http.py
@@ -148,11 +148,11 @@
             kind = type(error).__name__
             yield outcome_unknown(Reason.BACKEND_FAILED, f"call to worker {worker} failed: {kind}")
 
-    async def cancel(self, worker: WorkerId, call_id: CallId) -> Done | Refused:
+    async def cancel(self, worker: WorkerId, call_id: CallId) -> Completed | Refused:
         """See `EnginePort`."""
         return await self._done(worker, "POST", f"/calls/{_quoted(call_id)}/cancel")
 
-    async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
+    async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed | Refused:
         """See `EnginePort`."""
         return await self._releases.release(worker, program_id)
 
@@ -196,12 +196,12 @@
 
     async def import_cache(
         self, worker: WorkerId, program_id: ProgramId, data: bytes
-    ) -> Done | Refused:
+    ) -> Completed | Refused:
         """See `EnginePort`."""
         path = f"/cache/programs/{_quoted(program_id)}"
         return await self._done(worker, "PUT", path, data, TRANSFER_SECONDS)
 
-    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Done | Refused:
+    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Completed | Refused:
         """See `EnginePort`."""
         document = OrderDocument(
             token=order.token,
@@ -232,7 +232,7 @@
         body: bytes | None = None,
         timeout_seconds: float = REQUEST_SECONDS,
         parameters: dict[str, str] | None = None,
-    ) -> HttpAnswer | Refused:
+    ) -> HttpResponse | Refused:
         """Send a request; a response other than 200 or 204 is a refusal."""
         url = self._url_of(worker)
         if url is None:
--- a/src/foxwinch/backends/engine_stream.py
+++ b/src/foxwinch/backends/engine_stream.py
@@ -11,7 +11,7 @@
 
 EVENT_PREFIX = "data: "
 END_OF_STREAM = "[DONE]"
-MAXIMUM_LINE_BYTES = 1024 * 1024
+MAX_LINE_BYTES = 1024 * 1024
 """Maximum length of a line; a longer one is malformed."""
 MALFORMED_ERRORS = (ValueError, KeyError, TypeError, AttributeError, IndexError)
 """Exceptions that decoding a malformed event raises."""
--- a/src/foxwinch/backends/engine_waits.py
+++ b/src/foxwinch/backends/engine_waits.py
@@ -21,7 +21,7 @@
 """Timeout between two events; covers a call that the engine preempts and recomputes."""
 DEADLINE_SHARE = 0.5
 """Share of the remaining time for one worker; the rest is reserved for another worker."""
-SHORTEST_SECONDS = FIRST_TOKEN_SECONDS
+MIN_SECONDS = FIRST_TOKEN_SECONDS
 """Minimum timeout for any deadline; a shorter one would time out healthy engines."""
 PROMPT_BYTE_SECONDS = 0.00005
 """Added to the first timeout: 0.2 ms per token of 4 bytes (256 tokens in a step of 49 ms)."""
--- a/src/foxwinch/backends/ports.py
+++ b/src/foxwinch/backends/ports.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GenerateOrder:
+class GenerateRequest:
     """A request to generate one response on a worker."""
 
     call_id: CallId
@@ -37,7 +37,7 @@
     priority: int
     """Lower is more urgent, as in the engines."""
     epoch: Epoch
-    """Epoch of the steward that granted the worker; the engine rejects an older one."""
+    """Epoch of the coordinator that granted the worker; the engine rejects an older one."""
     parameters: dict[str, JsonValue] = field(default_factory=dict)
     """Sampling parameters passed through unchanged."""
     resume_offset: int = 0
@@ -117,14 +117,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class Completed:
     """Success of an idempotent operation, now or earlier."""
 
 
 class GeneratePort(Protocol):
     """Generation of responses by model engines."""
 
-    def generate(self, worker: WorkerId, order: GenerateOrder) -> AsyncIterator[EngineEvent]:
+    def generate(self, worker: WorkerId, order: GenerateRequest) -> AsyncIterator[EngineEvent]:
         """Stream a response; the last event is `GenerateFinished` or `Refused`.
 
         Closing the iterator early cancels the call in the engine.
@@ -135,11 +135,11 @@
 class EnginePort(GeneratePort, Protocol):
     """Operations of model engines."""
 
-    async def cancel(self, worker: WorkerId, call_id: CallId) -> Done | Refused:
-        """Cancel a call; returns `Done` also for an unknown or finished call."""
+    async def cancel(self, worker: WorkerId, call_id: CallId) -> Completed | Refused:
+        """Cancel a call; returns `Completed` also for an unknown or finished call."""
         ...
 
-    async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
+    async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed | Refused:
         """Free the cache that only this program uses."""
         ...
 
@@ -157,17 +157,17 @@
 
     async def import_cache(
         self, worker: WorkerId, program_id: ProgramId, data: bytes
-    ) -> Done | Refused:
+    ) -> Completed | Refused:
         """Import cache entries that another worker exported."""
         ...
 
-    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Done | Refused:
+    async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Completed | Refused:
         """Apply a fenced order; refused as `FENCED` if the worker has seen a newer epoch."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class ToolOrder:
+class ToolRequest:
     """A request to call a tool."""
 
     call_id: CallId
@@ -187,6 +187,6 @@
 class ToolPort(Protocol):
     """Operations of tool services."""
 
-    async def call(self, order: ToolOrder) -> ToolResult | Refused:
+    async def call(self, order: ToolRequest) -> ToolResult | Refused:
         """Call a tool once; the run state of a refusal states whether it may have run."""
         ...
--- a/src/foxwinch/backends/release_batch.py
+++ b/src/foxwinch/backends/release_batch.py
@@ -12,10 +12,10 @@
 from foxwinch.identifiers import ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, outcome_unknown
 
-MAXIMUM_PROGRAMS = 256
+MAX_PROGRAMS = 256
 """Maximum number of programs in one request: at most about 40 kB, which every engine accepts."""
 CUT_SHORT = outcome_unknown(Reason.BACKEND_FAILED, "the release request was cancelled")
-SendReleases = Callable[[WorkerId, Sequence[ProgramId]], Awaitable[Done | Refused]]
+SendReleases = Callable[[WorkerId, Sequence[ProgramId]], Awaitable[Completed | Refused]]
 
 
 class _Batch:
@@ -30,11 +30,11 @@
     """Releases waiting to be sent, one batch per worker."""
 
     def __init__(self, send: SendReleases) -> None:
-        """Send batches with `send`, which receives 1 to `MAXIMUM_PROGRAMS` programs."""
+        """Send batches with `send`, which receives 1 to `MAX_PROGRAMS` programs."""
         self._send = send
         self._open: dict[WorkerId, _Batch] = {}
 
-    async def release(self, worker: WorkerId, program_id: ProgramId) -> Done | Refused:
+    async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed | Refused:
         """Release a program and return the outcome of the batch.
 
         If the caller that sends the batch is cancelled, the others get an unknown outcome.
--- a/src/foxwinch/backends/tools_http.py
+++ b/src/foxwinch/backends/tools_http.py
@@ -41,7 +41,7 @@
         self._urls_of = urls_of
         self._calls = 0
 
-    async def call(self, order: ToolOrder) -> ToolResult | Refused:
+    async def call(self, order: ToolRequest) -> ToolResult | Refused:
         """Send the call to one of the tool's workers, round robin."""
         urls = self._urls_of(order.tool)
         if not urls:
--- a/src/foxwinch/http_exchange.py
+++ b/src/foxwinch/http_exchange.py
@@ -17,9 +17,9 @@
 
 CONNECT_SECONDS = 3.0
 """Connect timeout; backends and the platform are close."""
-MAXIMUM_RETRY_AFTER_SECONDS = 3_600.0
+MAX_RETRY_AFTER_SECONDS = 3_600.0
 """Upper limit of accepted Retry-After values."""
-MAXIMUM_ANSWER_BYTES = 32 * 1024 * 1024
+MAX_ANSWER_BYTES = 32 * 1024 * 1024
 """Limit of a response body, which is kept in memory; a node has 256 MB."""
 HEADER_RUN_STATE = "x-run-state"
 """Header in which a service states that a failed request did not run; without it, the run state of
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A complete HTTP response of any status."""
 
     status: int
@@ -80,7 +80,7 @@
 
 async def exchange(
     session: aiohttp.ClientSession, service: Service, request: HttpRequest
-) -> HttpAnswer | Refused:
+) -> HttpResponse | Refused:
     """Send a request once and read the complete response."""
     if not _sendable(request):
         return not_run(Reason.INVALID_REQUEST, "a header value contains control characters")
@@ -121,7 +121,7 @@
 
 
 async def _read_body(response: aiohttp.ClientResponse) -> bytes | None:
-    """Return the body, or None if it exceeds `MAXIMUM_ANSWER_BYTES`."""
+    """Return the body, or None if it exceeds `MAX_ANSWER_BYTES`."""
     body = bytearray()
     async for piece in response.content.iter_any():
         body += piece
@@ -130,7 +130,7 @@
     return bytes(body)
 
 
-def refusal(service: Service, answer: HttpAnswer) -> Refused:
+def refusal(service: Service, answer: HttpResponse) -> Refused:
     """Return the refusal for a status that the adapter does not handle itself.
 
     429 and other client errors mean that the request did not run. After a redirect, another success
--- a/src/foxwinch/node/dev.py
+++ b/src/foxwinch/node/dev.py
@@ -24,7 +24,7 @@
 
     `announce` receives the addresses and the keys that are generated for this run.
     """
-    stand_ins = EmulatorService(settings_of_cluster(document, MAXIMUM_ANSWER_TOKENS))
+    emulated_services = EmulatorService(settings_of_cluster(document, MAX_ANSWER_TOKENS))
     loop = uvloop.new_event_loop()
     with entrypoint(emulated_services, loop=loop, log_config=False, catch_signals=()):
         caller_key = secrets.token_urlsafe(KEY_BYTES)
--- a/src/foxwinch/node/local.py
+++ b/src/foxwinch/node/local.py
@@ -1,4 +1,4 @@
-"""In-memory journal, family store and limits for a node without peers."""
+"""In-memory journal, program tree store and limits for a node without peers."""
 
 from collections.abc import Sequence
 
@@ -20,7 +20,7 @@
 )
 
 
-class LocalJournal(FamilyJournal):
+class LocalJournal(TreeJournal):
     """A journal in memory, lost when the process ends."""
 
     def __init__(self, records: list[JournalRecord]) -> None:
@@ -32,7 +32,7 @@
         """Number of appended batches."""
         return self._batches
 
-    def on_applied(self, applied: Applied) -> None:
+    def on_late_append(self, applied: Applied) -> None:
         """Ignore the listener: every append has a known outcome."""
 
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
@@ -42,7 +42,7 @@
         return None
 
     async def confirm(self) -> Refused | None:
-        """Confirm ownership; no other node can take the family over."""
+        """Confirm ownership; no other node can take the program tree over."""
         return None
 
     async def remove(self) -> Refused | None:
@@ -51,16 +51,16 @@
         return None
 
 
-class LocalFamilies(Families):
-    """Family store of a node that owns every family."""
+class LocalTreeStore(ProgramTreeStore):
+    """Tree store of a node that owns every program tree."""
 
     def __init__(self) -> None:
         self._records: dict[ProgramId, list[JournalRecord]] = {}
 
     async def open(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> OpenedFamily | ServedElsewhere | Refused:
-        """Open the family; never refused."""
+    ) -> OpenedTree | OwnedElsewhere | Refused:
+        """Open the program tree; never refused."""
         records = self._records.setdefault(root, [])
         return OpenedTree(LocalJournal(records), list(records))
 
@@ -69,7 +69,7 @@
         return list(self._records.get(root, ()))
 
     async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
-        """Return no families: there is no other node to take them over from."""
+        """Return no program trees: there is no other node to take them over from."""
         return ()
 
 
--- a/src/foxwinch/node/parts/configuration.py
+++ b/src/foxwinch/node/parts/configuration.py
@@ -22,7 +22,7 @@
 
     configuration: ConfigurationView
     limits: LimitView
-    changes: ConfigurationChanges
+    changes: ConfigurationChangePort
     """Applies operators' changes and reports the revision at each node."""
     services: tuple[NodeService, ...] = ()
 
--- a/src/foxwinch/node/parts/grants.py
+++ b/src/foxwinch/node/parts/grants.py
@@ -1,4 +1,4 @@
-"""Subsystem: grants of workers, their stewards and the orders to engines."""
+"""Subsystem: grants of workers, their coordinators and the orders to engines."""
 
 from dataclasses import dataclass, field
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantsPart:
-    """The grants subsystem, with access to the stewards of all workers."""
+    """The grants subsystem, with access to the coordinators of all workers."""
 
     grants: GrantView
     facts: WorkerFacts = field(default_factory=NoWorkers)
@@ -30,18 +30,18 @@
 
 
 class GrantServices:
-    """Steward, orders and grants as one service, because their start and drain orders differ."""
+    """Coordinator, orders and grants as one service; their start and drain orders differ."""
 
     def __init__(
         self, coordinator: CoordinatorService, orders: OrdersService, grants: GrantsService
     ) -> None:
-        self._steward = steward
+        self._coordinator = coordinator
         self._orders = orders
         self._grants = grants
 
     async def start(self) -> None:
-        """Start the steward first, because the other services use it."""
-        await self._steward.start()
+        """Start the coordinator first, because the other services use it."""
+        await self._coordinator.start()
         await self._orders.start()
         await self._grants.start()
 
@@ -63,10 +63,12 @@
     configuration: ConfigurationPart,
     records: RecordsPart,
 ) -> GrantsPart:
-    """Build the subsystem; a node without peers is the steward of every worker."""
-    directory = StewardDirectory(membership.membership, membership.gossip)
-    steward = StewardService(_steward_ports(context, membership, configuration, records), directory)
-    client = StewardClient(context.node, steward.desk, context.ports.peers)
+    """Build the subsystem; a node without peers is the coordinator of every worker."""
+    directory = CoordinatorDirectory(membership.membership, membership.gossip)
+    coordinator = CoordinatorService(
+        _coordinator_ports(context, membership, configuration, records), directory
+    )
+    client = CoordinatorClient(context.node, coordinator.desk, context.ports.peers)
     clock = context.ports.clock
     grants = GrantsService(directory, client, configuration.configuration, clock)
     orders = OrdersService(
--- a/src/foxwinch/node/parts/records.py
+++ b/src/foxwinch/node/parts/records.py
@@ -1,4 +1,4 @@
-"""Subsystem: state in the shared store, that is program families and worker epochs."""
+"""Subsystem: state in the shared store, that is program trees and worker epochs."""
 
 from dataclasses import dataclass
 
--- a/src/foxwinch/operator/handlers.py
+++ b/src/foxwinch/operator/handlers.py
@@ -44,7 +44,7 @@
         await _answer(stream, self._list_nodes)
 
     async def ListWorkers(self, stream: Stream[Any, Any]) -> None:
-        """Return the workers of all stewards."""
+        """Return the workers of all coordinators."""
         await _answer(stream, lambda request: self._queries.workers())
 
     async def ListPrograms(self, stream: Stream[Any, Any]) -> None:
--- a/src/foxwinch/operator/server.py
+++ b/src/foxwinch/operator/server.py
@@ -21,9 +21,9 @@
 
 DEFAULT_DEADLINE_SECONDS = 10.0
 """Timeout of a request without a deadline."""
-MAXIMUM_DEADLINE_SECONDS = 60.0
+MAX_DEADLINE_SECONDS = 60.0
 """Limit of client deadlines; a configuration change is retried for about 20 s during an outage."""
-MAXIMUM_REQUEST_BYTES = 1024 * 1024
+MAX_REQUEST_BYTES = 1024 * 1024
 """Size limit of a request; a typical cluster configuration has about 20 KB."""
 CONNECTION_WINDOW_BYTES = 1024 * 1024
 STREAM_WINDOW_BYTES = 64 * 1024
@@ -36,8 +36,8 @@
 
     def decode(self, data: bytes, message_type: Any) -> Any:
         """Decode a request; raise GRPCError if it is too large."""
-        if len(data) > MAXIMUM_REQUEST_BYTES:
-            detail = f"request too large: limit {MAXIMUM_REQUEST_BYTES} bytes, got {len(data)}"
+        if len(data) > MAX_REQUEST_BYTES:
+            detail = f"request too large: limit {MAX_REQUEST_BYTES} bytes, got {len(data)}"
             raise GRPCError(Status.RESOURCE_EXHAUSTED, detail)
         return super().decode(data, message_type)
 
--- a/src/foxwinch/platform/connections.py
+++ b/src/foxwinch/platform/connections.py
@@ -22,7 +22,7 @@
 """Idle time before the first keepalive probe; the shortest that the kernel supports."""
 PROBE_SECONDS = 1
 """Interval between keepalive probes; the shortest that the kernel supports."""
-PROBES_MAXIMUM = 2
+MAX_PROBES = 2
 
 
 def open_session(kept_seconds: float, **options: Any) -> aiohttp.ClientSession:
--- a/src/foxwinch/platform/front_door.py
+++ b/src/foxwinch/platform/front_door.py
@@ -180,14 +180,14 @@
             response.headers[REQUEST_ID] = request_id
         await self._send(response)
 
-    async def answer(self, head: AnswerHead, body: bytes) -> None:
+    async def answer(self, head: ResponseHead, body: bytes) -> None:
         """Send a worker's complete response."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall("Content-Type", None)
         response.headers.extend(head.headers)
         await self._send(response)
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def begin(self, head: ResponseHead) -> None:
         """Send the response head and start a chunked body."""
         response = web.StreamResponse(status=head.status)
         response.headers.extend(head.headers)
--- a/src/foxwinch/platform/translation.py
+++ b/src/foxwinch/platform/translation.py
@@ -33,7 +33,7 @@
 """Used if a route does not set it; longer than any caller's deadline."""
 TARGET_DEFAULT_MS = 1_000.0
 """Used if a route does not set it."""
-PROBLEMS_MAXIMUM = 3
+MAX_PROBLEMS = 3
 """Maximum number of problems of one document in a log line."""
 Document = TypeVar("Document", bound=BaseModel)
 log = EventLog("translation")
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -82,8 +82,8 @@
     return given == expected
 
 
-class HttpAnswer:
-    """A response whose head has arrived; implements `foxwinch.serving.messages.WorkerAnswer`."""
+class HttpResponse:
+    """A response whose head has arrived; implements `foxwinch.serving.messages.WorkerResponse`."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
@@ -99,7 +99,7 @@
             "Content-Length" in response.headers or "Transfer-Encoding" in response.headers
         )
 
-    async def read_whole(self) -> bytes | CallLost:
+    async def read_whole(self) -> bytes | CallInterrupted:
         """Read the whole body."""
         try:
             body = await self._response.content.read()
@@ -107,7 +107,7 @@
             return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
         return self._reset() or body
 
-    async def pieces(self) -> AsyncIterator[bytes | CallLost]:
+    async def pieces(self) -> AsyncIterator[bytes | CallInterrupted]:
         """Yield the body as it arrives."""
         try:
             async for piece in self._response.content.iter_any():
@@ -123,7 +123,7 @@
         """Discard the rest of the body; an incompletely read connection is closed."""
         self._response.close()
 
-    def _reset(self) -> CallLost | None:
+    def _reset(self) -> CallInterrupted | None:
         """Return an error if a response without a length ended with a connection reset."""
         if self._framed or self._protocol is None:
             return None
@@ -151,7 +151,9 @@
         """Close all connections."""
         await self._session.close()
 
-    async def call(self, worker: Worker, call: OutgoingCall) -> HttpAnswer | CallRefused | CallLost:
+    async def call(
+        self, worker: Worker, call: OutgoingCall
+    ) -> HttpResponse | CallRefused | CallInterrupted:
         """Send a call and wait for the head of its response."""
         request = call.request
         url = URL(f"http://{worker.address}{request.target}", encoded=True)
--- a/src/foxwinch/service_tasks.py
+++ b/src/foxwinch/service_tasks.py
@@ -38,7 +38,7 @@
         self._service = service
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def keep(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run a coroutine as a task until it ends or the service stops."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
--- a/src/foxwinch/settings/addresses.py
+++ b/src/foxwinch/settings/addresses.py
@@ -7,7 +7,7 @@
 
 Port = Annotated[int, Field(ge=0, le=65_535)]
 """A TCP or UDP port; 0 selects a free port, for tests."""
-MAXIMUM_PORT = 65_535
+MAX_PORT = 65_535
 
 
 def _is_ip_number(value: str) -> str:
--- a/src/foxwinch/storage/rate_limit.py
+++ b/src/foxwinch/storage/rate_limit.py
@@ -4,7 +4,7 @@
 from foxwinch.core.limits.token_bucket import TokenBucket
 from foxwinch.outcomes import Reason, Refused, not_run
 
-MAXIMUM_WAIT_SECONDS = 2.0
+MAX_WAIT_SECONDS = 2.0
 """Maximum queueing time; a request that would wait longer is refused with a retry time."""
 
 
@@ -23,7 +23,7 @@
         now = self._clock.monotonic()
         bucket = self._started(now)
         wait = max(0.0, 1.0 - bucket.available(now)) / self._rate
-        if wait > MAXIMUM_WAIT_SECONDS:
+        if wait > MAX_WAIT_SECONDS:
             return not_run(
                 Reason.RATE_LIMITED, "the node has used its share of the request rate", wait
             )
--- a/tests/fake_worker.py
+++ b/tests/fake_worker.py
@@ -61,7 +61,7 @@
     ).encode() + body
 
 
-class StandInWorker:
+class FakeWorker:
     """Listens on loopback and sends the given responses."""
 
     def __init__(self, *answers: Answer) -> None:
--- a/tests/test_virtual_cluster.py
+++ b/tests/test_virtual_cluster.py
@@ -1,4 +1,4 @@
-"""Nodes of a virtual cluster agree on members, configuration and stewards, and serve calls."""
+"""Nodes of a virtual cluster agree on members, configuration and coordinators, and serve calls."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -49,8 +49,8 @@
     return all(seen(virtual) == expected for virtual in cluster.nodes.values())
 
 
-def stewards(cluster):
-    """Return the stewards by worker."""
+def coordinators(cluster):
+    """Return the coordinators by worker."""
     found = {}
     for virtual in cluster.nodes.values():
         for status in virtual.node.parts.grants.facts.workers():
@@ -60,8 +60,8 @@
 
 
 def settled(cluster):
-    """Return whether all nodes see each other and are ready, and each worker has one steward."""
-    found = stewards(cluster)
+    """Return whether all nodes see each other and are ready, with one coordinator per worker."""
+    found = coordinators(cluster)
     ready = [n.node.parts.operator.readiness.not_ready_because() for n in cluster.nodes.values()]
     return (
         everyone_sees(cluster)
