--- a/src/foxwinch/backends/engine_http.py
+++ b/src/foxwinch/backends/engine_http.py
@@ -16,9 +16,13 @@
 import aiohttp
 from pydantic import BaseModel, ValidationError
 
-from foxwinch.backends.engine_load import read_load
-from foxwinch.backends.engine_stream import read_events
-from foxwinch.backends.engine_waits import bound_gaps, engine_waits, first_timeout
+from foxwinch.backends.engine_load import decode_load
+from foxwinch.backends.engine_stream import decode_events
+from foxwinch.backends.engine_timeouts import (
+    apply_event_gap_timeout,
+    engine_timeouts,
+    first_event_timeout,
+)
 from foxwinch.backends.ports import (
     CacheEvent,
     CacheEventPage,
@@ -29,16 +33,16 @@
     LoadReport,
     ModelOrder,
 )
-from foxwinch.backends.release_batch import ReleaseBatches
-from foxwinch.http_exchange import (
+from foxwinch.backends.release_batch import ReleaseBatcher
+from foxwinch.http_client import (
     HEADER_RETRY_AFTER,
     HttpRequest,
     HttpResponse,
-    Service,
-    exchange,
-    malformed,
-    read_retry_after,
-    refusal,
+    RemoteService,
+    malformed_response,
+    parse_retry_after,
+    refusal_for_status,
+    send_request,
 )
 from foxwinch.identifiers import CallId, ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, not_run, outcome_unknown
@@ -47,15 +51,15 @@
 HEADER_PROGRAM = "x-program-id"
 HEADER_EPOCH = "x-fence-epoch"
 HEADER_PRIORITY = "x-priority"
-HEADER_RESUME = "x-resume-offset"
-REQUEST_SECONDS = 5.0
+HEADER_RESUME_OFFSET = "x-resume-offset"
+REQUEST_TIMEOUT_SECONDS = 5.0
 """Timeout for the complete response to a small request."""
-TRANSFER_SECONDS = 30.0
+TRANSFER_TIMEOUT_SECONDS = 30.0
 """Timeout for the export or import of a program's cache."""
-ORDER_SECONDS = 120.0
+ORDER_TIMEOUT_SECONDS = 120.0
 """Timeout of an order: loading a model takes tens of seconds. After a timeout, a retry with the
 same token returns the outcome."""
-DRAIN_SECONDS = 0.5
+END_MARKER_TIMEOUT_SECONDS = 0.5
 """Timeout for the end marker after the last event; after it, the connection is closed."""
 SNAPSHOT_AFTER = 0
 """Reading cache events after 0 returns a snapshot, whose sequence numbers are not contiguous."""
@@ -103,7 +107,7 @@
         """Use `session`, which the caller closes; `url_of` returns a worker's base URL."""
         self._session = session
         self._url_of = url_of
-        self._releases = ReleaseBatches(self._release)
+        self._release_batcher = ReleaseBatcher(self._release)
 
     async def generate(
         self, worker: WorkerId, order: GenerateRequest
@@ -117,26 +121,28 @@
             yield _unknown_worker(worker)
             return
         body = json.dumps(_body(order)).encode()
-        waits = engine_waits(order.deadline_seconds, len(body))
+        timeouts = engine_timeouts(order.deadline_seconds, len(body))
         try:
             async with self._session.post(
                 f"{url}/v1/chat/completions",
                 data=body,
                 headers=_headers(order),
-                timeout=first_timeout(waits),
+                timeout=first_event_timeout(timeouts),
                 allow_redirects=False,
             ) as response:
                 if response.status != 200:
-                    yield _refused_generation(worker, response)
+                    yield _generation_refusal(worker, response)
                     return
-                reading = read_events(response.content, lambda: bound_gaps(response, waits))
-                async with aclosing(reading) as events:
+                event_stream = decode_events(
+                    response.content, lambda: apply_event_gap_timeout(response, timeouts)
+                )
+                async with aclosing(event_stream) as events:
                     async for event in events:
                         try:
                             yield event
                         finally:
                             if isinstance(event, GenerateFinished):
-                                await _drain(response)
+                                await _read_to_end(response)
                         if isinstance(event, (GenerateFinished, Refused)):
                             return
             yield outcome_unknown(
@@ -150,56 +156,60 @@
 
     async def cancel(self, worker: WorkerId, call_id: CallId) -> Completed | Refused:
         """See `EnginePort`."""
-        return await self._done(worker, "POST", f"/calls/{_quoted(call_id)}/cancel")
+        return await self._send_command(worker, "POST", f"/calls/{_quote(call_id)}/cancel")
 
     async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed | Refused:
         """See `EnginePort`."""
-        return await self._releases.release(worker, program_id)
+        return await self._release_batcher.release(worker, program_id)
 
     async def _release(
         self, worker: WorkerId, programs: Sequence[ProgramId]
     ) -> Completed | Refused:
         if len(programs) == 1:
-            return await self._done(worker, "POST", f"/programs/{_quoted(programs[0])}/release")
+            return await self._send_command(
+                worker, "POST", f"/programs/{_quote(programs[0])}/release"
+            )
         body = ReleaseDocument(programs=list(programs)).model_dump_json().encode()
-        return await self._done(worker, "POST", "/programs/release", body)
+        return await self._send_command(worker, "POST", "/programs/release", body)
 
     async def load(self, worker: WorkerId) -> LoadReport | Refused:
         """See `EnginePort`."""
-        answer = await self._send(worker, "GET", "/metrics")
-        if isinstance(answer, Refused):
-            return answer
-        report = read_load(answer.body.decode(errors="replace"))
-        return malformed(_service(worker)) if report is None else report
+        response = await self._send(worker, "GET", "/metrics")
+        if isinstance(response, Refused):
+            return response
+        report = decode_load(response.body.decode(errors="replace"))
+        return malformed_response(_service(worker)) if report is None else report
 
     async def cache_events(self, worker: WorkerId, after: int) -> CacheEventPage | Refused:
         """See `EnginePort`; missing sequence numbers also count as a gap."""
-        answer = await self._send(worker, "GET", "/cache/events", parameters={"after": str(after)})
-        if isinstance(answer, Refused):
-            return answer
+        response = await self._send(
+            worker, "GET", "/cache/events", parameters={"after": str(after)}
+        )
+        if isinstance(response, Refused):
+            return response
         try:
-            document = CacheEventsDocument.model_validate_json(answer.body)
+            document = CacheEventsDocument.model_validate_json(response.body)
         except ValidationError:
-            return malformed(_service(worker))
+            return malformed_response(_service(worker))
         events = tuple(
             CacheEvent(e.sequence, e.kind, tuple(e.block_hashes), e.parent_hash)
             for e in document.events
         )
-        gap = document.gap or _numbers_missing(events, after, document.next_sequence)
+        gap = document.gap or _has_gap(events, after, document.next_sequence)
         return CacheEventPage(events, document.next_sequence, gap)
 
     async def export_cache(self, worker: WorkerId, program_id: ProgramId) -> bytes | Refused:
         """See `EnginePort`."""
-        path = f"/cache/programs/{_quoted(program_id)}"
-        answer = await self._send(worker, "GET", path, timeout_seconds=TRANSFER_SECONDS)
-        return answer if isinstance(answer, Refused) else answer.body
+        path = f"/cache/programs/{_quote(program_id)}"
+        response = await self._send(worker, "GET", path, timeout_seconds=TRANSFER_TIMEOUT_SECONDS)
+        return response if isinstance(response, Refused) else response.body
 
     async def import_cache(
         self, worker: WorkerId, program_id: ProgramId, data: bytes
     ) -> Completed | Refused:
         """See `EnginePort`."""
-        path = f"/cache/programs/{_quoted(program_id)}"
-        return await self._done(worker, "PUT", path, data, TRANSFER_SECONDS)
+        path = f"/cache/programs/{_quote(program_id)}"
+        return await self._send_command(worker, "PUT", path, data, TRANSFER_TIMEOUT_SECONDS)
 
     async def apply_order(self, worker: WorkerId, order: ModelOrder) -> Completed | Refused:
         """See `EnginePort`."""
@@ -211,18 +221,18 @@
             value=order.value,
         )
         body = document.model_dump_json().encode()
-        return await self._done(worker, "POST", "/orders", body, ORDER_SECONDS)
+        return await self._send_command(worker, "POST", "/orders", body, ORDER_TIMEOUT_SECONDS)
 
-    async def _done(
+    async def _send_command(
         self,
         worker: WorkerId,
         method: str,
         path: str,
         body: bytes | None = None,
-        timeout_seconds: float = REQUEST_SECONDS,
+        timeout_seconds: float = REQUEST_TIMEOUT_SECONDS,
     ) -> Completed | Refused:
-        answer = await self._send(worker, method, path, body, timeout_seconds)
-        return answer if isinstance(answer, Refused) else Completed()
+        response = await self._send(worker, method, path, body, timeout_seconds)
+        return response if isinstance(response, Refused) else Completed()
 
     async def _send(
         self,
@@ -230,7 +240,7 @@
         method: str,
         path: str,
         body: bytes | None = None,
-        timeout_seconds: float = REQUEST_SECONDS,
+        timeout_seconds: float = REQUEST_TIMEOUT_SECONDS,
         parameters: dict[str, str] | None = None,
     ) -> HttpResponse | Refused:
         """Send a request; a response other than 200 or 204 is a refusal."""
@@ -238,14 +248,14 @@
         if url is None:
             return _unknown_worker(worker)
         request = HttpRequest(method, url + path, timeout_seconds, body, None, parameters)
-        answer = await exchange(self._session, _service(worker), request)
-        if isinstance(answer, Refused) or answer.status in (200, 204):
-            return answer
-        if answer.status == 412:
+        response = await send_request(self._session, _service(worker), request)
+        if isinstance(response, Refused) or response.status in (200, 204):
+            return response
+        if response.status == 412:
             return _fenced(worker)
-        if answer.status == 404:
+        if response.status == 404:
             return not_run(Reason.NOT_FOUND, f"not found on worker {worker}")
-        return refusal(_service(worker), answer)
+        return refusal_for_status(_service(worker), response)
 
 
 def _headers(order: GenerateRequest) -> dict[str, str]:
@@ -255,7 +265,7 @@
         HEADER_PROGRAM: order.program_id,
         HEADER_EPOCH: str(order.epoch),
         HEADER_PRIORITY: str(order.priority),
-        HEADER_RESUME: str(order.resume_offset),
+        HEADER_RESUME_OFFSET: str(order.resume_offset),
     }
 
 
@@ -271,11 +281,11 @@
     }
 
 
-def _refused_generation(worker: WorkerId, response: aiohttp.ClientResponse) -> Refused:
+def _generation_refusal(worker: WorkerId, response: aiohttp.ClientResponse) -> Refused:
     """Map an error status to a refusal; engines return 412, 429, 4xx and 503 before running."""
     status = response.status
     detail = f"worker {worker} returned status {status}"
-    retry_after = read_retry_after(response.headers.get(HEADER_RETRY_AFTER))
+    retry_after = parse_retry_after(response.headers.get(HEADER_RETRY_AFTER))
     if status == 412:
         return _fenced(worker)
     if status == 429:
@@ -287,17 +297,17 @@
     return outcome_unknown(Reason.BACKEND_FAILED, detail)
 
 
-async def _drain(response: aiohttp.ClientResponse) -> None:
+async def _read_to_end(response: aiohttp.ClientResponse) -> None:
     """Read the end of a finished stream, so that its connection can be reused."""
     try:
-        async with asyncio.timeout(DRAIN_SECONDS):
+        async with asyncio.timeout(END_MARKER_TIMEOUT_SECONDS):
             while not response.content.at_eof():
                 await response.content.readany()
     except (aiohttp.ClientError, TimeoutError, OSError):
         response.close()
 
 
-def _numbers_missing(events: tuple[CacheEvent, ...], after: int, next_sequence: int) -> bool:
+def _has_gap(events: tuple[CacheEvent, ...], after: int, next_sequence: int) -> bool:
     if after == SNAPSHOT_AFTER:
         return False
     if len(events) != next_sequence - after:
@@ -305,8 +315,8 @@
     return any(event.sequence != number for number, event in enumerate(events, after + 1))
 
 
-def _service(worker: WorkerId) -> Service:
-    return Service(f"worker {worker}", Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_UNAVAILABLE)
+def _service(worker: WorkerId) -> RemoteService:
+    return RemoteService(f"worker {worker}", Reason.BACKEND_UNAVAILABLE, Reason.BACKEND_UNAVAILABLE)
 
 
 def _fenced(worker: WorkerId) -> Refused:
@@ -317,5 +327,5 @@
     return not_run(Reason.BACKEND_UNAVAILABLE, f"unknown worker {worker}")
 
 
-def _quoted(name: str) -> str:
+def _quote(name: str) -> str:
     return quote(name, safe="")
--- a/src/foxwinch/backends/engine_load.py
+++ b/src/foxwinch/backends/engine_load.py
@@ -15,7 +15,7 @@
 MODEL_LOADED = "engine_model_loaded"
 
 
-def write_load(report: LoadReport) -> str:
+def encode_load(report: LoadReport) -> str:
     """Return a load report in Prometheus text format."""
     values = {
         RUNNING: report.running,
@@ -30,7 +30,7 @@
     return "\n".join(lines) + "\n"
 
 
-def read_load(text: str) -> LoadReport | None:
+def decode_load(text: str) -> LoadReport | None:
     """Return the load report, or None if the text is malformed or lacks a required metric."""
     values: dict[str, float] = {}
     models: list[ModelName] = []
--- a/src/foxwinch/backends/engine_stream.py
+++ b/src/foxwinch/backends/engine_stream.py
@@ -19,41 +19,41 @@
 _decode_at = json.JSONDecoder().raw_decode
 
 
-async def read_events(
-    content: aiohttp.StreamReader, on_begun: Callable[[], None]
+async def decode_events(
+    content: aiohttp.StreamReader, on_first_data: Callable[[], None]
 ) -> AsyncGenerator[EngineEvent, None]:
     """Yield the events of a stream; a malformed event ends it with run state `unknown`.
 
-    All lines that have arrived together are decoded without yielding to the event loop. `on_begun`
-    is called once, when the first data has arrived.
+    All lines that have arrived together are decoded without yielding to the event loop.
+    `on_first_data` is called once, when the first data has arrived.
     """
-    reader = _EventReader()
-    begun = False
-    rest = b""
+    decoder = _EventDecoder()
+    started = False
+    remainder = b""
     while data := await content.readany():
-        if not begun:
-            begun = True
-            on_begun()
-        lines, _, rest = (rest + data).rpartition(b"\n")
-        if len(rest) > MAX_LINE_BYTES:
+        if not started:
+            started = True
+            on_first_data()
+        lines, _, remainder = (remainder + data).rpartition(b"\n")
+        if len(remainder) > MAX_LINE_BYTES:
             yield MALFORMED
             return
-        for event in reader.read(lines):
+        for event in decoder.decode_lines(lines):
             yield event
             if isinstance(event, Refused):
                 return
-        if reader.ended:
+        if decoder.ended:
             return
 
 
-class _EventReader:
+class _EventDecoder:
     """Decodes complete lines; `ended` is true once the end marker has been read."""
 
     def __init__(self) -> None:
         self.ended = False
         self._finish_reason = "stop"
 
-    def read(self, lines: bytes) -> Iterator[EngineEvent]:
+    def decode_lines(self, lines: bytes) -> Iterator[EngineEvent]:
         try:
             for line in lines.decode().split("\n"):
                 if not line.startswith(EVENT_PREFIX):
@@ -62,13 +62,13 @@
                     self.ended = True
                     return
                 document, _ = _decode_at(line, len(EVENT_PREFIX))
-                yield from self._events(document)
+                yield from self._decode_event(document)
         except MALFORMED_ERRORS:
             yield MALFORMED
 
-    def _events(self, document: dict[str, Any]) -> Iterator[EngineEvent]:
+    def _decode_event(self, document: dict[str, Any]) -> Iterator[EngineEvent]:
         if "error" in document:
-            yield _refused(document["error"])
+            yield _decode_error(document["error"])
             return
         for choice in document["choices"]:
             if choice.get("finish_reason"):
@@ -82,9 +82,9 @@
                 yield TokenChunk(text, 1, tuple(calls) if calls else ())
         usage = document.get("usage")
         if usage:
-            yield self._finished(usage)
+            yield self._decode_usage(usage)
 
-    def _finished(self, usage: dict[str, Any]) -> GenerateFinished:
+    def _decode_usage(self, usage: dict[str, Any]) -> GenerateFinished:
         details = usage.get("prompt_tokens_details") or {}
         return GenerateFinished(
             self._finish_reason,
@@ -94,7 +94,7 @@
         )
 
 
-def _refused(error: dict[str, Any]) -> Refused:
+def _decode_error(error: dict[str, Any]) -> Refused:
     """Decode an error event; unknown names mean that the call may have run."""
     try:
         reason, run_state = Reason(error["code"]), RunState(error["run_state"])
--- a/src/foxwinch/backends/engine_waits.py
+++ b/src/foxwinch/backends/engine_timeouts.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from foxwinch.http_exchange import CONNECT_SECONDS
+from foxwinch.http_client import CONNECT_TIMEOUT_SECONDS
 
 FIRST_TOKEN_SECONDS = 1.8
 """Time to first token, 95th percentile at the design size."""
@@ -21,39 +21,39 @@
 """Timeout between two events; covers a call that the engine preempts and recomputes."""
 DEADLINE_SHARE = 0.5
 """Share of the remaining time for one worker; the rest is reserved for another worker."""
-MIN_SECONDS = FIRST_TOKEN_SECONDS
+MIN_TIMEOUT_SECONDS = FIRST_TOKEN_SECONDS
 """Minimum timeout for any deadline; a shorter one would time out healthy engines."""
-PROMPT_BYTE_SECONDS = 0.00005
+SECONDS_PER_PROMPT_BYTE = 0.00005
 """Added to the first timeout: 0.2 ms per token of 4 bytes (256 tokens in a step of 49 ms)."""
 
 
 @dataclass(frozen=True, slots=True)
-class EngineWaits:
+class EngineTimeouts:
     """Timeouts of one call."""
 
     first_event_seconds: float
     event_gap_seconds: float
 
 
-def engine_waits(deadline_seconds: float | None, prompt_bytes: int) -> EngineWaits:
+def engine_timeouts(deadline_seconds: float | None, prompt_bytes: int) -> EngineTimeouts:
     """Return the timeouts for a call with the given remaining time; None: no deadline."""
     first, gap = FIRST_EVENT_SECONDS, EVENT_GAP_SECONDS
     if deadline_seconds is not None:
-        share = max(MIN_SECONDS, DEADLINE_SHARE * deadline_seconds)
+        share = max(MIN_TIMEOUT_SECONDS, DEADLINE_SHARE * deadline_seconds)
         first, gap = min(first, share), min(gap, share)
-    return EngineWaits(first + prompt_bytes * PROMPT_BYTE_SECONDS, gap)
+    return EngineTimeouts(first + prompt_bytes * SECONDS_PER_PROMPT_BYTE, gap)
 
 
-def first_timeout(waits: EngineWaits) -> aiohttp.ClientTimeout:
+def first_event_timeout(timeouts: EngineTimeouts) -> aiohttp.ClientTimeout:
     """Return the aiohttp timeout that applies until the first event."""
     return aiohttp.ClientTimeout(
-        total=None, connect=CONNECT_SECONDS, sock_read=waits.first_event_seconds
+        total=None, connect=CONNECT_TIMEOUT_SECONDS, sock_read=timeouts.first_event_seconds
     )
 
 
-def bound_gaps(response: aiohttp.ClientResponse, waits: EngineWaits) -> None:
+def apply_event_gap_timeout(response: aiohttp.ClientResponse, timeouts: EngineTimeouts) -> None:
     """Switch a response to the timeout between events; does nothing once it is complete."""
     connection = response.connection
     if connection is not None and connection.protocol is not None:
-        connection.protocol.read_timeout = waits.event_gap_seconds
+        connection.protocol.read_timeout = timeouts.event_gap_seconds
         connection.protocol.start_timeout()
--- a/src/foxwinch/backends/release_batch.py
+++ b/src/foxwinch/backends/release_batch.py
@@ -14,7 +14,7 @@
 
 MAX_PROGRAMS = 256
 """Maximum number of programs in one request: at most about 40 kB, which every engine accepts."""
-CUT_SHORT = outcome_unknown(Reason.BACKEND_FAILED, "the release request was cancelled")
+CANCELLED = outcome_unknown(Reason.BACKEND_FAILED, "the release request was cancelled")
 SendReleases = Callable[[WorkerId, Sequence[ProgramId]], Awaitable[Completed | Refused]]
 
 
@@ -26,26 +26,26 @@
         )
 
 
-class ReleaseBatches:
+class ReleaseBatcher:
     """Releases waiting to be sent, one batch per worker."""
 
     def __init__(self, send: SendReleases) -> None:
         """Send batches with `send`, which receives 1 to `MAX_PROGRAMS` programs."""
         self._send = send
-        self._open: dict[WorkerId, _Batch] = {}
+        self._pending: dict[WorkerId, _Batch] = {}
 
     async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed | Refused:
         """Release a program and return the outcome of the batch.
 
         If the caller that sends the batch is cancelled, the others get an unknown outcome.
         """
-        batch = self._open.get(worker)
+        batch = self._pending.get(worker)
         if batch is not None and len(batch.programs) < MAX_PROGRAMS:
             batch.programs.append(program_id)
             return await asyncio.shield(batch.outcome)
-        batch = self._open[worker] = _Batch()
+        batch = self._pending[worker] = _Batch()
         batch.programs.append(program_id)
-        outcome: Completed | Refused = CUT_SHORT
+        outcome: Completed | Refused = CANCELLED
         try:
             await asyncio.sleep(0)
             self._close(worker, batch)
@@ -56,5 +56,5 @@
         return outcome
 
     def _close(self, worker: WorkerId, batch: _Batch) -> None:
-        if self._open.get(worker) is batch:
-            del self._open[worker]
+        if self._pending.get(worker) is batch:
+            del self._pending[worker]
--- a/src/foxwinch/backends/tools_http.py
+++ b/src/foxwinch/backends/tools_http.py
@@ -13,7 +13,13 @@
 from pydantic import BaseModel, ValidationError
 
 from foxwinch.backends.ports import ToolRequest, ToolResult
-from foxwinch.http_exchange import HttpRequest, Service, exchange, malformed, refusal
+from foxwinch.http_client import (
+    HttpRequest,
+    RemoteService,
+    malformed_response,
+    refusal_for_status,
+    send_request,
+)
 from foxwinch.identifiers import ToolName
 from foxwinch.outcomes import Reason, Refused, not_run
 
@@ -39,7 +45,7 @@
         """Use a session without keep-alive; `urls_of` returns the base URLs of a tool's workers."""
         self._session = session
         self._urls_of = urls_of
-        self._calls = 0
+        self._call_count = 0
 
     async def call(self, order: ToolRequest) -> ToolResult | Refused:
         """Send the call to one of the tool's workers, round robin."""
@@ -47,18 +53,20 @@
         if not urls:
             detail = f"no worker serves tool {order.tool}"
             return not_run(Reason.BACKEND_UNAVAILABLE, detail, UNAVAILABLE_RETRY_SECONDS)
-        self._calls += 1
-        url = urls[self._calls % len(urls)]
-        service = Service(f"tool {order.tool}", Reason.BACKEND_UNAVAILABLE, Reason.TOOL_TIMEOUT)
-        answer = await exchange(self._session, service, _request(url, order))
-        if isinstance(answer, Refused):
-            return answer
-        if answer.status != 200:
-            return refusal(service, answer)
+        self._call_count += 1
+        url = urls[self._call_count % len(urls)]
+        service = RemoteService(
+            f"tool {order.tool}", Reason.BACKEND_UNAVAILABLE, Reason.TOOL_TIMEOUT
+        )
+        response = await send_request(self._session, service, _request(url, order))
+        if isinstance(response, Refused):
+            return response
+        if response.status != 200:
+            return refusal_for_status(service, response)
         try:
-            return ToolResult(ToolDocument.model_validate_json(answer.body).content)
+            return ToolResult(ToolDocument.model_validate_json(response.body).content)
         except ValidationError:
-            return malformed(service)
+            return malformed_response(service)
 
 
 def _request(url: str, order: ToolRequest) -> HttpRequest:
--- a/src/foxwinch/bench/overhead.py
+++ b/src/foxwinch/bench/overhead.py
@@ -18,7 +18,7 @@
     HEADER_EPOCH,
     HEADER_PRIORITY,
     HEADER_PROGRAM,
-    HEADER_RESUME,
+    HEADER_RESUME_OFFSET,
 )
 from foxwinch.bench.overhead_settings import (
     CALLER_KEY,
@@ -42,7 +42,7 @@
     HEADER_PROGRAM: "direct",
     HEADER_EPOCH: "1",
     HEADER_PRIORITY: "0",
-    HEADER_RESUME: "0",
+    HEADER_RESUME_OFFSET: "0",
 }
 PROMPT = "From Carmarthen to Wrecsam on Friday with two children, by the window, please."
 
--- a/src/foxwinch/bench/pass_through.py
+++ b/src/foxwinch/bench/pass_through.py
@@ -17,7 +17,7 @@
     HEADER_EPOCH,
     HEADER_PRIORITY,
     HEADER_PROGRAM,
-    HEADER_RESUME,
+    HEADER_RESUME_OFFSET,
 )
 
 JSON_HEADERS = {"Content-Type": "application/json"}
@@ -39,7 +39,7 @@
             HEADER_PROGRAM: name,
             HEADER_EPOCH: "1",
             HEADER_PRIORITY: "0",
-            HEADER_RESUME: "0",
+            HEADER_RESUME_OFFSET: "0",
         }
         url = f"{next(urls)}/v1/chat/completions"
         async with session.post(url, data=body, headers=headers) as answer:
--- a/src/foxwinch/emulator/http_engine.py
+++ b/src/foxwinch/emulator/http_engine.py
@@ -12,11 +12,11 @@
     HEADER_EPOCH,
     HEADER_PRIORITY,
     HEADER_PROGRAM,
-    HEADER_RESUME,
+    HEADER_RESUME_OFFSET,
     OrderDocument,
     ReleaseDocument,
 )
-from foxwinch.backends.engine_load import write_load
+from foxwinch.backends.engine_load import encode_load
 from foxwinch.backends.ports import (
     Completed,
     GenerateFinished,
@@ -109,7 +109,7 @@
         engine = await self._enter(request)
         if isinstance(engine, web.Response):
             return engine
-        return await answer(request, engine.gate, web.Response(text=write_load(engine.load())))
+        return await answer(request, engine.gate, web.Response(text=encode_load(engine.load())))
 
     async def cache_events(self, request: web.Request) -> web.StreamResponse:
         """Tell cache events."""
@@ -244,7 +244,7 @@
         maximum_tokens=int(document["max_tokens"]),
         priority=int(headers[HEADER_PRIORITY]),
         epoch=Epoch(int(headers[HEADER_EPOCH])),
-        resume_offset=int(headers[HEADER_RESUME]),
+        resume_offset=int(headers[HEADER_RESUME_OFFSET]),
     )
 
 
--- a/src/foxwinch/emulator/http_faults.py
+++ b/src/foxwinch/emulator/http_faults.py
@@ -3,7 +3,7 @@
 from aiohttp import web
 
 from foxwinch.emulator.faults import AnswerFate, FaultGate, Gated, GateVerdict
-from foxwinch.http_exchange import HEADER_RETRY_AFTER, HEADER_RUN_STATE
+from foxwinch.http_client import HEADER_RETRY_AFTER, HEADER_RUN_STATE
 from foxwinch.outcomes import Reason, Refused, RunState
 
 GARBAGE = b'{"malformed": '
--- a/src/foxwinch/http_exchange.py
+++ b/src/foxwinch/http_client.py
@@ -15,11 +15,11 @@
 
 from foxwinch.outcomes import Reason, Refused, RunState, not_run, outcome_unknown
 
-CONNECT_SECONDS = 3.0
+CONNECT_TIMEOUT_SECONDS = 3.0
 """Connect timeout; backends and the platform are close."""
 MAX_RETRY_AFTER_SECONDS = 3_600.0
 """Upper limit of accepted Retry-After values."""
-MAX_ANSWER_BYTES = 32 * 1024 * 1024
+MAX_RESPONSE_BYTES = 32 * 1024 * 1024
 """Limit of a response body, which is kept in memory; a node has 256 MB."""
 HEADER_RUN_STATE = "x-run-state"
 """Header in which a service states that a failed request did not run; without it, the run state of
@@ -30,17 +30,17 @@
 STATUS_SERVER_ERROR = 500
 
 
-def new_session(keep_connections: bool = True) -> aiohttp.ClientSession:
+def new_session(keep_alive: bool = True) -> aiohttp.ClientSession:
     """Return a new session, which the caller closes; must be called in a running event loop.
 
-    Without `keep_connections`, each request uses a new connection. A request on a persistent
+    Without `keep_alive`, each request uses a new connection. A request on a persistent
     connection that the server is just closing would have an unknown outcome.
     """
-    connector = aiohttp.TCPConnector(limit=0, force_close=not keep_connections)
+    connector = aiohttp.TCPConnector(limit=0, force_close=not keep_alive)
     return aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
-        timeout=aiohttp.ClientTimeout(total=None, connect=CONNECT_SECONDS),
+        timeout=aiohttp.ClientTimeout(total=None, connect=CONNECT_TIMEOUT_SECONDS),
     )
 
 
@@ -69,20 +69,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Service:
+class RemoteService:
     """Name of a service in error messages, and the reasons for its failures."""
 
     name: str
     unavailable: Reason
-    late: Reason
+    timed_out: Reason
     """Reason for a timeout."""
 
 
-async def exchange(
-    session: aiohttp.ClientSession, service: Service, request: HttpRequest
+async def send_request(
+    session: aiohttp.ClientSession, service: RemoteService, request: HttpRequest
 ) -> HttpResponse | Refused:
     """Send a request once and read the complete response."""
-    if not _sendable(request):
+    if not _has_valid_headers(request):
         return not_run(Reason.INVALID_REQUEST, "a header value contains control characters")
     try:
         async with (
@@ -101,7 +101,7 @@
                 return outcome_unknown(
                     service.unavailable, f"{service.name} returned too large a response"
                 )
-            retry_after = read_retry_after(response.headers.get(HEADER_RETRY_AFTER))
+            retry_after = parse_retry_after(response.headers.get(HEADER_RETRY_AFTER))
             run_state = response.headers.get(HEADER_RUN_STATE)
             return HttpResponse(response.status, body, retry_after, run_state)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
@@ -110,52 +110,54 @@
         return not_run(Reason.INVALID_REQUEST, f"{service.name} has an invalid address")
     except TimeoutError:
         detail = f"{service.name} did not respond within {request.timeout_seconds} s"
-        return outcome_unknown(service.late, detail)
+        return outcome_unknown(service.timed_out, detail)
     except (aiohttp.ClientError, OSError) as error:
-        kind = type(error).__name__
-        return outcome_unknown(service.unavailable, f"connection to {service.name} failed: {kind}")
+        error_name = type(error).__name__
+        return outcome_unknown(
+            service.unavailable, f"connection to {service.name} failed: {error_name}"
+        )
 
 
-def _sendable(request: HttpRequest) -> bool:
+def _has_valid_headers(request: HttpRequest) -> bool:
     return all(value.isprintable() for value in (request.headers or {}).values())
 
 
 async def _read_body(response: aiohttp.ClientResponse) -> bytes | None:
-    """Return the body, or None if it exceeds `MAX_ANSWER_BYTES`."""
+    """Return the body, or None if it exceeds `MAX_RESPONSE_BYTES`."""
     body = bytearray()
-    async for piece in response.content.iter_any():
-        body += piece
-        if len(body) > MAX_ANSWER_BYTES:
+    async for chunk in response.content.iter_any():
+        body += chunk
+        if len(body) > MAX_RESPONSE_BYTES:
             return None
     return bytes(body)
 
 
-def refusal(service: Service, answer: HttpResponse) -> Refused:
+def refusal_for_status(service: RemoteService, response: HttpResponse) -> Refused:
     """Return the refusal for a status that the adapter does not handle itself.
 
     429 and other client errors mean that the request did not run. After a redirect, another success
     status or a server error the effect is unknown, unless the service reports the run state.
     """
-    detail = f"{service.name} returned status {answer.status}"
-    if answer.status < STATUS_CLIENT_ERROR:
+    detail = f"{service.name} returned status {response.status}"
+    if response.status < STATUS_CLIENT_ERROR:
         return outcome_unknown(service.unavailable, detail)
-    if answer.status == STATUS_TOO_MANY_REQUESTS:
-        return not_run(Reason.RATE_LIMITED, detail, answer.retry_after_seconds)
-    if answer.status < STATUS_SERVER_ERROR:
-        if answer.run_state == RunState.UNKNOWN:
+    if response.status == STATUS_TOO_MANY_REQUESTS:
+        return not_run(Reason.RATE_LIMITED, detail, response.retry_after_seconds)
+    if response.status < STATUS_SERVER_ERROR:
+        if response.run_state == RunState.UNKNOWN:
             return outcome_unknown(Reason.INVALID_REQUEST, detail)
         return not_run(Reason.INVALID_REQUEST, detail)
-    if answer.run_state == RunState.NOT_RUN:
-        return not_run(service.unavailable, detail, answer.retry_after_seconds)
-    return Refused(service.unavailable, RunState.UNKNOWN, detail, answer.retry_after_seconds)
+    if response.run_state == RunState.NOT_RUN:
+        return not_run(service.unavailable, detail, response.retry_after_seconds)
+    return Refused(service.unavailable, RunState.UNKNOWN, detail, response.retry_after_seconds)
 
 
-def malformed(service: Service) -> Refused:
+def malformed_response(service: RemoteService) -> Refused:
     """Return the refusal for a malformed response: the request may have taken effect."""
     return outcome_unknown(service.unavailable, f"{service.name} returned a malformed response")
 
 
-def read_retry_after(value: str | None) -> float | None:
+def parse_retry_after(value: str | None) -> float | None:
     """Return the seconds of a Retry-After header; None for a date or a malformed value."""
     if value is None:
         return None
--- a/src/foxwinch/log_sink.py
+++ b/src/foxwinch/log_sink.py
@@ -19,11 +19,11 @@
 MAX_LINES_WAITING = 2_000
 LINES_PER_SECOND = 300.0
 LINES_BURST = 600.0
-FLUSH_SECONDS = 0.25
+FLUSH_INTERVAL_SECONDS = 0.25
 """Interval between writes; batching reduces the number of system calls."""
 
 
-class BoundedSink(logging.Handler):
+class NonBlockingHandler(logging.Handler):
     """Logging handler that buffers formatted lines and writes them without blocking."""
 
     def __init__(self, descriptor: int, now: float) -> None:
@@ -32,9 +32,9 @@
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self._bucket = TokenBucket.full(LINES_PER_SECOND, LINES_BURST, now)
-        self._flushing = False
+        self._is_flush_scheduled = False
         self.dropped = 0
         """Number of lines dropped since the last report."""
 
@@ -57,21 +57,21 @@
         self._lines.append((self.format(record) + "\n").encode())
         if loop is None:
             self.flush()
-        elif not self._flushing:
-            self._flushing = True
-            loop.call_later(FLUSH_SECONDS, self._flush_later)
+        elif not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
+            loop.call_later(FLUSH_INTERVAL_SECONDS, self._flush_and_reschedule)
 
-    def _flush_later(self) -> None:
-        self._flushing = False
+    def _flush_and_reschedule(self) -> None:
+        self._is_flush_scheduled = False
         self.flush()
         loop = _running_loop()
-        if (self._lines or self._rest) and loop is not None and not self._flushing:
-            self._flushing = True
-            loop.call_later(FLUSH_SECONDS, self._flush_later)
+        if (self._lines or self._unwritten) and loop is not None and not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
+            loop.call_later(FLUSH_INTERVAL_SECONDS, self._flush_and_reschedule)
 
     def flush(self) -> None:
         """Write as many bytes as the descriptor accepts."""
-        data = self._rest + b"".join(self._lines)
+        data = self._unwritten + b"".join(self._lines)
         self._lines.clear()
         try:
             written = os.write(self._descriptor, data) if data else 0
@@ -79,7 +79,7 @@
             written = 0
         except OSError:
             written = len(data)
-        self._rest = data[written:]
+        self._unwritten = data[written:]
 
 
 def _running_loop() -> asyncio.AbstractEventLoop | None:
@@ -89,9 +89,9 @@
         return None
 
 
-def log_to_standard_output(level: str) -> BoundedSink:
+def log_to_standard_output(level: str) -> NonBlockingHandler:
     """Write foxwinch's log lines to standard output in logfmt, from the given `logging` level."""
-    sink = BoundedSink(sys.stdout.fileno(), 0.0)
+    sink = NonBlockingHandler(sys.stdout.fileno(), 0.0)
     sink.setFormatter(Logfmter(keys=["at", "when"], mapping={"at": "levelname", "when": "created"}))
     root = logging.getLogger()
     root.handlers[:] = [sink]
--- a/src/foxwinch/node/admission_gate.py
+++ b/src/foxwinch/node/admission_gate.py
@@ -12,7 +12,7 @@
 
 RETRY_AFTER_SECONDS = 1.0
 """Other nodes accept the request at once; the delay only spreads the retries."""
-WORK_PREFIX = "/v1/"
+API_PREFIX = "/v1/"
 """Paths that are rejected while draining; health and metrics stay available."""
 
 
@@ -57,7 +57,7 @@
 
         @web.middleware
         async def apply(request: web.Request, handler: Handler) -> web.StreamResponse:
-            if not request.path.startswith(WORK_PREFIX):
+            if not request.path.startswith(API_PREFIX):
                 return await handler(request)
             if self._closed:
                 detail = "this node is draining; retry the request on another node"
--- a/src/foxwinch/node/dev.py
+++ b/src/foxwinch/node/dev.py
@@ -15,7 +15,7 @@
 
 MAX_ANSWER_TOKENS = 64
 KEY_BYTES = 24
-PATHS = {"engine": "workers", "tool": "tools"}
+EMULATOR_PATHS = {"engine": "workers", "tool": "tools"}
 """Emulator path of a pool's workers, by kind of pool."""
 
 
@@ -37,25 +37,27 @@
             drain_seconds=10.0,
         )
         process = NodeProcess(
-            settings, _for_dev(document, emulated_services.url, caller_key), alone=True
+            settings,
+            _with_emulated_workers(document, emulated_services.url, caller_key),
+            standalone=True,
         )
         loop.run_until_complete(process.start())
         try:
             loop.run_until_complete(process.wait_ready())
             keys = {"caller_key": caller_key, "operator_key": operator_key}
             announce({**process.addresses(), **keys})
-            whole = loop.run_until_complete(process.run())
+            is_drained = loop.run_until_complete(process.run())
         finally:
             loop.run_until_complete(process.stop())
     loop.close()
-    return whole
+    return is_drained
 
 
-def _for_dev(
+def _with_emulated_workers(
     document: ClusterConfiguration, base_url: str, caller_key: str
 ) -> ClusterConfiguration:
     """Point the workers to the emulator and add `caller_key` to the first tenant."""
-    paths = {pool.name: PATHS[pool.kind] for pool in document.pools}
+    paths = {pool.name: EMULATOR_PATHS[pool.kind] for pool in document.pools}
     workers = [
         worker.model_copy(update={"url": f"{base_url}/{paths[worker.pool]}/{worker.name}"})
         for worker in document.workers
--- a/src/foxwinch/node/local_cluster.py
+++ b/src/foxwinch/node/local_cluster.py
@@ -37,8 +37,8 @@
 
     def publish(self, entry: GossipEntry) -> None:
         """Store the entry unless the same or a newer version is present."""
-        held = self._entries[entry.kind].get(entry.key)
-        if held is None or held.version < entry.version:
+        current = self._entries[entry.kind].get(entry.key)
+        if current is None or current.version < entry.version:
             self._entries[entry.kind][entry.key] = entry
 
     def entries(self, kind: GossipKind) -> Mapping[str, GossipEntry]:
--- a/src/foxwinch/node/node.py
+++ b/src/foxwinch/node/node.py
@@ -26,7 +26,7 @@
 from foxwinch.settings.process import NodeSettings
 from foxwinch.workers.worker_directory import WorkerDirectory
 
-IDENTITY_DIGITS = 12
+NODE_ID_SUFFIX_DIGITS = 12
 """Hexadecimal digits that distinguish restarts of a node with the same name."""
 log = EventLog("node")
 
@@ -139,7 +139,7 @@
     the peer endpoint was opened with.
     """
     context = NodeContext(
-        node=node or new_node_identity(settings, ports.clock),
+        node=node or new_node_id(settings, ports.clock),
         settings=settings,
         ports=ports,
         registry=registry or CollectorRegistry(),
@@ -155,9 +155,9 @@
     return Node(context, parts)
 
 
-def new_node_identity(settings: NodeSettings, clock: Clock) -> NodeId:
+def new_node_id(settings: NodeSettings, clock: Clock) -> NodeId:
     """Return a node id that is unique to this process: the name and a random suffix."""
-    return NodeId(f"{settings.name}-{clock.identifier()[:IDENTITY_DIGITS]}")
+    return NodeId(f"{settings.name}-{clock.identifier()[:NODE_ID_SUFFIX_DIGITS]}")
 
 
 def build_single_node(document: ClusterConfiguration, session: aiohttp.ClientSession) -> Node:
--- a/src/foxwinch/node/parts/programs.py
+++ b/src/foxwinch/node/parts/programs.py
@@ -52,16 +52,16 @@
         self._owner = owner
         self._router = router
         self._sweeper = ProgramSweeper(owner)
-        self._adoption = TreeTakeover(owner, membership)
+        self._takeover = TreeTakeover(owner, membership)
 
     async def start(self) -> None:
         """Start the sweeper and the takeover."""
         await self._sweeper.start()
-        await self._adoption.start()
+        await self._takeover.start()
 
     async def stop(self) -> None:
         """End every call, with an outcome that states whether it ran."""
-        await self._adoption.stop()
+        await self._takeover.stop()
         await self._sweeper.stop()
         await self._owner.stop()
 
--- a/src/foxwinch/operator/client.py
+++ b/src/foxwinch/operator/client.py
@@ -29,9 +29,9 @@
         self._channel = Channel(host, port, ssl=tls)
         self._stub = OperatorStub(self._channel)
         self._metadata = {AUTHORIZATION_KEY: f"{BEARER_PREFIX}{key}"}
-        self._seconds = seconds
+        self._timeout_seconds = seconds
         self._trailing: dict[str, object] = {}
-        listen(self._channel, RecvTrailingMetadata, self._keep_trailing)
+        listen(self._channel, RecvTrailingMetadata, self._store_trailing)
 
     async def __aenter__(self) -> Self:
         """Return the client."""
@@ -57,21 +57,23 @@
     async def _call(self, method: Method, request: Message, is_command: bool) -> Any | Refused:
         self._trailing = {}
         try:
-            return await method(self._stub)(request, timeout=self._seconds, metadata=self._metadata)
+            return await method(self._stub)(
+                request, timeout=self._timeout_seconds, metadata=self._metadata
+            )
         except GRPCError as error:
             return refusal_of(error, self._trailing, is_command)
         except (ConnectionRefusedError, ssl.SSLError) as error:
             return not_run(Reason.PEER_UNREACHABLE, f"cannot connect to the node: {error}")
         except TimeoutError:
-            detail = f"no response within {self._seconds:g} s"
-            return Refused(Reason.DEADLINE, _lost(is_command), detail)
+            detail = f"no response within {self._timeout_seconds:g} s"
+            return Refused(Reason.DEADLINE, _run_state_without_response(is_command), detail)
         except (OSError, StreamTerminatedError) as error:
             detail = f"the connection was lost: {error}"
-            return Refused(Reason.PEER_UNREACHABLE, _lost(is_command), detail)
+            return Refused(Reason.PEER_UNREACHABLE, _run_state_without_response(is_command), detail)
 
-    async def _keep_trailing(self, event: RecvTrailingMetadata) -> None:
+    async def _store_trailing(self, event: RecvTrailingMetadata) -> None:
         self._trailing = dict(event.metadata)
 
 
-def _lost(is_command: bool) -> RunState:
+def _run_state_without_response(is_command: bool) -> RunState:
     return RunState.UNKNOWN if is_command else RunState.NOT_RUN
--- a/src/foxwinch/operator/handlers.py
+++ b/src/foxwinch/operator/handlers.py
@@ -41,51 +41,51 @@
 
     async def ListNodes(self, stream: Stream[Any, Any]) -> None:
         """Return all known nodes."""
-        await _answer(stream, self._list_nodes)
+        await _serve_unary(stream, self._list_nodes)
 
     async def ListWorkers(self, stream: Stream[Any, Any]) -> None:
         """Return the workers of all coordinators."""
-        await _answer(stream, lambda request: self._queries.workers())
+        await _serve_unary(stream, lambda request: self._queries.workers())
 
     async def ListPrograms(self, stream: Stream[Any, Any]) -> None:
         """Return the programs that match the filter."""
-        await _answer(stream, self._queries.programs)
+        await _serve_unary(stream, self._queries.programs)
 
     async def ShowProgram(self, stream: Stream[Any, Any]) -> None:
         """Return the details of one program."""
-        await _answer(stream, self._show_program)
+        await _serve_unary(stream, self._show_program)
 
     async def GetConfiguration(self, stream: Stream[Any, Any]) -> None:
         """Return the active configuration of this node."""
-        await _answer(stream, self._get_configuration)
+        await _serve_unary(stream, self._get_configuration)
 
     async def CheckConfiguration(self, stream: Stream[Any, Any]) -> None:
         """Validate a configuration document and return its problems."""
-        await _answer(stream, self._check_configuration)
+        await _serve_unary(stream, self._check_configuration)
 
     async def DiffConfiguration(self, stream: Stream[Any, Any]) -> None:
         """Return the differences between a document and the active configuration."""
-        await _answer(stream, self._diff_configuration)
+        await _serve_unary(stream, self._diff_configuration)
 
     async def GetConfigurationStatus(self, stream: Stream[Any, Any]) -> None:
         """Return the configuration revision of each node."""
-        await _answer(stream, self._configuration_status)
+        await _serve_unary(stream, self._configuration_status)
 
     async def DrainNode(self, stream: Stream[Any, Any]) -> None:
         """Start the drain and shutdown of a node."""
-        await _answer(stream, self._drain_node)
+        await _serve_unary(stream, self._drain_node)
 
     async def DrainWorker(self, stream: Stream[Any, Any]) -> None:
         """Take a worker out of service."""
-        await _answer(stream, self._drain_worker)
+        await _serve_unary(stream, self._drain_worker)
 
     async def AbandonProgram(self, stream: Stream[Any, Any]) -> None:
         """Abandon a program."""
-        await _answer(stream, self._abandon_program)
+        await _serve_unary(stream, self._abandon_program)
 
     async def ApplyConfiguration(self, stream: Stream[Any, Any]) -> None:
         """Make a document the active configuration."""
-        await _answer(stream, self._apply_configuration)
+        await _serve_unary(stream, self._apply_configuration)
 
     async def _list_nodes(self, request: pb.ListNodesRequest) -> pb.ListNodesResponse:
         return pb.ListNodesResponse(nodes=await self._queries.nodes())
@@ -122,13 +122,13 @@
         snapshot = self._configuration.current()
         if isinstance(snapshot, Refused):
             return snapshot
-        found = [
+        items = [
             pb.ConfigurationDifference(
                 path=item.path, in_force_json=item.in_force or "", proposed_json=item.proposed or ""
             )
             for item in differences(snapshot, document)
         ]
-        return pb.DiffConfigurationResponse(revision=snapshot.revision, differences=found)
+        return pb.DiffConfigurationResponse(revision=snapshot.revision, differences=items)
 
     async def _configuration_status(
         self, request: pb.GetConfigurationStatusRequest
@@ -185,7 +185,7 @@
     )
 
 
-async def _answer(
+async def _serve_unary(
     stream: Stream[Any, Any], handler: Callable[[Request], Awaitable[Response | Refused]]
 ) -> None:
     """Read the request of a unary call, and send the response or a refusal."""
--- a/src/foxwinch/operator/server.py
+++ b/src/foxwinch/operator/server.py
@@ -31,7 +31,7 @@
 SERVICE_PREFIX = "/foxwinch.v1.Operator/"
 
 
-class SmallMessageCodec(ProtoCodec):
+class SizeLimitedCodec(ProtoCodec):
     """Protobuf codec with a size limit for requests."""
 
     def decode(self, data: bytes, message_type: Any) -> Any:
@@ -70,16 +70,16 @@
         """Bind the socket and start serving."""
         services: list[Any] = [self._handlers]
         health = Health({self._handlers: [self._status], OVERALL: [self._status]})
-        everything = ServerReflection.extend([*services, health])
+        all_services = ServerReflection.extend([*services, health])
         self._server = Server(
-            everything,
-            codec=SmallMessageCodec(),
+            all_services,
+            codec=SizeLimitedCodec(),
             config=Configuration(
                 http2_connection_window_size=CONNECTION_WINDOW_BYTES,
                 http2_stream_window_size=STREAM_WINDOW_BYTES,
             ),
         )
-        listen(self._server, RecvRequest, self._admit)
+        listen(self._server, RecvRequest, self._prepare_request)
         socket = bind_socket(address=self.host, port=self.port, proto_name="grpc")
         self.port = socket.getsockname()[1]
         await self._server.start(sock=socket, ssl=self._tls)
@@ -93,7 +93,7 @@
             await self._server.wait_closed()
             self._server = None
 
-    async def _admit(self, event: RecvRequest) -> None:
+    async def _prepare_request(self, event: RecvRequest) -> None:
         """Authenticate a request and limit the run time of its handler."""
         if not event.method_name.startswith(SERVICE_PREFIX):
             return
@@ -101,13 +101,13 @@
         if refused is not None:
             raise GRPCError(Status.UNAUTHENTICATED, refused.detail)
         handle = event.method_func
-        seconds = MAX_DEADLINE_SECONDS if event.deadline else DEFAULT_DEADLINE_SECONDS
+        timeout_seconds = MAX_DEADLINE_SECONDS if event.deadline else DEFAULT_DEADLINE_SECONDS
 
-        async def bounded(stream: Any) -> None:
+        async def handle_with_timeout(stream: Any) -> None:
             try:
-                async with asyncio.timeout(seconds):
+                async with asyncio.timeout(timeout_seconds):
                     await handle(stream)
             except TimeoutError:
                 raise GRPCError(Status.DEADLINE_EXCEEDED, "deadline exceeded") from None
 
-        event.method_func = bounded
+        event.method_func = handle_with_timeout
--- a/src/foxwinch/platform/connections.py
+++ b/src/foxwinch/platform/connections.py
@@ -12,44 +12,44 @@
 
 import aiohttp
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 """Connect timeout: many times the round trip between zones, and below the 1 s after which a lost
 SYN packet is retransmitted."""
-UNACKNOWLEDGED_MS = 1_000
+USER_TIMEOUT_MS = 1_000
 """Timeout for unacknowledged data (`TCP_USER_TIMEOUT`). It allows two or three retransmissions. A
 busy peer process does not exceed it, because its kernel sends the acknowledgements."""
-PROBE_IDLE_SECONDS = 1
+KEEPALIVE_IDLE_SECONDS = 1
 """Idle time before the first keepalive probe; the shortest that the kernel supports."""
-PROBE_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
 """Interval between keepalive probes; the shortest that the kernel supports."""
-MAX_PROBES = 2
+MAX_KEEPALIVE_PROBES = 2
 
 
-def open_session(kept_seconds: float, **options: Any) -> aiohttp.ClientSession:
+def open_session(keepalive_seconds: float, **options: Any) -> aiohttp.ClientSession:
     """Return a session that closes connections whose peer stops acknowledging packets.
 
-    Idle connections are kept for `kept_seconds`; `options` are passed to `ClientSession`.
+    Idle connections are kept for `keepalive_seconds`; `options` are passed to `ClientSession`.
     """
     connector = aiohttp.TCPConnector(
-        limit=0, keepalive_timeout=kept_seconds, socket_factory=_open_socket
+        limit=0, keepalive_timeout=keepalive_seconds, socket_factory=_open_socket
     )
     return aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS),
+        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
         **options,
     )
 
 
 def _open_socket(address: tuple[Any, ...]) -> socket.socket:
     family, kind, protocol, *_ = address
-    opened = socket.socket(family, kind, protocol)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_SECONDS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_PROBES)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-    return opened
+    sock = socket.socket(family, kind, protocol)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    return sock
 
 
 class ConnectionPool:
@@ -59,19 +59,19 @@
         """Create sessions with `make_session`; must be called in a running event loop."""
         self._make_session = make_session
         self._current = make_session()
-        self._calls: dict[aiohttp.ClientSession, int] = {}
+        self._calls_in_flight: dict[aiohttp.ClientSession, int] = {}
 
     @asynccontextmanager
     async def session(self) -> AsyncIterator[aiohttp.ClientSession]:
         """Provide the current session for one call."""
         session = self._current
-        self._calls[session] = self._calls.get(session, 0) + 1
+        self._calls_in_flight[session] = self._calls_in_flight.get(session, 0) + 1
         try:
             yield session
         finally:
-            self._calls[session] -= 1
-            if not self._calls[session]:
-                del self._calls[session]
+            self._calls_in_flight[session] -= 1
+            if not self._calls_in_flight[session]:
+                del self._calls_in_flight[session]
                 if session is not self._current:
                     await session.close()
 
@@ -84,5 +84,5 @@
 
     async def close(self) -> None:
         """Close all connections, including those of calls in flight."""
-        for session in {self._current, *self._calls}:
+        for session in {self._current, *self._calls_in_flight}:
             await session.close()
--- a/src/foxwinch/platform/documents.py
+++ b/src/foxwinch/platform/documents.py
@@ -16,7 +16,7 @@
 Name = Annotated[str, Field(min_length=1)]
 
 
-def _known_kind(value: object) -> object:
+def _coerce_kind(value: object) -> object:
     """Replace an unknown kind by `UNSAFE`, the most restrictive one."""
     return value if value in tuple(RouteKind) else RouteKind.UNSAFE
 
@@ -69,7 +69,7 @@
     name: Name
     host: Name
     path_prefix: str
-    kind: Annotated[RouteKind, BeforeValidator(_known_kind)] = Field(alias="type")
+    kind: Annotated[RouteKind, BeforeValidator(_coerce_kind)] = Field(alias="type")
     service: Name | None = None
     """The only service; None if `backends` lists several."""
     backends: tuple[BackendDocument, ...] | None = None
@@ -84,7 +84,7 @@
     retain_seconds: Annotated[float, Field(ge=0)] | None = Field(default=None, alias="retain_s")
 
     @model_validator(mode="after")
-    def _names_a_service(self) -> Self:
+    def _check_service(self) -> Self:
         if self.service is None and not self.backends:
             raise ValueError("route has neither service nor backends")
         return self
--- a/src/foxwinch/platform/front_door.py
+++ b/src/foxwinch/platform/ingress.py
@@ -8,19 +8,19 @@
 
 from foxwinch.clock import Clock
 from foxwinch.platform.names import (
-    BUDGET,
     CONNECTION_HEADERS,
+    CONVERSATION,
     DEADLINE_MS,
     FINISH_MS,
     LAST_EVENT_ID,
     LENGTH_HINT,
-    LINE,
     PREVIOUS_TURN,
     PROGRAM,
     PROMPT_PARTS,
     REQUEST_ID,
     RETRY_AFTER,
-    TOKENS,
+    TOKEN_BUDGET,
+    TOKEN_COUNT,
 )
 from foxwinch.serving.messages import (
     ModelParameters,
@@ -32,7 +32,7 @@
 )
 from foxwinch.serving.node import ServingNode
 
-STATUS_OF: Final[Mapping[Rejection, int]] = {
+STATUS_BY_REJECTION: Final[Mapping[Rejection, int]] = {
     Rejection.NOT_RUN: 503,
     Rejection.BUDGET_SPENT: 402,
     Rejection.NO_ROUTE: 404,
@@ -42,11 +42,11 @@
     Rejection.FAILED: 502,
     Rejection.LATE: 504,
 }
-RETRY_AFTER_DEFAULT_SECONDS = 0.25
-SET_BY_FOXWINCH: Final = frozenset({"host", DEADLINE_MS.lower(), LAST_EVENT_ID.lower()})
+DEFAULT_RETRY_AFTER_SECONDS = 0.25
+HEADERS_SET_BY_FOXWINCH: Final = frozenset({"host", DEADLINE_MS.lower(), LAST_EVENT_ID.lower()})
 
 
-class FrontDoor:
+class Ingress:
     """Translates HTTP requests into service requests and passes them to the node."""
 
     def __init__(self, node: ServingNode, clock: Clock) -> None:
@@ -59,7 +59,7 @@
         application.router.add_route("*", "/{path:.*}", self._handle)
         return application
 
-    def ready_application(self) -> web.Application:
+    def readiness_application(self) -> web.Application:
         """Return the application of the readiness endpoint."""
         application = web.Application()
         application.router.add_get("/v1/ready", self._ready)
@@ -79,18 +79,18 @@
         if body_bytes is not None and len(body) > body_bytes:
             await caller.reject(RejectedRequest(Rejection.TOO_LARGE, "body_too_large"))
             return caller.response
-        translated = self._translate(request, body)
-        if translated is None:
+        service_request = self._parse_request(request, body)
+        if service_request is None:
             await caller.reject(RejectedRequest(Rejection.INVALID, "malformed_header"))
             return caller.response
-        await self._node.handle(translated, caller)
+        await self._node.handle(service_request, caller)
         return caller.response
 
-    def _translate(self, request: web.Request, body: bytes) -> ServiceRequest | None:
+    def _parse_request(self, request: web.Request, body: bytes) -> ServiceRequest | None:
         """Build the service request; None if a numeric header is malformed."""
         headers = request.headers
         try:
-            deadline_ms = _number(headers.get(DEADLINE_MS))
+            deadline_ms = _parse_float(headers.get(DEADLINE_MS))
             return ServiceRequest(
                 request_id=headers.get(REQUEST_ID, ""),
                 method=request.method,
@@ -101,62 +101,62 @@
                     (name, value)
                     for name, value in headers.items()
                     if name.lower() not in CONNECTION_HEADERS
-                    and name.lower() not in SET_BY_FOXWINCH
+                    and name.lower() not in HEADERS_SET_BY_FOXWINCH
                 ),
                 body=body,
                 received_at=self._clock.monotonic(),
                 deadline_seconds=deadline_ms / 1e3 if deadline_ms is not None else None,
-                program=_program(headers),
-                model=_model(headers),
-                budget_tokens=_integer(headers.get(BUDGET)),
+                program=_program_parameters(headers),
+                model=_model_parameters(headers),
+                budget_tokens=_parse_int(headers.get(TOKEN_BUDGET)),
                 previous_turn=headers.get(PREVIOUS_TURN) or None,
-                last_event_id=_integer(headers.get(LAST_EVENT_ID)),
+                last_event_id=_parse_int(headers.get(LAST_EVENT_ID)),
             )
         except ValueError:
             return None
 
 
-def _program(headers: Mapping[str, str]) -> ProgramParameters | None:
+def _program_parameters(headers: Mapping[str, str]) -> ProgramParameters | None:
     program_id = headers.get(PROGRAM)
     if not program_id:
         return None
-    finish_ms = _number(headers.get(FINISH_MS))
+    finish_ms = _parse_float(headers.get(FINISH_MS))
     return ProgramParameters(
         program_id,
-        headers.get(LINE) or program_id,
+        headers.get(CONVERSATION) or program_id,
         finish_ms / 1e3 if finish_ms is not None else None,
     )
 
 
-def _model(headers: Mapping[str, str]) -> ModelParameters | None:
-    tokens = headers.get(TOKENS)
+def _model_parameters(headers: Mapping[str, str]) -> ModelParameters | None:
+    tokens = headers.get(TOKEN_COUNT)
     if not tokens:
         return None
     prompt, _, output = tokens.partition(",")
     parts: list[tuple[str, int]] = []
     for part in headers.get(PROMPT_PARTS, "").split(","):
-        identity, separator, size = part.partition(":")
+        part_id, separator, size = part.partition(":")
         if separator:
-            parts.append((identity, int(size)))
-    hint = _integer(headers.get(LENGTH_HINT))
+            parts.append((part_id, int(size)))
+    hint = _parse_int(headers.get(LENGTH_HINT))
     return ModelParameters(int(prompt), int(output or 0), hint, tuple(parts))
 
 
-def _number(value: str | None) -> float | None:
+def _parse_float(value: str | None) -> float | None:
     return float(value) if value else None
 
 
-def _integer(value: str | None) -> int | None:
+def _parse_int(value: str | None) -> int | None:
     return int(value) if value else None
 
 
 class HttpCaller:
     """The HTTP response to one caller; implements `foxwinch.serving.messages.Caller`."""
 
-    def __init__(self, request: web.Request, leave: Callable[[], bool]) -> None:
-        """Respond to `request`; responses sent while `leave()` is true close the connection."""
+    def __init__(self, request: web.Request, should_close: Callable[[], bool]) -> None:
+        """Respond to `request`; while `should_close()` is true, responses close the connection."""
         self._request = request
-        self._leave = leave
+        self._should_close = should_close
         self._response: web.StreamResponse | None = None
 
     @property
@@ -168,12 +168,12 @@
     async def reject(self, rejected: RejectedRequest) -> None:
         """Send an error response that foxwinch itself generates."""
         response = web.Response(
-            status=STATUS_OF[rejected.rejection],
+            status=STATUS_BY_REJECTION[rejected.rejection],
             body=json.dumps({"error": rejected.reason}).encode(),
             content_type="application/json",
         )
         if rejected.rejection is Rejection.NOT_RUN:
-            seconds = rejected.retry_after_seconds or RETRY_AFTER_DEFAULT_SECONDS
+            seconds = rejected.retry_after_seconds or DEFAULT_RETRY_AFTER_SECONDS
             response.headers[RETRY_AFTER] = f"{seconds:.3f}"
         request_id = self._request.headers.get(REQUEST_ID)
         if request_id:
@@ -209,7 +209,7 @@
             transport.close()
 
     async def _send(self, response: web.StreamResponse) -> None:
-        if self._leave():
+        if self._should_close():
             response.force_close()
         self._response = response
         await response.prepare(self._request)
--- a/src/foxwinch/platform/process.py
+++ b/src/foxwinch/platform/process.py
@@ -12,12 +12,12 @@
 from foxwinch.clock import SystemClock
 from foxwinch.log import EventLog
 from foxwinch.log_sink import log_to_standard_output
-from foxwinch.platform.front_door import FrontDoor
+from foxwinch.platform.ingress import Ingress
 from foxwinch.platform.names import CONFIGURATION_KEY, CONFIGURATION_TABLE, WORKERS_TABLE
 from foxwinch.platform.settings import ServeSettings, load_serve_settings
 from foxwinch.platform.store_client import PlatformStore
-from foxwinch.platform.translation import configuration_of, worker_of
-from foxwinch.platform.worker_client import HttpWorkers
+from foxwinch.platform.translation import decode_configuration_row, decode_worker_row
+from foxwinch.platform.worker_client import HttpWorkerClient
 from foxwinch.records.store_state import ObservedStore
 from foxwinch.records.watch import watch_wait_seconds
 from foxwinch.service_tasks import TaskFailedError, stop_on_failure
@@ -26,13 +26,13 @@
 from foxwinch.serving.routing import RoutingTables
 from foxwinch.settings.base import SettingsError
 
-IDLE_CONNECTION_SECONDS = 75.0
+KEEPALIVE_TIMEOUT_SECONDS = 75.0
 """Keep-alive timeout; longer than any caller keeps an idle connection before it reuses it."""
-LAPSE_HEARTBEATS = 3
+EXPIRY_HEARTBEATS = 3
 """Missed heartbeats after which the store drops a worker's entry."""
-STOP_MARGIN_SECONDS = 0.7
+SHUTDOWN_MARGIN_SECONDS = 0.7
 """Time reserved for shutdown before the platform kills the process."""
-HEADER_BYTES = 65_536
+MAX_HEADER_BYTES = 65_536
 BACKLOG = 1_024
 log = EventLog("process")
 
@@ -45,11 +45,11 @@
         super().__init__()
         self._settings = settings
         self._settings_path = settings_path
-        self._began = time.monotonic()
+        self._created_at = time.monotonic()
         self._runners: list[web.AppRunner] = []
         self._sites: list[web.TCPSite] = []
         self._store: PlatformStore | None = None
-        self._workers: HttpWorkers | None = None
+        self._workers: HttpWorkerClient | None = None
         self._node: ServingNode | None = None
         self._addresses: dict[str, str] = {}
         self._stop_requested = asyncio.Event()
@@ -58,12 +58,12 @@
     async def start(self) -> None:
         """Build the node, open its listeners, then start it."""
         settings = self._settings
-        stop_on_failure(asyncio.get_running_loop(), self._stop_after)
+        stop_on_failure(asyncio.get_running_loop(), self._stop_on_task_failure)
         clock = SystemClock()
         metrics = ServingMetrics()
         self._store = PlatformStore(settings.store.address, metrics)
         store = ObservedStore(self._store, clock)
-        self._workers = HttpWorkers()
+        self._workers = HttpWorkerClient()
         routing = RoutingTables(
             store,
             clock,
@@ -71,10 +71,10 @@
             configuration_table=CONFIGURATION_TABLE,
             configuration_key=CONFIGURATION_KEY,
             workers_table=WORKERS_TABLE,
-            decode_configuration=configuration_of,
-            decode_worker=worker_of,
+            decode_configuration=decode_configuration_row,
+            decode_worker=decode_worker_row,
             wait_seconds=watch_wait_seconds(settings.store.notice_ms / 1e3),
-            expiry_seconds=LAPSE_HEARTBEATS * settings.store.heartbeat_ms / 1e3,
+            expiry_seconds=EXPIRY_HEARTBEATS * settings.store.heartbeat_ms / 1e3,
         )
         self._node = ServingNode(
             name=settings.name,
@@ -84,12 +84,12 @@
             routing=routing,
             clock=clock,
             metrics=metrics,
-            grace_seconds=settings.grace_seconds - STOP_MARGIN_SECONDS,
+            grace_seconds=settings.grace_seconds - SHUTDOWN_MARGIN_SECONDS,
         )
         self._install_signals()
-        door = FrontDoor(self._node, clock)
-        await self._listen("callers", door.application(), settings.listen.callers)
-        await self._listen("ready", door.ready_application(), settings.listen.ready)
+        ingress = Ingress(self._node, clock)
+        await self._listen("callers", ingress.application(), settings.listen.callers)
+        await self._listen("ready", ingress.readiness_application(), settings.listen.ready)
         if settings.listen.metrics is not None:
             application = _metrics_application(metrics)
             await self._listen("metrics", application, settings.listen.metrics)
@@ -100,7 +100,7 @@
             zone=settings.zone,
             callers=self.address_of("callers"),
             ready=self.address_of("ready"),
-            took_ms=int(1e3 * (time.monotonic() - self._began)),
+            took_ms=int(1e3 * (time.monotonic() - self._created_at)),
         )
 
     @property
@@ -109,9 +109,9 @@
         assert self._node is not None
         return self._node
 
-    def address_of(self, side: str) -> str:
+    def address_of(self, listener: str) -> str:
         """Return `ip:port` of a listener: `callers`, `ready` or `metrics`."""
-        return self._addresses[side]
+        return self._addresses[listener]
 
     async def run(self) -> None:
         """Wait for a stop signal, then shut down gracefully.
@@ -124,7 +124,7 @@
         if self._failure is not None:
             raise self._failure
 
-    def _stop_after(self, failure: TaskFailedError) -> None:
+    def _stop_on_task_failure(self, failure: TaskFailedError) -> None:
         """Shut down: without one of its tasks the node would continue with stale data."""
         self._failure = failure
         self._stop_requested.set()
@@ -147,25 +147,25 @@
 
     def _install_signals(self) -> None:
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _reload(self) -> None:
         """Read the settings file again and log which settings differ from the running ones."""
         assert self._settings_path is not None
-        read = load_serve_settings(self._settings_path)
-        if isinstance(read, SettingsError):
-            log.error("reload_refused", problems="; ".join(read.problems))
+        new_settings = load_serve_settings(self._settings_path)
+        if isinstance(new_settings, SettingsError):
+            log.error("reload_refused", problems="; ".join(new_settings.problems))
             return
         changed = [
             name
-            for name in type(read).model_fields
-            if getattr(read, name) != getattr(self._settings, name)
+            for name in type(new_settings).model_fields
+            if getattr(new_settings, name) != getattr(self._settings, name)
         ]
         log.info("reloaded", changed=",".join(changed) or "nothing")
 
-    async def _listen(self, side: str, application: web.Application, address: str) -> None:
+    async def _listen(self, listener: str, application: web.Application, address: str) -> None:
         host, _, port = address.rpartition(":")
         runner = web.AppRunner(
             application,
@@ -173,9 +173,9 @@
             handle_signals=False,
             handler_cancellation=True,
             shutdown_timeout=0.1,
-            keepalive_timeout=IDLE_CONNECTION_SECONDS,
-            max_line_size=HEADER_BYTES,
-            max_field_size=HEADER_BYTES,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_SECONDS,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
         )
         await runner.setup()
         self._runners.append(runner)
@@ -183,15 +183,15 @@
         await site.start()
         self._sites.append(site)
         bound_host, bound_port = runner.addresses[0][:2]
-        self._addresses[side] = f"{bound_host}:{bound_port}"
+        self._addresses[listener] = f"{bound_host}:{bound_port}"
 
 
 def _metrics_application(metrics: ServingMetrics) -> web.Application:
-    async def answer(_: web.Request) -> web.Response:
+    async def metrics_text(_: web.Request) -> web.Response:
         return web.Response(body=metrics.text(), content_type="text/plain")
 
     application = web.Application()
-    application.router.add_get("/metrics", answer)
+    application.router.add_get("/metrics", metrics_text)
     return application
 
 
--- a/src/foxwinch/platform/store_client.py
+++ b/src/foxwinch/platform/store_client.py
@@ -14,7 +14,7 @@
     AFTER_VERSION,
     END_KEY,
     FIRST_KEY,
-    HELD_MS,
+    LONG_POLL_MS,
     PAGE_ROWS,
     ROW_PARTITION,
     ROW_TABLE,
@@ -22,12 +22,12 @@
     STORE_READ,
     STORE_TRANSACT,
 )
-from foxwinch.platform.store_answers import (
+from foxwinch.platform.store_codec import (
     STATUS_GONE,
-    Answer,
-    rows_read,
-    transacted,
-    transaction_document,
+    StoreResponse,
+    decode_rows,
+    decode_transaction,
+    encode_transaction,
 )
 from foxwinch.records.ports import (
     Conflict,
@@ -41,9 +41,9 @@
 from foxwinch.records.watch import ANSWER_SECONDS
 from foxwinch.serving.metrics import ServingMetrics
 
-KEPT_SECONDS = 10.0
-READ_LIMIT = 500
-AFTER_KEY = "\x01"
+KEEPALIVE_SECONDS = 10.0
+PAGE_SIZE = 500
+NEXT_KEY_SUFFIX = "\x01"
 """Suffix that turns the last key of a page into the first key of the next page."""
 log = EventLog("store")
 
@@ -76,9 +76,9 @@
         timeout_seconds: float,
     ) -> Written | Conflict | Refused:
         """Apply a transaction."""
-        body = transaction_document(conditions, writes)
-        answer = await self._ask("POST", STORE_TRANSACT, None, body, timeout_seconds)
-        return answer if isinstance(answer, Refused) else transacted(answer)
+        body = encode_transaction(conditions, writes)
+        response = await self._request("POST", STORE_TRANSACT, None, body, timeout_seconds)
+        return response if isinstance(response, Refused) else decode_transaction(response)
 
     async def read(self, first: RowKey, end_key: str, timeout_seconds: float) -> RowsRead | Refused:
         """Read the rows of a partition from `first` up to, but not including, `end_key`."""
@@ -103,26 +103,28 @@
     ) -> RowsRead | Refused:
         """Read all pages; the version is the first page's, so that no later change is missed."""
         pages: list[RowsRead] = []
-        query = {**query, PAGE_ROWS: str(READ_LIMIT)}
+        query = {**query, PAGE_ROWS: str(PAGE_SIZE)}
         while True:
-            answer = await self._ask("GET", STORE_READ, query, None, timeout_seconds)
-            read = answer if isinstance(answer, Refused) else rows_read(answer)
-            if isinstance(read, Refused):
-                return read
-            pages.append(read)
-            if not read.more:
+            response = await self._request("GET", STORE_READ, query, None, timeout_seconds)
+            page = response if isinstance(response, Refused) else decode_rows(response)
+            if isinstance(page, Refused):
+                return page
+            pages.append(page)
+            if not page.more:
                 return RowsRead(
-                    tuple(row for page in pages for row in page.rows),
+                    tuple(row for read in pages for row in read.rows),
                     False,
                     pages[0].version,
-                    read.now_ms,
-                    tuple(row for page in pages for row in page.unreadable),
+                    page.now_ms,
+                    tuple(row for read in pages for row in read.unreadable),
                 )
-            last_key = max((*(row.row.key for row in read.rows), *_keys(read)), default="")
+            last_key = max(
+                (*(row.row.key for row in page.rows), *_undecodable_keys(page)), default=""
+            )
             if last_key < query[FIRST_KEY] or not last_key:
                 detail = "the store returned a page without a key to continue from"
                 return outcome_unknown(Reason.STORE_UNAVAILABLE, detail)
-            query[FIRST_KEY] = last_key + AFTER_KEY
+            query[FIRST_KEY] = last_key + NEXT_KEY_SUFFIX
 
     async def changes(
         self, table: str, after_version: int, wait_seconds: float
@@ -131,30 +133,32 @@
         query = {
             ROW_TABLE: table,
             AFTER_VERSION: str(after_version),
-            HELD_MS: str(int(1e3 * wait_seconds)),
+            LONG_POLL_MS: str(int(1e3 * wait_seconds)),
         }
         timeout_seconds = wait_seconds + ANSWER_SECONDS
-        answer = await self._ask("GET", STORE_CHANGES, query, None, timeout_seconds)
-        if isinstance(answer, Refused):
-            return answer
-        return HistoryLost() if answer.status == STATUS_GONE else rows_read(answer)
+        response = await self._request("GET", STORE_CHANGES, query, None, timeout_seconds)
+        if isinstance(response, Refused):
+            return response
+        return HistoryLost() if response.status == STATUS_GONE else decode_rows(response)
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         path: str,
         query: dict[str, str] | None,
         body: dict[str, Any] | None,
         timeout_seconds: float,
-    ) -> Answer | Refused:
-        began = time.monotonic()
+    ) -> StoreResponse | Refused:
+        started_at = time.monotonic()
         trace = _CallTrace()
         outcome = await self._exchange(method, path, query, body, timeout_seconds, trace)
-        took = time.monotonic() - began
+        duration_seconds = time.monotonic() - started_at
         operation = path.rpartition("/")[2]
-        word = outcome.reason.value if isinstance(outcome, Refused) else str(outcome.status)
-        self._metrics.store_calls.labels(operation, word).inc()
-        self._metrics.store_seconds.labels(operation).observe(took)
+        outcome_label = (
+            outcome.reason.value if isinstance(outcome, Refused) else str(outcome.status)
+        )
+        self._metrics.store_calls.labels(operation, outcome_label).inc()
+        self._metrics.store_seconds.labels(operation).observe(duration_seconds)
         if isinstance(outcome, Refused):
             log.info(
                 "store_call_failed",
@@ -163,7 +167,7 @@
                 reason=outcome.reason.value,
                 detail=outcome.detail,
                 connection=trace.connection,
-                took_ms=int(1e3 * took),
+                took_ms=int(1e3 * duration_seconds),
             )
         return outcome
 
@@ -175,7 +179,7 @@
         body: dict[str, Any] | None,
         timeout_seconds: float,
         trace: _CallTrace,
-    ) -> Answer | Refused:
+    ) -> StoreResponse | Refused:
         async with self._pool.session() as session:
             try:
                 async with (
@@ -190,7 +194,7 @@
                     ) as response,
                 ):
                     raw = await response.read()
-                    return Answer(response.status, json.loads(raw) if raw else {})
+                    return StoreResponse(response.status, json.loads(raw) if raw else {})
             except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
                 return not_run(Reason.STORE_UNAVAILABLE, "cannot connect to the store")
             except TimeoutError:
@@ -200,14 +204,14 @@
                     Reason.STORE_UNAVAILABLE, "the store did not respond in time"
                 )
             except (aiohttp.ClientError, OSError, ValueError) as error:
-                kind = type(error).__name__
+                error_name = type(error).__name__
                 return outcome_unknown(
-                    Reason.STORE_UNAVAILABLE, f"the connection to the store failed: {kind}"
+                    Reason.STORE_UNAVAILABLE, f"the connection to the store failed: {error_name}"
                 )
 
 
 def _open_session() -> aiohttp.ClientSession:
-    return open_session(KEPT_SECONDS, trace_configs=[_connection_trace()])
+    return open_session(KEEPALIVE_SECONDS, trace_configs=[_connection_trace()])
 
 
 def _connection_trace() -> aiohttp.TraceConfig:
@@ -225,5 +229,5 @@
     return trace
 
 
-def _keys(read: RowsRead) -> tuple[str, ...]:
-    return tuple(row.key for row in read.unreadable)
+def _undecodable_keys(page: RowsRead) -> tuple[str, ...]:
+    return tuple(row.key for row in page.unreadable)
--- a/src/foxwinch/platform/store_answers.py
+++ b/src/foxwinch/platform/store_codec.py
@@ -31,89 +31,91 @@
     Written,
 )
 
-STATUS_DONE = 200
+STATUS_OK = 200
 STATUS_GONE = 410
 STATUS_CONFLICT = 412
-STATUS_LIMITED = 429
+STATUS_TOO_MANY_REQUESTS = 429
 STATUS_UNAVAILABLE = 503
-UNREADABLE = (ValueError, KeyError, TypeError, OverflowError)
+DECODE_ERRORS = (ValueError, KeyError, TypeError, OverflowError)
 """Exceptions that decoding a malformed document raises."""
 log = EventLog("store")
 
 
-class Answer(NamedTuple):
+class StoreResponse(NamedTuple):
     """Status and JSON document of a complete response."""
 
     status: int
     document: Any
 
 
-def transaction_document(
+def encode_transaction(
     conditions: tuple[RowCondition, ...], writes: tuple[RowWrite, ...]
 ) -> dict[str, Any]:
     """Return the JSON body of a transaction."""
     return {
-        CONDITIONS: [{**_place(entry.row), ROW_VERSION: entry.version} for entry in conditions],
+        CONDITIONS: [
+            {**_row_address(entry.row), ROW_VERSION: entry.version} for entry in conditions
+        ],
         WRITES: [
-            {**_place(write.row), ROW_VALUE: base64.b64encode(write.value).decode()}
+            {**_row_address(write.row), ROW_VALUE: base64.b64encode(write.value).decode()}
             for write in writes
             if write.value is not None
         ],
-        REMOVALS: [_place(write.row) for write in writes if write.value is None],
+        REMOVALS: [_row_address(write.row) for write in writes if write.value is None],
     }
 
 
-def transacted(answer: Answer) -> Written | Conflict | Refused:
+def decode_transaction(response: StoreResponse) -> Written | Conflict | Refused:
     """Decode the response to a transaction."""
-    if answer.status not in (STATUS_DONE, STATUS_CONFLICT):
-        return refusal(answer)
+    if response.status not in (STATUS_OK, STATUS_CONFLICT):
+        return refusal_for_status(response)
     try:
-        version = int(answer.document[ROW_VERSION])
-        now_ms = int(answer.document[STORE_CLOCK_MS])
-        if answer.status == STATUS_DONE:
+        version = int(response.document[ROW_VERSION])
+        now_ms = int(response.document[STORE_CLOCK_MS])
+        if response.status == STATUS_OK:
             return Written(version, now_ms)
-        rows, unreadable = _read_rows(answer.document[ROWS], version)
-    except UNREADABLE as error:
-        return _unreadable(error)
+        rows, unreadable = _decode_rows(response.document[ROWS], version)
+    except DECODE_ERRORS as error:
+        return _malformed_response(error)
     return Conflict(rows, version, now_ms, unreadable)
 
 
-def rows_read(answer: Answer) -> RowsRead | Refused:
+def decode_rows(response: StoreResponse) -> RowsRead | Refused:
     """Decode a page of rows or the changes of a table."""
-    if answer.status != STATUS_DONE:
-        return refusal(answer)
+    if response.status != STATUS_OK:
+        return refusal_for_status(response)
     try:
-        document = answer.document
+        document = response.document
         version, now_ms = int(document[ROW_VERSION]), int(document[STORE_CLOCK_MS])
-        rows, unreadable = _read_rows(document[ROWS], version)
-    except UNREADABLE as error:
-        return _unreadable(error)
+        rows, unreadable = _decode_rows(document[ROWS], version)
+    except DECODE_ERRORS as error:
+        return _malformed_response(error)
     return RowsRead(rows, bool(document.get(MORE_PAGES)), version, now_ms, unreadable)
 
 
-def refusal(answer: Answer) -> Refused:
+def refusal_for_status(response: StoreResponse) -> Refused:
     """Return the refusal for an error status, with whether the call may have taken effect."""
-    detail = f"the store returned status {answer.status}"
-    if answer.status == STATUS_LIMITED:
+    detail = f"the store returned status {response.status}"
+    if response.status == STATUS_TOO_MANY_REQUESTS:
         return not_run(Reason.RATE_LIMITED, detail)
-    if answer.status == STATUS_UNAVAILABLE:
+    if response.status == STATUS_UNAVAILABLE:
         return not_run(Reason.STORE_UNAVAILABLE, detail)
     return Refused(Reason.STORE_UNAVAILABLE, RunState.UNKNOWN, detail)
 
 
-def _unreadable(error: Exception) -> Refused:
+def _malformed_response(error: Exception) -> Refused:
     log.warning("store_answer_unreadable", error=type(error).__name__, detail=str(error))
     return outcome_unknown(Reason.STORE_UNAVAILABLE, "the store returned a malformed response")
 
 
-def _read_rows(
-    entries: list[Any], newest: int
+def _decode_rows(
+    entries: list[Any], newest_version: int
 ) -> tuple[tuple[StoredRow, ...], tuple[UnreadableRow, ...]]:
     """Decode rows one by one, so that a malformed row does not affect the others."""
     rows: list[StoredRow] = []
     unreadable: list[UnreadableRow] = []
     for entry in entries:
-        row = _read_row(entry, newest)
+        row = _decode_row(entry, newest_version)
         if isinstance(row, StoredRow):
             rows.append(row)
         else:
@@ -122,21 +124,21 @@
     return tuple(rows), tuple(unreadable)
 
 
-def _read_row(entry: Any, newest: int) -> StoredRow | UnreadableRow:
+def _decode_row(entry: Any, newest_version: int) -> StoredRow | UnreadableRow:
     """Decode one row; a malformed row without a version gets the store's newest version."""
     try:
-        return _row(entry)
-    except UNREADABLE as error:
-        told = entry if isinstance(entry, dict) else {}
-        key, version = told.get(ROW_KEY), told.get(ROW_VERSION)
+        return _parse_row(entry)
+    except DECODE_ERRORS as error:
+        fields = entry if isinstance(entry, dict) else {}
+        key, version = fields.get(ROW_KEY), fields.get(ROW_VERSION)
         return UnreadableRow(
             key if isinstance(key, str) else "",
-            version if isinstance(version, int) else newest,
+            version if isinstance(version, int) else newest_version,
             f"{type(error).__name__}: {error}",
         )
 
 
-def _row(entry: dict[str, Any]) -> StoredRow:
+def _parse_row(entry: dict[str, Any]) -> StoredRow:
     key = entry[ROW_KEY]
     if not isinstance(key, str):
         raise TypeError("row key is not a string")
@@ -147,5 +149,5 @@
     return StoredRow(row, base64.b64decode(entry[ROW_VALUE], validate=True), version)
 
 
-def _place(row: RowKey) -> dict[str, str]:
+def _row_address(row: RowKey) -> dict[str, str]:
     return {ROW_TABLE: row.table, ROW_PARTITION: row.partition, ROW_KEY: row.key}
--- a/src/foxwinch/platform/translation.py
+++ b/src/foxwinch/platform/translation.py
@@ -27,11 +27,11 @@
 from foxwinch.platform.names import CONFIGURATION_KEY
 from foxwinch.records.ports import StoredRow
 
-ATTEMPTS_DEFAULT = 3
+DEFAULT_ATTEMPTS = 3
 """Used if a route does not set it."""
-TIMEOUT_DEFAULT_MS = 30_000.0
+DEFAULT_TIMEOUT_MS = 30_000.0
 """Used if a route does not set it; longer than any caller's deadline."""
-TARGET_DEFAULT_MS = 1_000.0
+DEFAULT_LATENCY_TARGET_MS = 1_000.0
 """Used if a route does not set it."""
 MAX_PROBLEMS = 3
 """Maximum number of problems of one document in a log line."""
@@ -39,25 +39,25 @@
 log = EventLog("translation")
 
 
-def configuration_of(row: StoredRow) -> RoutingConfiguration | None:
+def decode_configuration_row(row: StoredRow) -> RoutingConfiguration | None:
     """Decode the operator's configuration; None for another row or a malformed document."""
     if row.row.key != CONFIGURATION_KEY or row.value is None:
         return None
     try:
         return _configuration(ConfigurationDocument.model_validate_json(row.value))
     except ValidationError as error:
-        log.error("configuration_unreadable", version=row.version, reason=_problems(error))
+        log.error("configuration_unreadable", version=row.version, reason=_describe_problems(error))
         return None
 
 
-def worker_of(row: StoredRow) -> Worker | None:
+def decode_worker_row(row: StoredRow) -> Worker | None:
     """Decode a worker's entry; None if it was removed or is malformed."""
     if row.value is None:
         return None
     try:
         entry = WorkerEntry.model_validate_json(row.value)
     except ValidationError as error:
-        log.warning("worker_entry_refused", worker=row.row.key, reason=_problems(error))
+        log.warning("worker_entry_refused", worker=row.row.key, reason=_describe_problems(error))
         return None
     return Worker(
         worker_id=row.row.key,
@@ -71,54 +71,57 @@
     )
 
 
-def _problems(error: ValidationError) -> str:
+def _describe_problems(error: ValidationError) -> str:
     """Describe the invalid fields without their values, which may be of any size."""
-    found = error.errors(include_url=False, include_input=False, include_context=False)
-    named = [
+    problems = error.errors(include_url=False, include_input=False, include_context=False)
+    descriptions = [
         f"{'.'.join(str(part) for part in problem['loc']) or 'document'}: {problem['type']}"
-        for problem in found[:MAX_PROBLEMS]
+        for problem in problems[:MAX_PROBLEMS]
     ]
-    return "; ".join(named)
+    return "; ".join(descriptions)
 
 
 def _configuration(document: ConfigurationDocument) -> RoutingConfiguration:
-    routes = _checked(RouteDocument, document.routes, document.version)
+    routes = _validate_entries(RouteDocument, document.routes, document.version)
     services = [
-        _service(entry) for entry in _checked(ServiceDocument, document.services, document.version)
+        _service(entry)
+        for entry in _validate_entries(ServiceDocument, document.services, document.version)
     ]
-    limits = _checked(LimitsDocument, (document.limits or {},), document.version)
+    limits = _validate_entries(LimitsDocument, (document.limits or {},), document.version)
     return RoutingConfiguration(
         version=document.version,
         routes=tuple(_route(entry) for entry in routes),
         services={service.name: service for service in services},
-        bounds=_bounds(limits[0] if limits else LimitsDocument()),
+        bounds=_request_limits(limits[0] if limits else LimitsDocument()),
     )
 
 
-def _checked(kind: type[Document], entries: Iterable[object], version: int) -> list[Document]:
+def _validate_entries(
+    kind: type[Document], entries: Iterable[object], version: int
+) -> list[Document]:
     """Validate entries one by one, so that an invalid entry does not affect the others."""
-    checked: list[Document] = []
+    valid: list[Document] = []
     for number, entry in enumerate(entries):
         try:
-            checked.append(kind.model_validate(entry))
+            valid.append(kind.model_validate(entry))
         except ValidationError as error:
             log.error(
                 "configuration_entry_refused",
                 version=version,
                 kind=kind.__name__,
                 number=number,
-                reason=_problems(error),
+                reason=_describe_problems(error),
             )
-    return checked
+    return valid
 
 
-def _bounds(limits: LimitsDocument) -> RequestLimits:
-    bounds = RequestLimits()
+def _request_limits(limits: LimitsDocument) -> RequestLimits:
+    defaults = RequestLimits()
     return RequestLimits(
-        header_bytes=limits.header_bytes or bounds.header_bytes,
-        body_bytes=limits.body_bytes or bounds.body_bytes,
-        header_seconds=(limits.header_ms or 1e3 * bounds.header_seconds) / 1e3,
-        idle_seconds=(limits.idle_ms or 1e3 * bounds.idle_seconds) / 1e3,
+        header_bytes=limits.header_bytes or defaults.header_bytes,
+        body_bytes=limits.body_bytes or defaults.body_bytes,
+        header_seconds=(limits.header_ms or 1e3 * defaults.header_seconds) / 1e3,
+        idle_seconds=(limits.idle_ms or 1e3 * defaults.idle_seconds) / 1e3,
     )
 
 
@@ -128,9 +131,9 @@
         host=entry.host,
         path_prefix=entry.path_prefix,
         kind=entry.kind,
-        timeout_seconds=(entry.timeout_ms or TIMEOUT_DEFAULT_MS) / 1e3,
-        target_seconds=(entry.target_ms or TARGET_DEFAULT_MS) / 1e3,
-        attempts=entry.workers_maximum or ATTEMPTS_DEFAULT,
+        timeout_seconds=(entry.timeout_ms or DEFAULT_TIMEOUT_MS) / 1e3,
+        target_seconds=(entry.target_ms or DEFAULT_LATENCY_TARGET_MS) / 1e3,
+        attempts=entry.workers_maximum or DEFAULT_ATTEMPTS,
         priority=entry.priority or 0,
         backends=_backends(entry),
         resumable=bool(entry.resumable),
@@ -141,10 +144,10 @@
 
 
 def _backends(entry: RouteDocument) -> tuple[WeightedService, ...]:
-    shares = entry.backends or ()
-    if not shares and entry.service is not None:
-        shares = (BackendDocument(service=entry.service),)
-    return tuple(WeightedService(share.service, share.weight) for share in shares)
+    backend_documents = entry.backends or ()
+    if not backend_documents and entry.service is not None:
+        backend_documents = (BackendDocument(service=entry.service),)
+    return tuple(WeightedService(backend.service, backend.weight) for backend in backend_documents)
 
 
 def _service(entry: ServiceDocument) -> Service:
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -36,13 +36,15 @@
     ResponseHead,
 )
 
-KEPT_SECONDS = 3.0
+KEEPALIVE_SECONDS = 3.0
 """Keep-alive time of idle connections; workers close idle connections later than that."""
 STATUS_WRONG_WORKER = 421
 STATUS_UNAVAILABLE = 503
-NEVER_SENT = frozenset({"host", "accept-encoding", "user-agent", "accept", "content-type"})
+SKIPPED_AUTO_HEADERS = frozenset(
+    {"host", "accept-encoding", "user-agent", "accept", "content-type"}
+)
 """Headers that the HTTP library would otherwise add by itself."""
-BROKEN = (aiohttp.ClientError, OSError, ValueError, asyncio.IncompleteReadError)
+CONNECTION_ERRORS = (aiohttp.ClientError, OSError, ValueError, asyncio.IncompleteReadError)
 
 
 class _MatchedResponse(aiohttp.ClientResponse):
@@ -50,13 +52,13 @@
 
     async def start(self, connection: "aiohttp.connector.Connection") -> "_MatchedResponse":
         """Read the head of the response to this request."""
-        expected = self.request_info.headers.get(REQUEST_ID)
+        expected_id = self.request_info.headers.get(REQUEST_ID)
         protocol = connection.protocol
         assert protocol is not None
         while True:
             message, payload = await protocol.read()
-            if _belongs(message.code, message.headers, expected):
-                _put_back(protocol, message, payload)
+            if _matches_request(message.code, message.headers, expected_id):
+                _requeue(protocol, message, payload)
                 break
             protocol.force_close()
             await payload.read()
@@ -64,25 +66,25 @@
         return self
 
 
-def _put_back(
-    protocol: ResponseHandler, message: RawResponseMessage, payload: StreamReader
-) -> None:
+def _requeue(protocol: ResponseHandler, message: RawResponseMessage, payload: StreamReader) -> None:
     """Push a response back to the front of the queue, before extra responses behind it."""
-    behind: list[tuple[RawResponseMessage, StreamReader]] = []
+    following: list[tuple[RawResponseMessage, StreamReader]] = []
     while len(protocol):
-        behind.append(protocol._buffer.popleft()[0])
-    for entry in ((message, payload), *behind):
+        following.append(protocol._buffer.popleft()[0])
+    for entry in ((message, payload), *following):
         protocol.feed_data(entry, 0)
 
 
-def _belongs(status: int, headers: "CIMultiDictProxy[str]", expected: str | None) -> bool:
-    given = headers.get(REQUEST_ID)
-    if given is None:
+def _matches_request(
+    status: int, headers: "CIMultiDictProxy[str]", expected_id: str | None
+) -> bool:
+    response_id = headers.get(REQUEST_ID)
+    if response_id is None:
         return NOT_RUN in headers or status == STATUS_WRONG_WORKER or status // 100 == 1
-    return given == expected
+    return response_id == expected_id
 
 
-class HttpResponse:
+class HttpWorkerResponse:
     """A response whose head has arrived; implements `foxwinch.serving.messages.WorkerResponse`."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
@@ -95,7 +97,7 @@
         )
         signed = SIGNATURE in response.headers and "Content-Encoding" not in response.headers
         self.head = ResponseHead(response.status, headers, signed)
-        self._framed = (
+        self._is_framed = (
             "Content-Length" in response.headers or "Transfer-Encoding" in response.headers
         )
 
@@ -103,19 +105,19 @@
         """Read the whole body."""
         try:
             body = await self._response.content.read()
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
-        return self._reset() or body
+        return self._check_reset() or body
 
     async def pieces(self) -> AsyncIterator[bytes | CallInterrupted]:
         """Yield the body as it arrives."""
         try:
-            async for piece in self._response.content.iter_any():
-                yield piece
-        except BROKEN as error:
+            async for chunk in self._response.content.iter_any():
+                yield chunk
+        except CONNECTION_ERRORS as error:
             yield CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
             return
-        reset = self._reset()
+        reset = self._check_reset()
         if reset is not None:
             yield reset
 
@@ -123,9 +125,9 @@
         """Discard the rest of the body; an incompletely read connection is closed."""
         self._response.close()
 
-    def _reset(self) -> CallInterrupted | None:
+    def _check_reset(self) -> CallInterrupted | None:
         """Return an error if a response without a length ended with a connection reset."""
-        if self._framed or self._protocol is None:
+        if self._is_framed or self._protocol is None:
             return None
         error = self._protocol.exception()
         if error is None or isinstance(error, aiohttp.ServerDisconnectedError):
@@ -133,16 +135,16 @@
         return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
 
 
-class HttpWorkers:
+class HttpWorkerClient:
     """Sends calls to workers; implements `foxwinch.serving.ports.Workers`."""
 
     def __init__(self) -> None:
         """Open a connection pool; must be called in a running event loop."""
         self._session = open_session(
-            KEPT_SECONDS,
+            KEEPALIVE_SECONDS,
             response_class=_MatchedResponse,
             auto_decompress=False,
-            skip_auto_headers=NEVER_SENT,
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
         )
         # Only foxwinch decides on retries, never the HTTP library.
         self._session._retry_connection = False
@@ -153,7 +155,7 @@
 
     async def call(
         self, worker: Worker, call: OutgoingCall
-    ) -> HttpResponse | CallRefused | CallInterrupted:
+    ) -> HttpWorkerResponse | CallRefused | CallInterrupted:
         """Send a call and wait for the head of its response."""
         request = call.request
         url = URL(f"http://{worker.address}{request.target}", encoded=True)
@@ -167,13 +169,13 @@
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return CallRefused(CallFailure.UNREACHABLE, type(error).__name__)
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
-        refused = _not_run(response)
+        refused = _refusal(response)
         if refused is not None:
             response.release()
             return refused
-        return HttpResponse(response)
+        return HttpWorkerResponse(response)
 
 
 def _headers(worker: Worker, call: OutgoingCall) -> CIMultiDict[str]:
@@ -189,7 +191,7 @@
     return headers
 
 
-def _not_run(response: aiohttp.ClientResponse) -> CallRefused | None:
+def _refusal(response: aiohttp.ClientResponse) -> CallRefused | None:
     if response.status == STATUS_WRONG_WORKER:
         return CallRefused(CallFailure.WRONG_WORKER, "the address belongs to another worker")
     if NOT_RUN not in response.headers:
--- a/src/foxwinch/service_tasks.py
+++ b/src/foxwinch/service_tasks.py
@@ -42,7 +42,7 @@
         """Run a coroutine as a task until it ends or the service stops."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
     async def stop(self) -> None:
@@ -52,7 +52,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
--- a/src/foxwinch/settings/addresses.py
+++ b/src/foxwinch/settings/addresses.py
@@ -10,7 +10,7 @@
 MAX_PORT = 65_535
 
 
-def _is_ip_number(value: str) -> str:
+def _check_ip_address(value: str) -> str:
     try:
         ipaddress.ip_address(value)
     except ValueError:
@@ -18,15 +18,15 @@
     return value
 
 
-def _is_ip_and_port(value: str) -> str:
-    return _checked_address(value, lowest_port=1)
+def _check_ip_and_port(value: str) -> str:
+    return _check_address(value, lowest_port=1)
 
 
-def _is_ip_and_any_port(value: str) -> str:
-    return _checked_address(value, lowest_port=0)
+def _check_ip_and_any_port(value: str) -> str:
+    return _check_address(value, lowest_port=0)
 
 
-def _checked_address(value: str, lowest_port: int) -> str:
+def _check_address(value: str, lowest_port: int) -> str:
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -37,9 +37,9 @@
     return value
 
 
-IpAddress = Annotated[str, AfterValidator(_is_ip_number)]
+IpAddress = Annotated[str, AfterValidator(_check_ip_address)]
 """An IP address; host names are not resolved."""
-IpAndPort = Annotated[str, AfterValidator(_is_ip_and_port)]
+IpAndPort = Annotated[str, AfterValidator(_check_ip_and_port)]
 """An IP address and a port, such as `127.0.0.1:7003`."""
-IpAndAnyPort = Annotated[str, AfterValidator(_is_ip_and_any_port)]
+IpAndAnyPort = Annotated[str, AfterValidator(_check_ip_and_any_port)]
 """A listen address: like `IpAndPort`, but port 0 selects a free port, for tests."""
--- a/src/foxwinch/settings/base.py
+++ b/src/foxwinch/settings/base.py
@@ -34,7 +34,9 @@
     try:
         return model.model_validate(values)
     except ValidationError as error:
-        return SettingsError(source, tuple(_problem(model, item) for item in error.errors()))
+        return SettingsError(
+            source, tuple(_describe_problem(model, item) for item in error.errors())
+        )
 
 
 def read_toml(path: Path) -> dict[str, Any] | SettingsError:
@@ -47,7 +49,7 @@
         return SettingsError(str(path), (f"is not valid TOML: {error}",))
 
 
-def _problem(model: type[BaseModel], item: Any) -> str:
+def _describe_problem(model: type[BaseModel], item: Any) -> str:
     field = ".".join(str(part) for part in item["loc"]) or "(document)"
     if item["type"] == "extra_forbidden":
         allowed = ", ".join(_allowed_fields(model, item["loc"]))
--- a/src/foxwinch/settings/cluster.py
+++ b/src/foxwinch/settings/cluster.py
@@ -133,9 +133,9 @@
     def _names_are_unique(self) -> Self:
         for field in ("tenants", "classes", "models", "pools", "workers", "tools", "templates"):
             counts = Counter(entry.name for entry in getattr(self, field))
-            doubled = sorted(name for name, count in counts.items() if count > 1)
-            if doubled:
-                raise ValueError(f"{field}: names must be unique; duplicates: {doubled}")
+            duplicates = sorted(name for name, count in counts.items() if count > 1)
+            if duplicates:
+                raise ValueError(f"{field}: names must be unique; duplicates: {duplicates}")
         return self
 
     @model_validator(mode="after")
@@ -153,18 +153,22 @@
 
     def _references(self) -> list[tuple[str, str, str]]:
         """Return every reference as (field, name, referenced field)."""
-        found = [("default_template", self.default_template, "templates")]
+        references = [("default_template", self.default_template, "templates")]
         for tenant in self.tenants:
-            found += [(f"tenants.{tenant.name}.classes", n, "classes") for n in tenant.classes]
+            references += [(f"tenants.{tenant.name}.classes", n, "classes") for n in tenant.classes]
         for pool in self.pools:
-            found += [(f"pools.{pool.name}.models", n, "models") for n in pool.models]
+            references += [(f"pools.{pool.name}.models", n, "models") for n in pool.models]
         for worker in self.workers:
-            found.append((f"workers.{worker.name}.pool", worker.pool, "pools"))
-            found.append((f"workers.{worker.name}.zone", worker.zone, "zones"))
+            references.append((f"workers.{worker.name}.pool", worker.pool, "pools"))
+            references.append((f"workers.{worker.name}.zone", worker.zone, "zones"))
         for tool in self.tools:
-            found.append((f"tools.{tool.name}.pool", tool.pool, "pools"))
+            references.append((f"tools.{tool.name}.pool", tool.pool, "pools"))
         for template in self.templates:
-            found.append((f"templates.{template.name}.class_name", template.class_name, "classes"))
-            found += [(f"templates.{template.name}.models", n, "models") for n in template.models]
-            found += [(f"templates.{template.name}.tools", n, "tools") for n in template.tools]
-        return found
+            references.append(
+                (f"templates.{template.name}.class_name", template.class_name, "classes")
+            )
+            references += [
+                (f"templates.{template.name}.models", n, "models") for n in template.models
+            ]
+            references += [(f"templates.{template.name}.tools", n, "tools") for n in template.tools]
+        return references
--- a/src/foxwinch/settings/load.py
+++ b/src/foxwinch/settings/load.py
@@ -15,15 +15,15 @@
     """Read node settings; `overrides` maps dotted field names to values, or None if not given."""
     values: dict[str, Any] = {}
     if path is not None:
-        read = read_toml(path)
-        if isinstance(read, SettingsError):
-            return read
-        values = read
-    given = {name: value for name, value in overrides.items() if value is not None}
-    for name, value in given.items():
-        _put(values, name.split("."), value)
+        loaded = read_toml(path)
+        if isinstance(loaded, SettingsError):
+            return loaded
+        values = loaded
+    provided = {name: value for name, value in overrides.items() if value is not None}
+    for name, value in provided.items():
+        _set_nested(values, name.split("."), value)
     source = str(path) if path is not None else "flags"
-    if path is not None and given:
+    if path is not None and provided:
         source = f"{path} with flags"
     return check(NodeSettings, values, source)
 
@@ -46,7 +46,7 @@
     return load_cluster_configuration(directory / settings.configuration_file)
 
 
-def _put(values: dict[str, Any], path: list[str], value: Any) -> None:
+def _set_nested(values: dict[str, Any], path: list[str], value: Any) -> None:
     for name in path[:-1]:
         values = values.setdefault(name, {})
     values[path[-1]] = value
--- a/src/foxwinch/storage/machines_http.py
+++ b/src/foxwinch/storage/machines_http.py
@@ -3,13 +3,19 @@
 import aiohttp
 from pydantic import BaseModel, ValidationError
 
-from foxwinch.http_exchange import HttpRequest, Service, exchange, malformed, refusal
+from foxwinch.http_client import (
+    HttpRequest,
+    RemoteService,
+    malformed_response,
+    refusal_for_status,
+    send_request,
+)
 from foxwinch.identifiers import RegionName, ZoneName
 from foxwinch.outcomes import Reason, Refused
 from foxwinch.storage.ports import Machine
 
-REQUEST_SECONDS = 5.0
-SERVICE = Service("the machine list", Reason.STORE_UNAVAILABLE, Reason.STORE_UNAVAILABLE)
+REQUEST_TIMEOUT_SECONDS = 5.0
+SERVICE = RemoteService("the machine list", Reason.STORE_UNAVAILABLE, Reason.STORE_UNAVAILABLE)
 
 
 class MachineDocument(BaseModel):
@@ -29,7 +35,7 @@
     machines: list[MachineDocument]
 
 
-class HttpMachines:
+class HttpMachineList:
     """HTTP client of the machine list; implements `foxwinch.storage.ports.MachinePort`."""
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
@@ -39,16 +45,16 @@
 
     async def machines(self) -> tuple[Machine, ...] | Refused:
         """See `MachinePort`."""
-        request = HttpRequest("GET", f"{self._url}/machines", REQUEST_SECONDS)
-        answer = await exchange(self._session, SERVICE, request)
-        if isinstance(answer, Refused):
-            return answer
-        if answer.status != 200:
-            return refusal(SERVICE, answer)
+        request = HttpRequest("GET", f"{self._url}/machines", REQUEST_TIMEOUT_SECONDS)
+        response = await send_request(self._session, SERVICE, request)
+        if isinstance(response, Refused):
+            return response
+        if response.status != 200:
+            return refusal_for_status(SERVICE, response)
         try:
-            document = MachinesDocument.model_validate_json(answer.body)
+            document = MachinesDocument.model_validate_json(response.body)
         except ValidationError:
-            return malformed(SERVICE)
+            return malformed_response(SERVICE)
         return tuple(map(_machine, document.machines))
 
 
--- a/src/foxwinch/storage/rate_limit.py
+++ b/src/foxwinch/storage/rate_limit.py
@@ -18,28 +18,30 @@
         self._burst = burst
         self._bucket: TokenBucket | None = None
 
-    async def enter(self) -> Refused | None:
+    async def acquire(self) -> Refused | None:
         """Wait until a request may be sent; refuse it if the wait would be too long."""
         now = self._clock.monotonic()
-        bucket = self._started(now)
-        wait = max(0.0, 1.0 - bucket.available(now)) / self._rate
-        if wait > MAX_WAIT_SECONDS:
+        bucket = self._get_bucket(now)
+        delay_seconds = max(0.0, 1.0 - bucket.available(now)) / self._rate
+        if delay_seconds > MAX_WAIT_SECONDS:
             return not_run(
-                Reason.RATE_LIMITED, "the node has used its share of the request rate", wait
+                Reason.RATE_LIMITED,
+                "the node has used its share of the request rate",
+                delay_seconds,
             )
-        wait = bucket.reserve(1.0, now)
-        if wait > 0:
-            await self._clock.sleep(wait)
+        delay_seconds = bucket.reserve(1.0, now)
+        if delay_seconds > 0:
+            await self._clock.sleep(delay_seconds)
         return None
 
-    def heed(self, outcome: object) -> None:
+    def apply_retry_after(self, outcome: object) -> None:
         """Block requests for the Retry-After time if the service limited the rate."""
         if not isinstance(outcome, Refused) or outcome.reason is not Reason.RATE_LIMITED:
             return
         now = self._clock.monotonic()
-        self._started(now).pause_for(outcome.retry_after_seconds or 0.0, now)
+        self._get_bucket(now).pause_for(outcome.retry_after_seconds or 0.0, now)
 
-    def _started(self, now: float) -> TokenBucket:
+    def _get_bucket(self, now: float) -> TokenBucket:
         if self._bucket is None:
             self._bucket = TokenBucket.full(self._rate, self._burst, now)
         return self._bucket
--- a/src/foxwinch/storage/records_http.py
+++ b/src/foxwinch/storage/records_http.py
@@ -10,7 +10,14 @@
 import aiohttp
 from pydantic import Base64Bytes, BaseModel, ValidationError
 
-from foxwinch.http_exchange import HttpRequest, HttpResponse, Service, exchange, malformed, refusal
+from foxwinch.http_client import (
+    HttpRequest,
+    HttpResponse,
+    RemoteService,
+    malformed_response,
+    refusal_for_status,
+    send_request,
+)
 from foxwinch.outcomes import Reason, Refused
 from foxwinch.records.ports import (
     Conflict,
@@ -24,13 +31,13 @@
 )
 from foxwinch.storage.rate_limit import RateLimiter
 
-FEED_SLACK_SECONDS = 1.0
+LONG_POLL_MARGIN_SECONDS = 1.0
 """Added to the timeout of a long-poll call for the response itself."""
-STATUS_DONE = 200
+STATUS_OK = 200
 STATUS_GONE = 410
 STATUS_CONFLICT = 412
-STATUS_LIMITED = 429
-SERVICE = Service("the store", Reason.STORE_UNAVAILABLE, Reason.STORE_UNAVAILABLE)
+STATUS_TOO_MANY_REQUESTS = 429
+SERVICE = RemoteService("the store", Reason.STORE_UNAVAILABLE, Reason.STORE_UNAVAILABLE)
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
@@ -92,7 +99,7 @@
     now_ms: int
 
 
-class _Ask(NamedTuple):
+class _StoreRequest(NamedTuple):
     method: str
     path: str
     timeout_seconds: float
@@ -103,7 +110,7 @@
 Document = TypeVar("Document", bound=BaseModel)
 
 
-class HttpRecords:
+class HttpRecordStore:
     """HTTP client of the shared store; implements `foxwinch.records.ports.RecordStore`.
 
     Each call is one attempt. After a lost response the outcome is `unknown`, and the caller has to
@@ -124,17 +131,19 @@
     ) -> Written | Conflict | Refused:
         """See `RecordStore`."""
         body = _transaction_document(conditions, writes).model_dump_json().encode()
-        answer = await self._send(_Ask("POST", "/transactions", timeout_seconds, body=body))
-        if isinstance(answer, Refused):
-            return answer
-        if answer.status == STATUS_CONFLICT:
-            conflict = _parse(ConflictDocument, answer)
+        response = await self._send(
+            _StoreRequest("POST", "/transactions", timeout_seconds, body=body)
+        )
+        if isinstance(response, Refused):
+            return response
+        if response.status == STATUS_CONFLICT:
+            conflict = _parse(ConflictDocument, response)
             if isinstance(conflict, Refused):
                 return conflict
             return Conflict(tuple(map(_row, conflict.rows)), conflict.version, conflict.now_ms)
-        if answer.status != STATUS_DONE:
-            return refusal(SERVICE, answer)
-        written = _parse(WrittenDocument, answer)
+        if response.status != STATUS_OK:
+            return refusal_for_status(SERVICE, response)
+        written = _parse(WrittenDocument, response)
         return written if isinstance(written, Refused) else Written(written.version, written.now_ms)
 
     async def read(self, first: RowKey, end_key: str, timeout_seconds: float) -> RowsRead | Refused:
@@ -145,40 +154,47 @@
             "first": first.key,
             "end": end_key,
         }
-        return await self._read(_Ask("GET", "/rows", timeout_seconds, parameters))
+        return await self._read(_StoreRequest("GET", "/rows", timeout_seconds, parameters))
 
     async def read_table(self, table: str, timeout_seconds: float) -> RowsRead | Refused:
         """See `RecordStore`."""
-        return await self._read(_Ask("GET", "/rows", timeout_seconds, {"table": table}))
+        return await self._read(_StoreRequest("GET", "/rows", timeout_seconds, {"table": table}))
 
     async def changes(
         self, table: str, after_version: int, wait_seconds: float
     ) -> RowsRead | HistoryLost | Refused:
         """See `RecordStore`."""
         parameters = {"table": table, "after": str(after_version), "wait": f"{wait_seconds:.3f}"}
-        ask = _Ask("GET", "/changes", wait_seconds + FEED_SLACK_SECONDS, parameters)
-        answer = await self._send(ask)
-        if isinstance(answer, HttpResponse) and answer.status == STATUS_GONE:
+        store_request = _StoreRequest(
+            "GET", "/changes", wait_seconds + LONG_POLL_MARGIN_SECONDS, parameters
+        )
+        response = await self._send(store_request)
+        if isinstance(response, HttpResponse) and response.status == STATUS_GONE:
             return HistoryLost()
-        return _rows_read(answer)
+        return _decode_rows(response)
 
-    async def _read(self, ask: _Ask) -> RowsRead | Refused:
-        return _rows_read(await self._send(ask))
+    async def _read(self, store_request: _StoreRequest) -> RowsRead | Refused:
+        return _decode_rows(await self._send(store_request))
 
-    async def _send(self, ask: _Ask) -> HttpResponse | Refused:
-        refused = await self._limiter.enter()
+    async def _send(self, store_request: _StoreRequest) -> HttpResponse | Refused:
+        refused = await self._limiter.acquire()
         if refused is not None:
             return refused
-        headers = JSON_HEADERS if ask.body is not None else None
+        headers = JSON_HEADERS if store_request.body is not None else None
         request = HttpRequest(
-            ask.method, self._url + ask.path, ask.timeout_seconds, ask.body, headers, ask.parameters
+            store_request.method,
+            self._url + store_request.path,
+            store_request.timeout_seconds,
+            store_request.body,
+            headers,
+            store_request.parameters,
         )
-        answer = await exchange(self._session, SERVICE, request)
-        if isinstance(answer, HttpResponse) and answer.status == STATUS_LIMITED:
-            limited = refusal(SERVICE, answer)
-            self._limiter.heed(limited)
+        response = await send_request(self._session, SERVICE, request)
+        if isinstance(response, HttpResponse) and response.status == STATUS_TOO_MANY_REQUESTS:
+            limited = refusal_for_status(SERVICE, response)
+            self._limiter.apply_retry_after(limited)
             return limited
-        return answer
+        return response
 
 
 def row_document(row: StoredRow) -> RowDocument:
@@ -217,19 +233,19 @@
     )
 
 
-def _parse(model: type[Document], answer: HttpResponse) -> Document | Refused:
+def _parse(model: type[Document], response: HttpResponse) -> Document | Refused:
     try:
-        return model.model_validate_json(answer.body)
+        return model.model_validate_json(response.body)
     except ValidationError:
-        return malformed(SERVICE)
+        return malformed_response(SERVICE)
 
 
-def _rows_read(answer: HttpResponse | Refused) -> RowsRead | Refused:
-    if isinstance(answer, Refused):
-        return answer
-    if answer.status != STATUS_DONE:
-        return refusal(SERVICE, answer)
-    read = _parse(RowsDocument, answer)
+def _decode_rows(response: HttpResponse | Refused) -> RowsRead | Refused:
+    if isinstance(response, Refused):
+        return response
+    if response.status != STATUS_OK:
+        return refusal_for_status(SERVICE, response)
+    read = _parse(RowsDocument, response)
     if isinstance(read, Refused):
         return read
     return RowsRead(tuple(map(_row, read.rows)), False, read.version, read.now_ms)
--- a/tests/platform_site.py
+++ b/tests/fake_platform.py
@@ -54,27 +54,27 @@
     return json.dumps({**document, **changes}).encode()
 
 
-async def until(look, wanted):
-    """Poll `look` until it returns `wanted`."""
+async def wait_until(poll, expected):
+    """Poll `poll` until it returns `expected`."""
     for _ in range(3_000):
-        if await look() == wanted:
+        if await poll() == expected:
             return
         await asyncio.sleep(0.01)
-    raise AssertionError(f"condition did not become {wanted!r}")
+    raise AssertionError(f"condition did not become {expected!r}")
 
 
 @dataclass
-class Reply:
+class CallerResponse:
     """The response that a caller received."""
 
     status: int
     headers: dict
     body: bytes
-    whole: bool = True
+    is_complete: bool = True
 
 
 @dataclass
-class PlatformSite:
+class FakePlatform:
     """An emulated store, fake workers, and the nodes in front of them."""
 
     workers: list[FakeWorker]
@@ -148,7 +148,7 @@
         self.nodes.append(node)
         await node.start()
         if wait:
-            await until(lambda: self.ready(node), 200)
+            await wait_until(lambda: self.ready(node), 200)
         return node
 
     async def ready(self, node):
@@ -156,14 +156,16 @@
         async with self._session.get(f"http://{node.address_of('ready')}/v1/ready") as response:
             return response.status
 
-    async def ask(self, node, path, request_id, *, body=b"", method="POST", **headers):
+    async def request(self, node, path, request_id, *, body=b"", method="POST", **headers):
         """Send a request to a node as a caller and read the complete response."""
         address = node.address_of("callers")
-        return await self.ask_address(
+        return await self.request_address(
             address, path, request_id, body=body, method=method, **headers
         )
 
-    async def ask_address(self, address, path, request_id, *, body=b"", method="POST", **headers):
+    async def request_address(
+        self, address, path, request_id, *, body=b"", method="POST", **headers
+    ):
         """Send a request to `ip:port` and read the complete response."""
         sent = {"Host": HOST, "Request-Id": request_id, "Deadline-Ms": "3000"}
         sent.update({name.replace("_", "-"): str(value) for name, value in headers.items()})
@@ -171,14 +173,18 @@
         async with self._session.request(method, url, data=body, headers=sent) as response:
             read = b""
             try:
-                async for piece in response.content.iter_any():
-                    read += piece
+                async for chunk in response.content.iter_any():
+                    read += chunk
             except aiohttp.ClientPayloadError:
-                return Reply(response.status, dict(response.headers), read, whole=False)
-            return Reply(response.status, dict(response.headers), read)
-
-    async def turn(self, node, request_id, *, path=STREAM, budget=10_000, most=575, **more):
+                return CallerResponse(
+                    response.status, dict(response.headers), read, is_complete=False
+                )
+            return CallerResponse(response.status, dict(response.headers), read)
+
+    async def request_turn(
+        self, node, request_id, *, path=STREAM, budget=10_000, max_output_tokens=575, **more_headers
+    ):
         """Send a turn of a program."""
-        terms = {"Program": "p1", "Session": "l1", "Finish_Ms": 9000}
-        terms |= {"Token_Budget": budget, "Token_Count": f"1000,{most}"}
-        return await self.ask(node, path, request_id, **(terms | more))
+        headers = {"Program": "p1", "Session": "l1", "Finish_Ms": 9000}
+        headers |= {"Token_Budget": budget, "Token_Count": f"1000,{max_output_tokens}"}
+        return await self.request(node, path, request_id, **(headers | more_headers))
--- a/tests/fake_worker.py
+++ b/tests/fake_worker.py
@@ -7,7 +7,7 @@
 
 
 @dataclass
-class Received:
+class ReceivedRequest:
     """A request that the worker received."""
 
     method: str
@@ -26,25 +26,25 @@
 
 
 @dataclass
-class Answer:
+class FakeResponse:
     """A response that the worker sends."""
 
     status: int = 200
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes | None = b"done"
-    """Body with a Content-Length; None: `pieces` are sent as chunks."""
-    pieces: list[bytes] = field(default_factory=list)
+    """Body with a Content-Length; None: `chunks` are sent with chunked encoding."""
+    chunks: list[bytes] = field(default_factory=list)
     pause_seconds: float = 0.0
-    """Delay between pieces."""
+    """Delay between chunks."""
     cut: bool = False
     """Close the connection instead of sending the last chunk."""
     unframed: bool = False
     """Send no length; the body ends when the connection is closed."""
     reset: bool = False
     """Reset the connection at the end instead of closing it."""
-    surplus: bytes = b""
+    extra_after: bytes = b""
     """Extra bytes sent after the response."""
-    surplus_first: bytes = b""
+    extra_before: bytes = b""
     """Extra bytes sent before the response."""
     signed: bool = True
     silent: bool = False
@@ -53,7 +53,7 @@
     """Close the connection without a response."""
 
 
-def raw_answer(request_id: str, body: bytes = b"other") -> bytes:
+def raw_response(request_id: str, body: bytes = b"other") -> bytes:
     """Return a complete response to another request."""
     return (
         f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\nResponse-Stamp: other\r\n"
@@ -64,12 +64,12 @@
 class FakeWorker:
     """Listens on loopback and sends the given responses."""
 
-    def __init__(self, *answers: Answer) -> None:
-        self.answers = list(answers)
+    def __init__(self, *responses: FakeResponse) -> None:
+        self.responses = list(responses)
         """Responses in order; the last one is repeated."""
-        self.received: list[Received] = []
+        self.received: list[ReceivedRequest] = []
         self.connections = 0
-        self.left = 0
+        self.disconnects = 0
         """Number of requests whose connection was closed before the end of the response."""
         self.address = ""
         self._server: asyncio.Server | None = None
@@ -98,7 +98,7 @@
             while await self._serve_one(reader, writer, number):
                 pass
         except (ConnectionError, asyncio.IncompleteReadError):
-            self.left += 1
+            self.disconnects += 1
         finally:
             writer.close()
             self._tasks.discard(task)
@@ -114,42 +114,42 @@
         method, target, _ = first.split(" ")
         headers = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
         body = await reader.readexactly(int(headers.get("content-length", 0)))
-        self.received.append(Received(method, target, headers, body, number))
-        answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-        watch = asyncio.ensure_future(reader.read(1)) if answer.pause_seconds else None
+        self.received.append(ReceivedRequest(method, target, headers, body, number))
+        response = self.responses.pop(0) if len(self.responses) > 1 else self.responses[0]
+        disconnect = asyncio.ensure_future(reader.read(1)) if response.pause_seconds else None
         try:
-            return await self._answer(writer, answer, headers.get("request-id", ""), watch)
+            return await self._respond(writer, response, headers.get("request-id", ""), disconnect)
         finally:
-            if watch is not None:
-                watch.cancel()
+            if disconnect is not None:
+                disconnect.cancel()
 
-    async def _answer(
+    async def _respond(
         self,
         writer: asyncio.StreamWriter,
-        answer: Answer,
+        response: FakeResponse,
         request_id: str,
-        watch: "asyncio.Future[bytes] | None",
+        disconnect: "asyncio.Future[bytes] | None",
     ) -> bool:
-        if answer.silent:
+        if response.silent:
             await asyncio.sleep(3600)
-        if answer.drop:
+        if response.drop:
             return False
-        writer.write(answer.surplus_first + _head(answer, request_id) + (answer.body or b""))
-        for piece in answer.pieces:
-            writer.write(piece if answer.unframed else _chunk(piece))
+        writer.write(response.extra_before + _head(response, request_id) + (response.body or b""))
+        for chunk in response.chunks:
+            writer.write(chunk if response.unframed else _chunk(chunk))
             await writer.drain()
-            if watch is not None:
-                await asyncio.wait([watch], timeout=answer.pause_seconds)
-                if watch.done():
+            if disconnect is not None:
+                await asyncio.wait([disconnect], timeout=response.pause_seconds)
+                if disconnect.done():
                     raise ConnectionError
         await writer.drain()
-        if answer.reset:
+        if response.reset:
             await asyncio.sleep(0.02)
             _reset(writer)
             return False
-        if answer.cut or answer.unframed:
+        if response.cut or response.unframed:
             return False
-        writer.write((b"0\r\n\r\n" if answer.body is None else b"") + answer.surplus)
+        writer.write((b"0\r\n\r\n" if response.body is None else b"") + response.extra_after)
         await writer.drain()
         return True
 
@@ -160,17 +160,17 @@
     writer.transport.abort()
 
 
-def _head(answer: Answer, request_id: str) -> bytes:
-    headers = {"Request-Id": request_id, **answer.headers}
-    if answer.signed:
+def _head(response: FakeResponse, request_id: str) -> bytes:
+    headers = {"Request-Id": request_id, **response.headers}
+    if response.signed:
         headers["Response-Stamp"] = "stamp-" + request_id
-    if not answer.unframed and answer.body is not None:
-        headers["Content-Length"] = str(len(answer.body))
-    elif not answer.unframed:
+    if not response.unframed and response.body is not None:
+        headers["Content-Length"] = str(len(response.body))
+    elif not response.unframed:
         headers["Transfer-Encoding"] = "chunked"
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
-    return f"HTTP/1.1 {answer.status} Some\r\n{lines}\r\n".encode()
+    return f"HTTP/1.1 {response.status} Some\r\n{lines}\r\n".encode()
 
 
-def _chunk(piece: bytes) -> bytes:
-    return f"{len(piece):x}\r\n".encode() + piece + b"\r\n"
+def _chunk(chunk: bytes) -> bytes:
+    return f"{len(chunk):x}\r\n".encode() + chunk + b"\r\n"
--- a/tests/foxwinch_process.py
+++ b/tests/foxwinch_process.py
@@ -26,7 +26,7 @@
             env=self.environment,
         )
 
-    def wait_printed(self):
+    def wait_until_printed(self):
         """Wait until the process has printed all expected addresses."""
         while not self.expected <= self.printed.keys():
             line = self.process.stdout.readline()
@@ -61,7 +61,7 @@
         status, text = self._open(path, json.dumps(body).encode(), key, idempotency_key)
         return status, json.loads(text)
 
-    def end(self):
+    def kill_process(self):
         """Kill the process and wait for its end."""
         self.process.kill()
         self.process.wait(SECONDS)
--- a/tests/operator_clients.py
+++ b/tests/operator_clients.py
@@ -27,7 +27,7 @@
             reflection_pb2.ServerReflectionRequest(file_containing_symbol=SERVICE),
         ]
         answers = list(reflection.ServerReflectionInfo(iter(requests), timeout=SECONDS))
-    found = {
+    results = {
         "health": health_pb2.HealthCheckResponse.ServingStatus.Name(status),
         "services": [s.name for s in answers[0].list_services_response.service],
         "schema_names_drain": any(
@@ -35,7 +35,7 @@
             for file in answers[1].file_descriptor_response.file_descriptor_proto
         ),
     }
-    print(json.dumps(found))
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -12,7 +12,7 @@
 import aiohttp
 from yarl import URL
 
-from platform_site import HOST
+from fake_platform import HOST
 from soak.nodes import SoakNode
 from soak.promises import TOKENS_PER_EVENT, Attempt, Promises
 from soak.troubles import CONTACT_SECONDS, HARNESS, STOP, STORE, WORKERS, Troubles
--- a/tests/soak/operator.py
+++ b/tests/soak/operator.py
@@ -9,8 +9,8 @@
 
 import aiohttp
 
+from fake_platform import HOST, configuration, routes
 from foxwinch.emulator.record_store import RecordStoreModel
-from platform_site import HOST, configuration, routes
 from soak.nodes import SoakNode
 from soak.promises import Promises
 from soak.troubles import Troubles
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -13,7 +13,7 @@
 KEY = "a-key-of-the-tests"
 ZONES = ("tvm-hall", "kollam-hall", "nedu-hall")
 NODE_ADDRESSES = ("caller_url", "operator_address", "peer_address")
-RETRIED = (429, 502, 503)
+RETRIED_STATUSES = (429, 502, 503)
 """Statuses after which a request is retried with its idempotency key. 429 is among them because
 calls are fast enough to reach one node's share of the tenant's rate."""
 
@@ -27,7 +27,7 @@
         names = ("emulator_url", "store_url", "machines_url")
         self.emulator = Foxwinch("emulator", "--configuration", physio, expected=names)
         self.processes = [self.emulator]
-        self.urls = self.emulator.wait_printed().printed
+        self.urls = self.emulator.wait_until_printed().printed
         text = (ROOT / "examples" / "physio.toml").read_text(encoding="utf-8")
         text = text.replace("http://127.0.0.1:7100", self.urls["emulator_url"])
         hashes = f'key_hashes = ["{hash_key(KEY)}"]\n'
@@ -39,9 +39,9 @@
     def start(self, count):
         """Start nodes; all but the first join through its address, concurrently."""
         first = self._start(0, ())
-        seeds = (first.wait_printed().printed["peer_address"],)
+        seeds = (first.wait_until_printed().printed["peer_address"],)
         others = [self._start(number, seeds) for number in range(1, count)]
-        self.nodes = [first, *(other.wait_printed() for other in others)]
+        self.nodes = [first, *(other.wait_until_printed() for other in others)]
 
     def _start(self, number, seeds):
         path = self.directory / f"node-{number}.toml"
@@ -63,9 +63,9 @@
     def create(self, node, program):
         """Create a program with an idempotency key."""
         body = {"template": "plan-draft", "name": program}
-        until_run(lambda: node.post("/v1/programs", body, KEY, f"create-{program}"), 201)
+        retry_until_run(lambda: node.post("/v1/programs", body, KEY, f"create-{program}"), 201)
 
-    def say(self, node, program, text):
+    def send_turn(self, node, program, text):
         """Send a turn with its own idempotency key, and retry until it succeeds."""
         body = {
             "model": "plan-llm",
@@ -77,16 +77,16 @@
             status, answer = node.post(f"/v1/programs/{program}/calls", body, KEY, text)
             if status == 200:
                 return answer["choices"][0]["message"]["content"]
-            assert status in RETRIED, answer
+            assert status in RETRIED_STATUSES, answer
             assert time.monotonic() < ends_at, answer
             time.sleep(0.2)
 
     def history(self, node, program):
         """Return the history of a program as text."""
-        return until_run(lambda: node.get(f"/v1/programs/{program}/history", KEY), 200)
+        return retry_until_run(lambda: node.get(f"/v1/programs/{program}/history", KEY), 200)
 
 
-def until_run(send, expected):
+def retry_until_run(send, expected):
     """Retry while the node reports that the request did not run; return the response."""
     ends_at = time.monotonic() + SECONDS
     while True:
@@ -106,16 +106,16 @@
         yield started
     finally:
         for process in started.processes:
-            process.end()
+            process.kill_process()
 
 
-def test_a_program_outlives_a_killed_owner(cluster):
+def test_a_program_survives_the_death_of_its_owner(cluster):
     cluster.start(3)
     first = cluster.nodes[0]
     listed = first.query("nodes", "list", key=KEY)["nodes"]
     assert sorted(node["state"] for node in listed) == ["alive"] * 3
     cluster.create(first, "plan")
-    answers = [cluster.say(node, "plan", f"turn {i}") for i, node in enumerate(cluster.nodes)]
+    answers = [cluster.send_turn(node, "plan", f"turn {i}") for i, node in enumerate(cluster.nodes)]
 
     program = first.query("programs", "show", "ward-discharge/plan", key=KEY)["program"]
     for call in program["calls"]:
@@ -127,19 +127,19 @@
     killed = by_address[owner["address"]]
     killed.process.kill()
     survivors = [node for node in cluster.nodes if node is not killed]
-    answers.append(cluster.say(survivors[0], "plan", "after the kill"))
+    answers.append(cluster.send_turn(survivors[0], "plan", "after the kill"))
     history = cluster.history(survivors[1], "plan")
     for text in ("turn 0", "turn 1", "turn 2", "after the kill", *answers):
         assert history.count(text) == 1, text
 
 
-def test_a_planned_stop_cuts_no_request(cluster):
+def test_a_graceful_shutdown_interrupts_no_request(cluster):
     cluster.start(3)
     stopping, staying = cluster.nodes[:2]
     cluster.create(staying, "plan")
     answers = []
     with ThreadPoolExecutor(1) as caller:
-        turns = [caller.submit(cluster.say, staying, "plan", f"turn {i}") for i in range(20)]
+        turns = [caller.submit(cluster.send_turn, staying, "plan", f"turn {i}") for i in range(20)]
         answers.append(turns[0].result(SECONDS))
         stopping.process.send_signal(signal.SIGTERM)
         assert stopping.process.wait(SECONDS) == 0
--- a/tests/test_drain_forwarding.py
+++ b/tests/test_drain_forwarding.py
@@ -11,7 +11,7 @@
 from foxwinch.emulator.virtual_cluster import DRAIN_SECONDS
 from foxwinch.identifiers import ModelName, ProgramId
 from foxwinch.outcomes import Refused, RunState
-from test_virtual_cluster import TENANT, cluster_of, settled, until
+from test_virtual_cluster import TENANT, has_converged, running_cluster, wait_until
 
 pytestmark = [pytest.mark.looptime]
 ANSWER_TOKENS = 200
@@ -40,8 +40,8 @@
 
 
 async def test_a_forwarded_answer_that_is_read_slowly_is_not_cut_by_a_drain():
-    async with cluster_of(3) as cluster:
-        await until(cluster, lambda: settled(cluster))
+    async with running_cluster(3) as cluster:
+        await wait_until(cluster, lambda: has_converged(cluster))
         long_answers(cluster)
         leaving, first, _ = cluster.nodes.values()
         name = "program"
@@ -60,8 +60,8 @@
 
 
 async def test_programs_that_are_never_all_idle_are_handed_over_without_cutting_a_call():
-    async with cluster_of(3) as cluster:
-        await until(cluster, lambda: settled(cluster))
+    async with running_cluster(3) as cluster:
+        await wait_until(cluster, lambda: has_converged(cluster))
         long_answers(cluster)
         leaving, first, second = cluster.nodes.values()
         names = [f"program-{number}" for number in range(12)]
--- a/tests/test_engine_silence.py
+++ b/tests/test_engine_silence.py
@@ -6,9 +6,9 @@
 import pytest
 from aiohttp.test_utils import TestServer
 
-from foxwinch.backends import engine_waits
+from foxwinch.backends import engine_timeouts
 from foxwinch.backends.engine_http import HttpEngine
-from foxwinch.backends.engine_waits import MIN_SECONDS
+from foxwinch.backends.engine_timeouts import MIN_TIMEOUT_SECONDS
 from foxwinch.backends.ports import GenerateRequest, Message
 from foxwinch.clock import SystemClock
 from foxwinch.core.program.call_events import CallFinished
@@ -18,7 +18,7 @@
 from foxwinch.emulator.faults import EngineFaults
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import EmulatedEngine, EmulatorSettings
-from foxwinch.http_exchange import new_session
+from foxwinch.http_client import new_session
 from program_fakes import TENANT, Rig, collect
 
 TOKENS = 4
@@ -67,18 +67,20 @@
 
 
 @pytest.mark.parametrize("fault", [EngineFaults(lose_answers=1), EngineFaults(silent=True)])
-async def test_lost_answer_is_had_from_another_worker(emulated_services, monkeypatch, fault):
-    monkeypatch.setattr(engine_waits, "FIRST_EVENT_SECONDS", 1.0)
+async def test_lost_response_is_regenerated_by_another_worker(
+    emulated_services, monkeypatch, fault
+):
+    monkeypatch.setattr(engine_timeouts, "FIRST_EVENT_SECONDS", 1.0)
     emulated_services.engines["w1"].gate.faults = fault
     urls = {name: f"{emulated_services.base}/{name}" for name in ("w1", "w2")}
     async with new_session() as session:
         await answered_by_two(urls, session)
 
 
-async def test_stream_that_falls_silent_is_resumed_behind_what_was_sent(
+async def test_stalled_stream_is_resumed_after_the_chunks_already_sent(
     emulated_services, monkeypatch
 ):
-    monkeypatch.setattr(engine_waits, "EVENT_GAP_SECONDS", 1.0)
+    monkeypatch.setattr(engine_timeouts, "EVENT_GAP_SECONDS", 1.0)
     server = await asyncio.start_server(first_tokens_and_silence, "127.0.0.1", 0)
     silent = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
     async with server, new_session() as session:
@@ -86,10 +88,13 @@
     assert list(emulated_services.engines["w2"].resumes.values()) == [1]
 
 
-def test_waits_leave_half_of_the_deadline_but_no_engine_is_given_up_at_once():
-    assert engine_waits.engine_waits(5.0, 0).first_event_seconds == 2.5
-    assert engine_waits.engine_waits(0.0, 0).first_event_seconds == MIN_SECONDS
-    unbounded = engine_waits.engine_waits(None, 0)
-    assert engine_waits.engine_waits(60.0, 0) == unbounded
+def test_timeouts_are_half_of_the_deadline_with_a_minimum():
+    assert engine_timeouts.engine_timeouts(5.0, 0).first_event_seconds == 2.5
+    assert engine_timeouts.engine_timeouts(0.0, 0).first_event_seconds == MIN_TIMEOUT_SECONDS
+    unbounded = engine_timeouts.engine_timeouts(None, 0)
+    assert engine_timeouts.engine_timeouts(60.0, 0) == unbounded
     assert unbounded.event_gap_seconds < unbounded.first_event_seconds
-    assert engine_waits.engine_waits(None, 100).first_event_seconds > unbounded.first_event_seconds
+    assert (
+        engine_timeouts.engine_timeouts(None, 100).first_event_seconds
+        > unbounded.first_event_seconds
+    )
--- a/tests/test_node_drain.py
+++ b/tests/test_node_drain.py
@@ -18,15 +18,15 @@
 CALL = {"model": "rail-chat", "messages": [{"role": "user", "content": "Hello"}]}
 
 
-class HeldEngine(IdleEngine):
+class BlockingEngine(IdleEngine):
     """An engine that finishes its response once `released` is set."""
 
     def __init__(self) -> None:
-        self.asked = asyncio.Event()
+        self.generating = asyncio.Event()
         self.released = asyncio.Event()
 
     async def generate(self, worker, order):
-        self.asked.set()
+        self.generating.set()
         yield TokenChunk("whole ", 1)
         await self.released.wait()
         yield TokenChunk("answer", 1)
@@ -40,15 +40,15 @@
     return document
 
 
-async def test_drain_cuts_nothing_and_refuses_new_work(caller_key, keyed):
-    engine = HeldEngine()
+async def test_drain_finishes_running_requests_and_rejects_new_ones(caller_key, keyed):
+    engine = BlockingEngine()
     settings = NodeSettings(name="node-1", region="cymru", zone="caerdydd", drain_seconds=30)
     node = build_node(settings, NodePorts(SystemClock(), engine), keyed(_document()))
     await node.start()
     headers = {"Authorization": f"Bearer {caller_key}"}
     async with TestClient(TestServer(node.caller_application()), headers=headers) as client:
         running = asyncio.create_task(client.post("/v1/chat/completions", json=CALL))
-        await engine.asked.wait()
+        await engine.generating.wait()
         assert (await client.get("/readyz")).status == 200
         drained = asyncio.create_task(node.drain())
         await asyncio.sleep(0)
@@ -67,15 +67,15 @@
     await node.stop()
 
 
-async def test_drain_ends_at_its_limit(caller_key, keyed):
-    engine = HeldEngine()
+async def test_drain_ends_at_its_timeout(caller_key, keyed):
+    engine = BlockingEngine()
     settings = NodeSettings(name="node-1", region="cymru", zone="caerdydd", drain_seconds=0.05)
     node = build_node(settings, NodePorts(SystemClock(), engine), keyed(_document()))
     await node.start()
     headers = {"Authorization": f"Bearer {caller_key}"}
     async with TestClient(TestServer(node.caller_application()), headers=headers) as client:
         running = asyncio.create_task(client.post("/v1/chat/completions", json=CALL))
-        await engine.asked.wait()
+        await engine.generating.wait()
         assert not await node.drain()
         engine.released.set()
         assert (await running).status == 200
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -19,14 +19,14 @@
 
     def start(*arguments, expected):
         processes.append(Foxwinch(*arguments, expected=expected))
-        return processes[-1].wait_printed()
+        return processes[-1].wait_until_printed()
 
     yield start
     for one in processes:
-        one.end()
+        one.kill_process()
 
 
-def test_dev_answers_operators_and_stops_on_sigterm(started):
+def test_dev_serves_operators_and_stops_on_sigterm(started):
     names = ("caller_url", "operator_address", "caller_key", "operator_key")
     dev = started("dev", "--configuration", str(EXAMPLES / "cledwyn.toml"), expected=names)
     key = dev.printed["operator_key"]
@@ -74,7 +74,7 @@
     assert node.process.wait(SECONDS) == 0
 
 
-def test_node_refuses_wrong_settings_before_it_starts():
+def test_node_rejects_invalid_settings_before_it_starts():
     refused = subprocess.run(
         [sys.executable, "-m", "foxwinch", "node", "--name", "n", "--region", "r"],
         capture_output=True,
--- a/tests/test_operator_side.py
+++ b/tests/test_operator_side.py
@@ -56,7 +56,7 @@
     return await call(request, timeout=timeout, metadata=metadata)
 
 
-async def test_health_needs_no_key_and_follows_the_drain(channel, server):
+async def test_health_check_needs_no_key_and_reflects_the_drain(channel, server):
     check = channel.unary_unary(
         "/grpc.health.v1.Health/Check",
         request_serializer=HealthCheckRequest.SerializeToString,
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("key", ["", "wrong"])
-async def test_a_wrong_key_is_refused(channel, node, key):
+async def test_a_wrong_key_is_rejected(channel, node, key):
     with pytest.raises(grpc.aio.AioRpcError) as caught:
         await ask(
             channel, "DrainNode", pb.DrainNodeRequest(node=node.context.node),
@@ -91,7 +91,7 @@
     assert node.context.stop_requested.is_set()
 
 
-async def test_a_refusal_says_reason_and_run_state(channel):
+async def test_a_refusal_carries_reason_and_run_state(channel):
     request = pb.DrainNodeRequest(node="no-such-node")
     with pytest.raises(grpc.aio.AioRpcError) as caught:
         await ask(channel, "DrainNode", request, pb.DrainNodeResponse)
@@ -101,7 +101,7 @@
     assert trailing["foxwinch-run-state"] == "not_run"
 
 
-async def test_a_deadline_ends_a_request(channel, node, monkeypatch):
+async def test_a_request_is_cancelled_at_its_deadline(channel, node, monkeypatch):
     queries = node.parts.operator.handlers._queries
     ended = asyncio.Event()
 
@@ -118,14 +118,14 @@
     await asyncio.wait_for(ended.wait(), 10)
 
 
-async def test_a_large_request_is_refused(channel):
+async def test_an_oversized_request_is_rejected(channel):
     request = pb.CheckConfigurationRequest(document_json="x" * (MAX_REQUEST_BYTES + 1))
     with pytest.raises(grpc.aio.AioRpcError) as caught:
         await ask(channel, "CheckConfiguration", request, pb.CheckConfigurationResponse)
     assert caught.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
 
 
-async def test_configuration_is_read_checked_and_compared(channel):
+async def test_configuration_is_read_validated_and_compared(channel):
     got = await ask(
         channel, "GetConfiguration", pb.GetConfigurationRequest(), pb.GetConfigurationResponse
     )
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from fake_worker import Answer, FakeWorker, events
+from fake_worker import FakeResponse, FakeWorker, events
 from foxwinch.platform.connections import ConnectionPool, open_session
 
-KEPT_SECONDS = 5.0
+KEEPALIVE_SECONDS = 5.0
 
 
 @pytest.fixture
 async def worker():
-    async with FakeWorker(Answer()) as made:
+    async with FakeWorker(FakeResponse()) as made:
         yield made
 
 
@@ -25,9 +25,9 @@
 
 
 # Guards against calls that wait until their deadline on a connection whose peer no longer exists.
-async def test_a_connection_whose_peer_acknowledges_nothing_is_given_up_by_the_system(worker):
-    worker.answers = [Answer(body=None, pieces=events(1, 2), pause_seconds=0.05)]
-    session = open_session(KEPT_SECONDS)
+async def test_sockets_detect_dead_peers(worker):
+    worker.responses = [FakeResponse(body=None, chunks=events(1, 2), pause_seconds=0.05)]
+    session = open_session(KEEPALIVE_SECONDS)
     response = await session.get(f"http://{worker.address}/", headers={"Request-Id": "r"})
     opened = response.connection.transport.get_extra_info("socket")
     assert opened.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
@@ -38,8 +38,8 @@
     await session.close()
 
 
-async def test_a_retired_pool_is_used_by_no_later_call_and_closed_after_the_last_one(worker):
-    pool = ConnectionPool(lambda: open_session(KEPT_SECONDS))
+async def test_a_retired_pool_is_not_reused_and_is_closed_by_its_last_call(worker):
+    pool = ConnectionPool(lambda: open_session(KEEPALIVE_SECONDS))
     release = asyncio.Event()
     async with pool.session() as first:
         await call(first, worker, "r1")
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -36,7 +36,7 @@
         document = {"rows": rows, "more": len(keys) > PAGE, "ver": self.version, "now_ms": 5}
         return web.json_response(document)
 
-    async def refuse(self, request):
+    async def reject(self, request):
         """Reject a transaction with the current rows of its conditions."""
         body = await request.json()
         rows = [
@@ -57,7 +57,7 @@
     application = web.Application()
     application.router.add_get("/v1/rows-get", server.read)
     application.router.add_get("/v1/rows-feed", server.read)
-    application.router.add_post("/v1/rows-tx", server.refuse)
+    application.router.add_post("/v1/rows-tx", server.reject)
     runner = web.AppRunner(application)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -68,7 +68,7 @@
     await runner.cleanup()
 
 
-async def test_a_table_is_read_over_all_its_pages_as_of_the_first(served):
+async def test_a_table_read_returns_all_pages_with_the_version_of_the_first(served):
     _, store = served
     read = await store.read_table("t", 5.0)
     assert [row.row.key for row in read.rows] == ["a", "b", "b/1", "c", "d"]
@@ -76,7 +76,7 @@
     assert read.version == 11
 
 
-async def test_a_range_is_read_over_all_its_pages(served):
+async def test_a_range_read_returns_all_pages(served):
     _, store = served
     read = await store.read(RowKey("t", "", "b"), "d", 5.0)
     assert [row.row.key for row in read.rows] == ["b", "b/1", "c"]
@@ -86,7 +86,7 @@
     ("status", "run_state"),
     [(503, RunState.NOT_RUN), (429, RunState.NOT_RUN), (500, RunState.UNKNOWN)],
 )
-async def test_refusals_tell_whether_anything_was_done(served, status, run_state):
+async def test_the_run_state_of_a_refusal_follows_from_the_status(served, status, run_state):
     server, store = served
     server.status = status
     read = await store.read_table("t", 5.0)
@@ -94,13 +94,13 @@
     assert read.run_state is run_state
 
 
-async def test_a_lost_history_is_told(served):
+async def test_a_compacted_history_is_reported(served):
     server, store = served
     server.status = 410
     assert isinstance(await store.changes("t", 1, 0.1), HistoryLost)
 
 
-async def test_a_store_that_is_not_there_did_nothing():
+async def test_a_call_to_an_unreachable_store_did_not_run():
     store = PlatformStore("127.0.0.1:1", ServingMetrics())
     read = await store.read_table("t", 5.0)
     await store.close()
@@ -111,7 +111,7 @@
 # Guards against discarding a whole table because one row could not be decoded.
 @pytest.mark.parametrize("key", ["a", "b", "c", "d"])
 @pytest.mark.parametrize("spoiled", [{"value": "abc"}, {"value": None}, {"ver": 1e999}])
-async def test_a_row_that_cannot_be_decoded_hides_no_other(served, key, spoiled):
+async def test_a_malformed_row_does_not_affect_other_rows(served, key, spoiled):
     server, store = served
     server.spoiled[key] = spoiled
     read = await store.read_table("t", 5.0)
@@ -119,14 +119,14 @@
     assert [row.key for row in read.unreadable] == [key]
 
 
-async def test_pages_without_a_key_to_go_on_from_are_refused(served):
+async def test_a_page_without_a_key_to_continue_from_is_an_error(served):
     server, store = served
     for no_key in (None, 7, ["a"]):
         server.spoiled = {key: {"tls_key": no_key} for key in server.keys}
         assert isinstance(await store.read_table("t", 5.0), Refused)
 
 
-async def test_a_conflict_tells_the_rows_that_can_be_decoded(served):
+async def test_a_conflict_contains_the_rows_that_can_be_decoded(served):
     server, store = served
     server.spoiled["a"] = {"value": 7}
     conditions = tuple(RowCondition(RowKey("t", "", key), 1) for key in ("a", "b"))
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from fake_platform import configuration, routes
 from foxwinch.core.routing.configuration import RequestLimits, RouteKind
-from foxwinch.platform.translation import configuration_of, worker_of
+from foxwinch.platform.translation import decode_configuration_row, decode_worker_row
 from foxwinch.records.ports import RowKey, StoredRow
-from platform_site import configuration, routes
 
 
 def row(value, table="op", key="config"):
@@ -15,10 +15,10 @@
 
 
 def decoded(**changes):
-    return configuration_of(row(configuration(**changes)))
+    return decode_configuration_row(row(configuration(**changes)))
 
 
-def test_a_configuration_is_translated_whole():
+def test_a_configuration_is_translated_completely():
     read = decoded(version=4)
     assert read.version == 4
     assert [route.name for route in read.routes] == ["stream", "kept", "safe", "unsafe"]
@@ -40,21 +40,21 @@
 
 # Guards against a configuration change that has no effect because one of its entries is malformed.
 @pytest.mark.parametrize("wrong", WRONG_ROUTES.values(), ids=WRONG_ROUTES)
-def test_a_route_that_is_wrong_hides_no_other(wrong):
+def test_an_invalid_route_does_not_affect_other_routes(wrong):
     first, *others = routes()
     read = decoded(version=5, routes=[{**first, **wrong}, *others, "no route"])
     assert read.version == 5
     assert [route.name for route in read.routes] == ["kept", "safe", "unsafe"]
 
 
-def test_a_service_or_limits_that_are_wrong_hide_nothing_else():
+def test_invalid_services_or_limits_do_not_affect_other_entries():
     read = decoded(services=[{"name": 7}, {"name": "s"}], limits=["none"])
     assert list(read.services) == ["s"]
     assert read.bounds == RequestLimits()
     assert len(read.routes) == len(routes())
 
 
-def test_a_route_of_a_kind_that_is_not_known_runs_at_most_once():
+def test_requests_of_an_unknown_route_kind_run_at_most_once():
     first, *others = routes()
     read = decoded(routes=[{**first, "type": "call", "resumable": True}, *others])
     assert read.routes[0].kind is RouteKind.UNSAFE
@@ -62,15 +62,15 @@
 
 
 @pytest.mark.parametrize("value", [None, b"", b"[]", b"{}", b'{"version": "new"}', b"\xff"])
-def test_what_is_no_configuration_is_refused(value):
-    assert configuration_of(row(value)) is None
+def test_a_malformed_configuration_is_rejected(value):
+    assert decode_configuration_row(row(value)) is None
 
 
-def test_other_rows_are_no_configuration():
-    assert configuration_of(row(configuration(), key="other")) is None
+def test_other_rows_are_not_read_as_a_configuration():
+    assert decode_configuration_row(row(configuration(), key="other")) is None
 
 
-def test_an_entry_tells_a_worker():
+def test_a_worker_entry_is_decoded():
     entry = {
         "service": "s",
         "address": "10.0.0.1:80",
@@ -83,9 +83,9 @@
         "seq": 4,
         "born": 1_790_000_000_000,
     }
-    worker = worker_of(row(json.dumps(entry).encode(), "servers", "i-1"))
+    worker = decode_worker_row(row(json.dumps(entry).encode(), "servers", "i-1"))
     assert (worker.worker_id, worker.slots, worker.draining) == ("i-1", 12, True)
     assert worker.warmup_seconds == 1.5
     assert worker.incarnation == "i-1/1790000000000"
     del entry["born"]
-    assert worker_of(row(json.dumps(entry).encode(), "servers", "i-1")).incarnation == "i-1"
+    assert decode_worker_row(row(json.dumps(entry).encode(), "servers", "i-1")).incarnation == "i-1"
--- a/tests/test_record_watch.py
+++ b/tests/test_record_watch.py
@@ -7,7 +7,7 @@
 import pytest
 
 from foxwinch.emulator.record_store import Mood, RecordStoreModel
-from foxwinch.platform.connections import CONNECT_SECONDS
+from foxwinch.platform.connections import CONNECT_TIMEOUT_SECONDS
 from foxwinch.records.ports import MAX_CONDITIONS
 from foxwinch.records.watch import (
     ANSWER_SECONDS,
@@ -239,7 +239,7 @@
 def test_the_longest_way_back_from_a_silent_connection_fits_the_bound(bound_seconds):
     lost = watch_wait_seconds(bound_seconds) + ANSWER_SECONDS
     waits = sum(RETRY_BACKOFF.wait_seconds(attempt, 1.0) for attempt in range(2))
-    assert lost + waits + CONNECT_SECONDS + NEW_ANSWER_SECONDS <= bound_seconds
+    assert lost + waits + CONNECT_TIMEOUT_SECONDS + NEW_ANSWER_SECONDS <= bound_seconds
 
 
 @pytest.mark.parametrize("seconds", [2.0, 3.0, 4.0])
--- a/tests/test_serve_command.py
+++ b/tests/test_serve_command.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from fake_worker import Answer, FakeWorker
+from fake_platform import SAFE, FakePlatform, configuration, wait_until
+from fake_worker import FakeResponse, FakeWorker
 from foxwinch.cli.settings import SettingsSchemaCommand
 from foxwinch.platform.settings import load_serve_settings
 from foxwinch.settings.base import SettingsError
-from platform_site import SAFE, PlatformSite, configuration, until
 
 ROOT = Path(__file__).parents[1]
 START = ROOT / "deploy" / "start.py"
@@ -58,7 +58,7 @@
     assert settings.store.heartbeat_ms == 1_200
 
 
-def test_the_template_does_without_what_a_deployment_does_not_tell(tmp_path, monkeypatch):
+def test_the_template_is_valid_without_optional_values(tmp_path, monkeypatch):
     monkeypatch.delitem(GIVEN, "heartbeat_ms")
     path = tmp_path / "node.toml"
     path.write_text(fill((ROOT / "deploy" / "settings.toml").read_text()))
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize(
     ("field", "wrong"), [("ip", '"nowhere"'), ("zone", '""'), ("grace_seconds", "-1")]
 )
-async def test_a_wrong_setting_is_named_with_its_value(tmp_path, field, wrong):
+async def test_an_invalid_setting_is_reported_with_its_value(tmp_path, field, wrong):
     path = tmp_path / "node.toml"
     text = (ROOT / "examples" / "serve.toml").read_text()
     path.write_text(re.sub(rf"^{field} = .*$", f"{field} = {wrong}", text, flags=re.MULTILINE))
@@ -101,7 +101,7 @@
     assert wrong.strip('"') in errors.decode()
 
 
-async def test_without_settings_it_says_how_to_give_them():
+async def test_missing_settings_are_reported_with_the_variable_to_set():
     process = await run()
     _, errors = await process.communicate()
     assert process.returncode == 2
@@ -115,11 +115,11 @@
     raise AssertionError(f"{wanted} was not logged")
 
 
-async def test_a_node_starts_reloads_and_stops_by_signals(tmp_path):
-    async with PlatformSite([FakeWorker(Answer())]) as site:
-        site.model.put("op", "config", configuration())
+async def test_a_node_starts_reloads_and_stops_on_signals(tmp_path):
+    async with FakePlatform([FakeWorker(FakeResponse())]) as platform:
+        platform.model.put("op", "config", configuration())
         path = tmp_path / "node.toml"
-        store = site.store_proxy.address
+        store = platform.store_proxy.address
         text = (ROOT / "examples" / "serve.toml").read_text()
         text = re.sub(r"127\.0\.0\.1:71\d\d", "127.0.0.1:0", text)
         path.write_text(
@@ -129,7 +129,7 @@
         started = await read_until(process.stdout, "event=started")
         address = re.search(r"callers=(\S+)", started)[1]
         await read_until(process.stdout, "event=workers_listed")
-        served = await site.ask_address(address, SAFE, "r1")
+        served = await platform.request_address(address, SAFE, "r1")
         assert served.status == 200
         process.send_signal(signal.SIGHUP)
         assert "changed=nothing" in await read_until(process.stdout, "event=reloaded")
@@ -139,7 +139,7 @@
         assert process.returncode == 0
 
 
-def test_a_deployed_node_gets_the_versions_that_are_tested():
+def test_deployed_package_versions_match_the_tested_ones():
     pins = re.compile(r"^([a-z-]+)==([\w.]+)", re.MULTILINE)
     deployed = dict(pins.findall((ROOT / "deploy" / "requirements.lock").read_text()))
     tested = dict(pins.findall((ROOT / "requirements.lock").read_text()))
@@ -148,7 +148,7 @@
     assert deployed.items() <= tested.items()
 
 
-def test_a_deployed_start_imports_nothing_of_the_command_line_or_of_our_own_cluster():
+def test_the_deployed_entry_point_imports_no_command_line_and_no_replicated_node():
     deployed = (ROOT / "deploy" / "requirements.lock").read_text()
     assert not re.search(r"^(rich|cappa)==", deployed, re.MULTILINE)
     look = "import sys, foxwinch.platform.start; print(*sys.modules)"
@@ -162,9 +162,9 @@
 @pytest.mark.parametrize(
     "entry", [["-m", "foxwinch", "serve"], [str(ROOT / "deploy" / "start.py")]]
 )
-async def test_a_hangup_does_not_end_a_node_that_starts(tmp_path, entry):
-    async with PlatformSite([FakeWorker(Answer())]) as site:
-        store = site.store_proxy.address
+async def test_sighup_does_not_kill_a_starting_node(tmp_path, entry):
+    async with FakePlatform([FakeWorker(FakeResponse())]) as platform:
+        store = platform.store_proxy.address
         path = tmp_path / "node.toml"
         text = (ROOT / "examples" / "serve.toml").read_text()
         text = re.sub(r"127\.0\.0\.1:71\d\d", "127.0.0.1:0", text)
@@ -181,7 +181,7 @@
         async def is_importing():
             return "uvloop" in maps.read_text()
 
-        await until(is_importing, True)
+        await wait_until(is_importing, True)
         for _ in range(20):
             process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.01)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize(
     ("name", "zones", "engines", "tools"), [("physio", 3, 6, 3), ("cledwyn", 4, 7, 4)]
 )
-def test_examples_have_the_sizes_of_today(name, zones, engines, tools):
+def test_examples_have_the_expected_sizes(name, zones, engines, tools):
     document = load_cluster_configuration(EXAMPLES / f"{name}.toml")
     assert isinstance(document, ClusterConfiguration)
     kinds = {pool.name: pool.kind for pool in document.pools}
@@ -27,7 +27,7 @@
     assert {worker.zone for worker in document.workers} == set(document.zones)
 
 
-def test_what_may_not_be_repeated_is_declared_so():
+def test_tools_with_side_effects_are_not_repeatable():
     found = {}
     for name in ("physio", "cledwyn"):
         document = load_cluster_configuration(EXAMPLES / f"{name}.toml")
@@ -58,7 +58,9 @@
         ({"seeds": ["somewhere"]}, ("seeds", "somewhere", "ip:port")),
     ],
 )
-def test_a_wrong_setting_names_field_value_and_allowed(tmp_path, change, expected):
+def test_an_invalid_setting_is_reported_with_field_value_and_allowed_values(
+    tmp_path, change, expected
+):
     values = {"name": "n", "region": "r", "zone": "z", **change}
     lines = [f"{k} = {json.dumps(v)}" for k, v in values.items() if v is not None]
     path = tmp_path / "node.toml"
@@ -69,7 +71,7 @@
         assert part in str(refused)
 
 
-def test_a_wrong_reference_names_what_exists():
+def test_a_dangling_reference_is_reported_with_the_existing_names():
     values = read_toml(EXAMPLES / "physio.toml")
     values["tools"][0]["pool"] = "nowhere"
     refused = check(ClusterConfiguration, values, "physio")
@@ -94,7 +96,7 @@
     assert "caller_port" in json.loads(printed.stdout)["properties"]
 
 
-def test_errors_go_to_standard_error_with_the_next_step(tmp_path):
+def test_errors_are_printed_to_standard_error_with_the_next_step(tmp_path):
     path = tmp_path / "bad.toml"
     path.write_text('deployment = "x"', encoding="utf-8")
     refused = run_command("config", "check", str(path))
--- a/tests/test_virtual_cluster.py
+++ b/tests/test_virtual_cluster.py
@@ -22,7 +22,7 @@
 
 
 @asynccontextmanager
-async def cluster_of(count, seed=1):
+async def running_cluster(count, seed=1):
     cluster = VirtualCluster(PHYSIO, seed)
     try:
         await cluster.add(count)
@@ -31,7 +31,7 @@
         await cluster.stop()
 
 
-async def until(cluster, condition, seconds=60.0):
+async def wait_until(cluster, condition, seconds=60.0):
     """Wait in virtual time until a condition is true."""
     ends_at = cluster.clock.monotonic() + seconds
     while not condition():
@@ -39,7 +39,7 @@
         await cluster.clock.sleep(0.1)
 
 
-def everyone_sees(cluster, state=MemberState.ALIVE):
+def all_nodes_see(cluster, state=MemberState.ALIVE):
     expected = set(cluster.nodes)
 
     def seen(virtual):
@@ -51,23 +51,23 @@
 
 def coordinators(cluster):
     """Return the coordinators by worker."""
-    found = {}
+    coordinators_by_worker = {}
     for virtual in cluster.nodes.values():
         for status in virtual.node.parts.grants.facts.workers():
             if status.steward == virtual.identity:
-                found.setdefault(status.worker, []).append(virtual.identity)
-    return found
+                coordinators_by_worker.setdefault(status.worker, []).append(virtual.identity)
+    return coordinators_by_worker
 
 
-def settled(cluster):
+def has_converged(cluster):
     """Return whether all nodes see each other and are ready, with one coordinator per worker."""
-    found = coordinators(cluster)
+    coordinators_by_worker = coordinators(cluster)
     ready = [n.node.parts.operator.readiness.not_ready_because() for n in cluster.nodes.values()]
     return (
-        everyone_sees(cluster)
+        all_nodes_see(cluster)
         and not any(ready)
-        and set(found) == set(cluster.engines)
-        and all(len(holders) == 1 for holders in found.values())
+        and set(coordinators_by_worker) == set(cluster.engines)
+        and all(len(holders) == 1 for holders in coordinators_by_worker.values())
     )
 
 
@@ -86,37 +86,37 @@
 
 @pytest.mark.parametrize("count", [1, 3, 12])
 async def test_nodes_form_one_cluster_and_each_serves(count):
-    async with cluster_of(count) as cluster:
-        await until(cluster, lambda: settled(cluster))
+    async with running_cluster(count) as cluster:
+        await wait_until(cluster, lambda: has_converged(cluster))
         for number, virtual in enumerate(list(cluster.nodes.values())):
             assert virtual.node.configuration.current().revision == 1
             assert isinstance(await call(virtual, f"program-{number}"), CallFinished)
 
 
-async def test_a_drained_node_leaves_and_its_workers_go_on():
-    async with cluster_of(3) as cluster:
-        await until(cluster, lambda: settled(cluster))
+async def test_a_drained_node_leaves_and_its_workers_stay_in_use():
+    async with running_cluster(3) as cluster:
+        await wait_until(cluster, lambda: has_converged(cluster))
         leaving = list(cluster.nodes.values())[1]
         started_at = cluster.clock.monotonic()
         assert await cluster.drain(leaving)
         assert cluster.clock.monotonic() - started_at < 15.0
-        await until(cluster, lambda: settled(cluster))
+        await wait_until(cluster, lambda: has_converged(cluster))
         for virtual in list(cluster.nodes.values()):
             assert isinstance(await call(virtual, "after"), CallFinished)
 
 
-async def test_a_killed_node_is_found_dead_and_its_workers_are_taken_over():
-    async with cluster_of(3) as cluster:
-        await until(cluster, lambda: settled(cluster))
+async def test_a_killed_node_is_declared_dead_and_its_workers_are_taken_over():
+    async with running_cluster(3) as cluster:
+        await wait_until(cluster, lambda: has_converged(cluster))
         await cluster.kill(next(iter(cluster.nodes.values())))
-        await until(cluster, lambda: settled(cluster))
+        await wait_until(cluster, lambda: has_converged(cluster))
         for virtual in list(cluster.nodes.values()):
             assert isinstance(await call(virtual, "after"), CallFinished)
 
 
-async def test_a_drain_cuts_no_call_of_a_program_that_goes_on():
-    async with cluster_of(3) as cluster:
-        await until(cluster, lambda: settled(cluster))
+async def test_a_drain_interrupts_no_call_of_a_running_program():
+    async with running_cluster(3) as cluster:
+        await wait_until(cluster, lambda: has_converged(cluster))
         leaving, first, second = cluster.nodes.values()
         drained = asyncio.create_task(cluster.drain(leaving))
         for turn in range(30):
--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from fake_worker import Answer, FakeWorker, events
+from fake_platform import SAFE, FakePlatform, configuration, wait_until
+from fake_worker import FakeResponse, FakeWorker, events
 from foxwinch.emulator.record_store import Mood, RecordStoreModel
 from foxwinch.records.watch import TableWatch
 from foxwinch.service_tasks import TaskFailedError
-from platform_site import SAFE, PlatformSite, configuration, until
 from virtual_clock import VirtualClock
 
 KEPT_CONNECTIONS = 8
 WATCHES = 2
-STREAM_ANSWER = Answer(body=None, pieces=events(1, 3))
+STREAM_ANSWER = FakeResponse(body=None, chunks=events(1, 3))
 
 
 def sited(*workers):
-    site = PlatformSite(list(workers))
+    site = FakePlatform(list(workers))
     site.model.put("op", "config", configuration())
     return site
 
@@ -43,12 +43,12 @@
 
         site.model.moods.delay_seconds = 0.1
         turns = (
-            site.turn(node, f"r{number}", Program=f"p{number}")
+            site.request_turn(node, f"r{number}", Program=f"p{number}")
             for number in range(KEPT_CONNECTIONS)
         )
         assert {reply.status for reply in await asyncio.gather(*turns)} == {200}
         site.model.moods.delay_seconds = 0.0
-        await until(programs, 0)
+        await wait_until(programs, 0)
         site.store_proxy.silence()
         site.model.put("op", "config", configuration(version=2))
         while await version_in_force(node) != 2:
@@ -99,18 +99,20 @@
     async def heard():
         return {worker.worker_id: worker.slots for worker in directory.all_workers()}
 
-    await until(heard, slots)
+    await wait_until(heard, slots)
 
 
 async def statuses(site, node, count, first=0):
-    return [(await site.ask(node, SAFE, f"r{first + number}")).status for number in range(count)]
+    return [
+        (await site.request(node, SAFE, f"r{first + number}")).status for number in range(count)
+    ]
 
 
 # Guards against drains that no node heard of while one row of the list could not be decoded.
 @pytest.mark.parametrize("found", ["on the first read", "as a change"])
 @pytest.mark.parametrize("document", UNREADABLE_DOCUMENTS.values(), ids=UNREADABLE_DOCUMENTS)
 async def test_a_row_that_cannot_be_decoded_hides_no_drain(document, found):
-    async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
+    async with sited(FakeWorker(FakeResponse()), FakeWorker(FakeResponse())) as site:
         site.handlers.foreign["x"] = document
         if found == "on the first read":
             site.model.put("servers", "x", b"{}")
@@ -123,7 +125,7 @@
 # Guards against entries of other writers that ended the watch, or were taken for workers in use.
 @pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
 async def test_an_entry_that_names_no_worker_is_passed_over_and_the_others_hold(entry):
-    async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
+    async with sited(FakeWorker(FakeResponse()), FakeWorker(FakeResponse())) as site:
         node = await site.start_node()
         site.model.put("servers", "x", entry_of(site, 0, entry))
         site.list_worker(1, slots=5)
@@ -134,7 +136,7 @@
 # Guards against requests at a worker whose newest entry cannot be read or states that it left.
 @pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
 async def test_a_worker_whose_entry_becomes_unreadable_gets_no_work(entry):
-    async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
+    async with sited(FakeWorker(FakeResponse()), FakeWorker(FakeResponse())) as site:
         node = await site.start_node()
         site.model.put("servers", "w0", entry_of(site, 0, entry))
         site.list_worker(1, slots=5)
@@ -145,7 +147,7 @@
 
 # Guards against an entry of another writer that displaced the worker at the address it names.
 async def test_an_entry_of_an_unknown_service_displaces_no_worker_at_its_address():
-    async with sited(FakeWorker(Answer())) as site:
+    async with sited(FakeWorker(FakeResponse())) as site:
         node = await site.start_node()
         site.model.put("servers", "x", entry_of(site, 0, {"service": "nobody"}))
         await until_listed(node, {"w0": 4, "x": 4})
@@ -183,7 +185,7 @@
 
 # Guards against a node that went on for ever by what it knew, after the task of a watch had ended.
 async def test_a_watch_that_fails_ends_the_process():
-    async with sited(FakeWorker(Answer())) as site:
+    async with sited(FakeWorker(FakeResponse())) as site:
         node = await site.start_node()
         running = asyncio.ensure_future(node.run())
         routing = node.node.routing
@@ -193,6 +195,6 @@
 
         routing._decode_worker = fail
         site.list_worker(0, slots=5)
-        await until(lambda: site.ready(node), 503)
+        await wait_until(lambda: site.ready(node), 503)
         with pytest.raises(TaskFailedError, match="serving"):
             await running
