--- a/src/foxwinch/backends/engine_http.py
+++ b/src/foxwinch/backends/engine_http.py
@@ -114,7 +114,7 @@
     ) -> AsyncGenerator[EngineEvent, None]:
         """Stream a response; see `GeneratePort`.
 
-        A unresponsive engine times out with run state `unknown`.
+        An unresponsive engine times out with run state `unknown`.
         """
         url = self._url_of(worker)
         if url is None:
@@ -146,7 +146,7 @@
                         if isinstance(event, (GenerateFinished, Refused)):
                             return
             yield outcome_unknown(
-                Reason.BACKEND_FAILED, f"worker {worker} ended its stream before the end marker"
+                Reason.BACKEND_FAILED, f"worker {worker} ended its stream before the final event"
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             yield not_run(Reason.BACKEND_UNAVAILABLE, f"cannot connect to worker {worker}")
--- a/src/foxwinch/backends/engine_timeouts.py
+++ b/src/foxwinch/backends/engine_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts after which a call to a unresponsive engine is resumed on another worker.
+"""Timeouts after which a call to an unresponsive engine is resumed on another worker.
 
 The timeouts are multiples of the engine latencies at the design size, so that a busy engine does
 not time out: before the first event, a call is queued inside the engine and its prompt is computed.
--- a/src/foxwinch/node/parts/configuration.py
+++ b/src/foxwinch/node/parts/configuration.py
@@ -1,4 +1,4 @@
-"""Subsystem: the active cluster configuration and the limits it defines."""
+"""Configuration subsystem: the active cluster configuration and the limits it defines."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationPart:
-    """The configuration subsystem."""
+    """Views and services of the configuration subsystem."""
 
     configuration: ConfigurationView
     limits: LimitView
--- a/src/foxwinch/node/parts/grants.py
+++ b/src/foxwinch/node/parts/grants.py
@@ -1,4 +1,4 @@
-"""Subsystem: grants of workers, their coordinators and the orders to engines."""
+"""Grants subsystem: grants of workers, their coordinators and orders to engines."""
 
 from dataclasses import dataclass, field
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantsPart:
-    """The grants subsystem, with access to the coordinators of all workers."""
+    """Views and services of the grants subsystem."""
 
     grants: GrantView
     facts: WorkerFacts = field(default_factory=NoWorkers)
--- a/src/foxwinch/node/parts/membership.py
+++ b/src/foxwinch/node/parts/membership.py
@@ -1,4 +1,4 @@
-"""Subsystem: cluster membership and gossip between nodes."""
+"""Membership subsystem: the members of the cluster and gossip between them."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipPart:
-    """The membership subsystem."""
+    """Views and services of the membership subsystem."""
 
     membership: MembershipView
     gossip: GossipView
--- a/src/foxwinch/node/parts/operator.py
+++ b/src/foxwinch/node/parts/operator.py
@@ -1,4 +1,4 @@
-"""Subsystem: operators' queries and commands on the other subsystems."""
+"""Operator subsystem: operators' queries and commands on the other subsystems."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorPart:
-    """The operator subsystem."""
+    """Handlers and readiness of the operator subsystem."""
 
     handlers: OperatorHandlers
     readiness: Readiness
--- a/src/foxwinch/node/parts/programs.py
+++ b/src/foxwinch/node/parts/programs.py
@@ -1,4 +1,4 @@
-"""Subsystem: the programs owned by this node, and forwarding of calls to other owners."""
+"""Programs subsystem: the programs owned by this node, and forwarding to other owners."""
 
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramsPart:
-    """The programs subsystem."""
+    """Views and services of the programs subsystem."""
 
     add_caller_routes: Callable[[web.UrlDispatcher], None]
     owner: ProgramOwner
--- a/src/foxwinch/node/parts/records.py
+++ b/src/foxwinch/node/parts/records.py
@@ -1,4 +1,4 @@
-"""Subsystem: state in the shared store, that is program trees and worker epochs."""
+"""Records subsystem: program trees and worker epochs in the shared store."""
 
 from dataclasses import dataclass
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsPart:
-    """The records subsystem."""
+    """Views of the records subsystem."""
 
     trees: ProgramTreeStore
     epochs: EpochView
--- a/src/foxwinch/settings/process.py
+++ b/src/foxwinch/settings/process.py
@@ -15,7 +15,7 @@
     certificate_file: str
     key_file: str
     authority_file: str | None = None
-    """Authority that must have signed clients' certificates; None disables mutual TLS."""
+    """Authority that must have signed the other side's certificate; required for peers."""
 
 
 class CallerLimits(StrictModel):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -28,17 +28,17 @@
 
 @pytest.fixture
 def caller_key() -> str:
-    """Return the bearer key that is valid in `keyed` documents."""
+    """Return the bearer key that is valid in `with_caller_key` documents."""
     return CALLER_KEY
 
 
 @pytest.fixture
-def keyed() -> Callable[[ClusterConfiguration], ClusterConfiguration]:
+def with_caller_key() -> Callable[[ClusterConfiguration], ClusterConfiguration]:
     """Return a function that sets the tests' key for the first tenant of a document."""
 
-    def give_key(document: ClusterConfiguration) -> ClusterConfiguration:
+    def add_key(document: ClusterConfiguration) -> ClusterConfiguration:
         first, *others = document.tenants
         tenant = first.model_copy(update={"key_hashes": (hash_key(CALLER_KEY),)})
         return document.model_copy(update={"tenants": (tenant, *others)})
 
-    return give_key
+    return add_key
--- a/tests/test_backends_http.py
+++ b/tests/test_backends_http.py
@@ -37,7 +37,7 @@
 from foxwinch.storage.records_http import HttpRecordStore
 
 TEXT = "From Carmarthen to Wrecsam with two children. " * 40
-ORDER = GenerateRequest("c1", "p/1", "m", (Message("user", TEXT),), 4, 0, 1)
+REQUEST = GenerateRequest("c1", "p/1", "m", (Message("user", TEXT),), 4, 0, 1)
 ROW = RowKey("t", "p", "a/b")
 VALUE = b"\x00\xff"
 TOOL_CALL = ToolRequest("c1", "family", "hold-seats", {"train": "T1", "seats": ["1"]}, 5.0)
@@ -72,16 +72,16 @@
     await server.close()
 
 
-async def generate(harness, order=ORDER):
+async def generate(harness, order=REQUEST):
     return [event async for event in harness.engine.generate("w", order)]
 
 
 async def test_engine_streams_marked_answers_and_resumes(harness):
     whole = await generate(harness)
     text = "".join(e.text for e in whole[:-1])
-    assert text.startswith(history_marker("p/1", ORDER.messages))
+    assert text.startswith(history_marker("p/1", REQUEST.messages))
     assert whole[-1].completion_tokens == 4
-    assert await generate(harness, replace(ORDER, resume_offset=2)) == whole[2:]
+    assert await generate(harness, replace(REQUEST, resume_offset=2)) == whole[2:]
     assert harness.emulated_services.engines["w"].executions == {"c1": 1}
 
 
@@ -110,8 +110,8 @@
     engine.gate.faults = EngineFaults(lose_answers=1)
     first = await asyncio.gather(*(harness.engine.release("w", name) for name in names[:3]))
     assert [outcome.run_state for outcome in first] == [RunState.UNKNOWN] * 3
-    again = await asyncio.gather(*(harness.engine.release("w", name) for name in names))
-    assert again == [Completed()] * 600
+    second = await asyncio.gather(*(harness.engine.release("w", name) for name in names))
+    assert second == [Completed()] * 600
     assert engine.released == {name: 2 if name in names[:3] else 1 for name in names}
 
 
@@ -154,7 +154,7 @@
 
 async def test_unreachable_engine_did_not_run(harness):
     engine = HttpEngine(harness.session, {"w": "http://127.0.0.1:1"}.get)
-    [refused] = [event async for event in engine.generate("w", ORDER)]
+    [refused] = [event async for event in engine.generate("w", REQUEST)]
     assert (refused.reason, refused.run_state) == (Reason.BACKEND_UNAVAILABLE, RunState.NOT_RUN)
 
 
@@ -250,10 +250,10 @@
 
 async def test_tool_responses_and_unreachable_tools(harness):
     assert await harness.tools.call(TOOL_CALL) == ToolResult("held: T1/1")
-    nowhere = HttpTools(harness.session, lambda tool: [])
-    assert (await nowhere.call(TOOL_CALL)).run_state is RunState.NOT_RUN
-    closed = HttpTools(harness.session, lambda tool: ["http://127.0.0.1:1"])
-    assert (await closed.call(TOOL_CALL)).run_state is RunState.NOT_RUN
+    no_workers = HttpTools(harness.session, lambda tool: [])
+    assert (await no_workers.call(TOOL_CALL)).run_state is RunState.NOT_RUN
+    unreachable = HttpTools(harness.session, lambda tool: ["http://127.0.0.1:1"])
+    assert (await unreachable.call(TOOL_CALL)).run_state is RunState.NOT_RUN
 
 
 class RawServer:
@@ -291,7 +291,7 @@
         assert refused.run_state is RunState.UNKNOWN
         assert raw_server.requests == 1
         engine = HttpEngine(harness.session, {"w": url}.get)
-        [refused] = [event async for event in engine.generate("w", ORDER)]
+        [refused] = [event async for event in engine.generate("w", REQUEST)]
         assert isinstance(refused, Refused)
         assert refused.run_state is RunState.UNKNOWN
 
@@ -302,15 +302,15 @@
     connector = harness.session.connector
     create = connector._create_connection
 
-    async def counted(*arguments, **keywords):
+    async def counting_create(*arguments, **keywords):
         opened.append(1)
         return await create(*arguments, **keywords)
 
-    connector._create_connection = counted
+    connector._create_connection = counting_create
     for _ in range(3):
         await generate(harness)
     assert len(opened) == 1
-    async with aclosing(harness.engine.generate("w", ORDER)) as stream:
+    async with aclosing(harness.engine.generate("w", REQUEST)) as stream:
         assert isinstance(await anext(stream), TokenChunk)
 
 
@@ -333,7 +333,7 @@
     engine = HttpEngine(harness.session, {"w": url}.get)
     async with server:
         for _ in range(3):
-            async with aclosing(engine.generate("w", ORDER)) as stream:
+            async with aclosing(engine.generate("w", REQUEST)) as stream:
                 assert isinstance(await anext(stream), GenerateFinished)
                 end_seen.set()
         assert len(connections) == 1
--- a/tests/test_engine_silence.py
+++ b/tests/test_engine_timeouts.py
@@ -23,30 +23,30 @@
 
 TOKENS = 4
 HANG_SECONDS = 30
-ORDER = GenerateRequest(
+REQUEST = GenerateRequest(
     "any", scoped_program_id(TENANT, "p"), "rail-chat", (Message("user", "hello"),), TOKENS, 0, 1
 )
-PLAN = plan_answer(ORDER, TOKENS).tokens
+EXPECTED_TOKENS = plan_answer(REQUEST, TOKENS).tokens
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 @pytest.fixture
 async def emulated_services():
     engines = tuple(EmulatedEngine(name=name, models=("rail-chat",)) for name in ("w1", "w2"))
-    made = EmulatedServices(EmulatorSettings(engines=engines, pace="instant"), SystemClock())
-    server = TestServer(build_application(made))
+    services = EmulatedServices(EmulatorSettings(engines=engines, pace="instant"), SystemClock())
+    server = TestServer(build_application(services))
     await server.start_server()
-    made.base = str(server.make_url("/workers"))
-    yield made
-    made.stop()
+    services.base = str(server.make_url("/workers"))
+    yield services
+    services.stop()
     await server.close()
 
 
-async def first_tokens_and_silence(reader, writer):
+async def send_two_tokens_and_stall(reader, writer):
     """Send headers and two tokens, then nothing until the client disconnects."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(HEAD)
-    for token in PLAN[:2]:
+    for token in EXPECTED_TOKENS[:2]:
         line = json.dumps({"choices": [{"delta": {"content": token}}]})
         frame = f"data: {line}\n\n".encode()
         writer.write(f"{len(frame):x}\r\n".encode() + frame + b"\r\n")
@@ -55,14 +55,14 @@
     writer.close()
 
 
-async def answered_by_two(urls, session):
+async def check_resumed_on_second_worker(urls, session):
     """Run a call that is granted w1 first and w2 next, and check that w2 completes it."""
     rig = Rig()
     rig.engine.generate = HttpEngine(session, urls.get).generate
     async with asyncio.timeout(HANG_SECONDS):
         text, last = await collect(rig.model(maximum_tokens=TOKENS))
     assert isinstance(last, CallFinished)
-    assert text == "".join(PLAN)
+    assert text == "".join(EXPECTED_TOKENS)
     assert [usage.failed for usage in rig.grants.settled] == [True, False]
 
 
@@ -74,17 +74,19 @@
     emulated_services.engines["w1"].gate.faults = fault
     urls = {name: f"{emulated_services.base}/{name}" for name in ("w1", "w2")}
     async with new_session() as session:
-        await answered_by_two(urls, session)
+        await check_resumed_on_second_worker(urls, session)
 
 
 async def test_stalled_stream_is_resumed_after_the_chunks_already_sent(
     emulated_services, monkeypatch
 ):
     monkeypatch.setattr(engine_timeouts, "EVENT_GAP_SECONDS", 1.0)
-    server = await asyncio.start_server(first_tokens_and_silence, "127.0.0.1", 0)
-    silent = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
+    server = await asyncio.start_server(send_two_tokens_and_stall, "127.0.0.1", 0)
+    stalled_url = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
     async with server, new_session() as session:
-        await answered_by_two({"w1": silent, "w2": f"{emulated_services.base}/w2"}, session)
+        await check_resumed_on_second_worker(
+            {"w1": stalled_url, "w2": f"{emulated_services.base}/w2"}, session
+        )
     assert list(emulated_services.engines["w2"].resumes.values()) == [1]
 
 
--- a/tests/test_node_drain.py
+++ b/tests/test_node_drain.py
@@ -15,7 +15,7 @@
 from idle_engine import IdleEngine
 
 CLEDWYN = Path(__file__).parents[1] / "examples" / "cledwyn.toml"
-CALL = {"model": "rail-chat", "messages": [{"role": "user", "content": "Hello"}]}
+REQUEST = {"model": "rail-chat", "messages": [{"role": "user", "content": "Hello"}]}
 
 
 class BlockingEngine(IdleEngine):
@@ -40,43 +40,43 @@
     return document
 
 
-async def test_drain_finishes_running_requests_and_rejects_new_ones(caller_key, keyed):
+async def test_drain_finishes_running_requests_and_rejects_new_ones(caller_key, with_caller_key):
     engine = BlockingEngine()
     settings = NodeSettings(name="node-1", region="cymru", zone="caerdydd", drain_seconds=30)
-    node = build_node(settings, NodePorts(SystemClock(), engine), keyed(_document()))
+    node = build_node(settings, NodePorts(SystemClock(), engine), with_caller_key(_document()))
     await node.start()
     headers = {"Authorization": f"Bearer {caller_key}"}
     async with TestClient(TestServer(node.caller_application()), headers=headers) as client:
-        running = asyncio.create_task(client.post("/v1/chat/completions", json=CALL))
+        request_task = asyncio.create_task(client.post("/v1/chat/completions", json=REQUEST))
         await engine.generating.wait()
         assert (await client.get("/readyz")).status == 200
-        drained = asyncio.create_task(node.drain())
+        drain_task = asyncio.create_task(node.drain())
         await asyncio.sleep(0)
-        refused = await client.post("/v1/chat/completions", json=CALL)
+        refused = await client.post("/v1/chat/completions", json=REQUEST)
         error = (await refused.json())["error"]
         assert refused.status == 503
         assert refused.headers["Retry-After"] == "1"
         assert error["run_state"] == "not_run"
         assert (await client.get("/readyz")).status == 503
         assert (await client.get("/healthz")).status == 200
-        assert not drained.done()
+        assert not drain_task.done()
         engine.released.set()
-        answer = await (await running).json()
+        answer = await (await request_task).json()
         assert answer["choices"][0]["message"]["content"] == "whole answer"
-        assert await drained
+        assert await drain_task
     await node.stop()
 
 
-async def test_drain_ends_at_its_timeout(caller_key, keyed):
+async def test_drain_ends_at_its_timeout(caller_key, with_caller_key):
     engine = BlockingEngine()
     settings = NodeSettings(name="node-1", region="cymru", zone="caerdydd", drain_seconds=0.05)
-    node = build_node(settings, NodePorts(SystemClock(), engine), keyed(_document()))
+    node = build_node(settings, NodePorts(SystemClock(), engine), with_caller_key(_document()))
     await node.start()
     headers = {"Authorization": f"Bearer {caller_key}"}
     async with TestClient(TestServer(node.caller_application()), headers=headers) as client:
-        running = asyncio.create_task(client.post("/v1/chat/completions", json=CALL))
+        request_task = asyncio.create_task(client.post("/v1/chat/completions", json=REQUEST))
         await engine.generating.wait()
         assert not await node.drain()
         engine.released.set()
-        assert (await running).status == 200
+        assert (await request_task).status == 200
     await node.stop()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -10,7 +10,7 @@
 from foxwinch.records.ports import HistoryLost, RowCondition, RowKey
 from foxwinch.serving.metrics import ServingMetrics
 
-PAGE = 2
+PAGE_SIZE = 2
 
 
 class PagingServer:
@@ -30,10 +30,10 @@
         rows = [
             {"table": "t", "part": "", "tls_key": key, "value": _encoded(key), "ver": 1}
             | self.spoiled.get(key, {})
-            for key in keys[:PAGE]
+            for key in keys[:PAGE_SIZE]
         ]
         self.version += 1
-        document = {"rows": rows, "more": len(keys) > PAGE, "ver": self.version, "now_ms": 5}
+        document = {"rows": rows, "more": len(keys) > PAGE_SIZE, "ver": self.version, "now_ms": 5}
         return web.json_response(document)
 
     async def reject(self, request):
@@ -52,7 +52,7 @@
 
 
 @pytest.fixture
-async def served():
+async def server_and_store():
     server = PagingServer()
     application = web.Application()
     application.router.add_get("/v1/rows-get", server.read)
@@ -68,16 +68,16 @@
     await runner.cleanup()
 
 
-async def test_a_table_read_returns_all_pages_with_the_version_of_the_first(served):
-    _, store = served
+async def test_a_table_read_returns_all_pages_with_the_version_of_the_first(server_and_store):
+    _, store = server_and_store
     read = await store.read_table("t", 5.0)
     assert [row.row.key for row in read.rows] == ["a", "b", "b/1", "c", "d"]
     assert [row.value for row in read.rows][2] == b"b/1"
     assert read.version == 11
 
 
-async def test_a_range_read_returns_all_pages(served):
-    _, store = served
+async def test_a_range_read_returns_all_pages(server_and_store):
+    _, store = server_and_store
     read = await store.read(RowKey("t", "", "b"), "d", 5.0)
     assert [row.row.key for row in read.rows] == ["b", "b/1", "c"]
 
@@ -86,16 +86,18 @@
     ("status", "run_state"),
     [(503, RunState.NOT_RUN), (429, RunState.NOT_RUN), (500, RunState.UNKNOWN)],
 )
-async def test_the_run_state_of_a_refusal_follows_from_the_status(served, status, run_state):
-    server, store = served
+async def test_the_run_state_of_a_refusal_follows_from_the_status(
+    server_and_store, status, run_state
+):
+    server, store = server_and_store
     server.status = status
     read = await store.read_table("t", 5.0)
     assert isinstance(read, Refused)
     assert read.run_state is run_state
 
 
-async def test_a_compacted_history_is_reported(served):
-    server, store = served
+async def test_a_compacted_history_is_reported(server_and_store):
+    server, store = server_and_store
     server.status = 410
     assert isinstance(await store.changes("t", 1, 0.1), HistoryLost)
 
@@ -111,23 +113,23 @@
 # Guards against discarding a whole table because one row could not be decoded.
 @pytest.mark.parametrize("key", ["a", "b", "c", "d"])
 @pytest.mark.parametrize("spoiled", [{"value": "abc"}, {"value": None}, {"ver": 1e999}])
-async def test_a_malformed_row_does_not_affect_other_rows(served, key, spoiled):
-    server, store = served
+async def test_a_malformed_row_does_not_affect_other_rows(server_and_store, key, spoiled):
+    server, store = server_and_store
     server.spoiled[key] = spoiled
     read = await store.read_table("t", 5.0)
     assert [row.row.key for row in read.rows] == [other for other in server.keys if other != key]
     assert [row.key for row in read.unreadable] == [key]
 
 
-async def test_a_page_without_a_key_to_continue_from_is_an_error(served):
-    server, store = served
+async def test_a_page_without_a_key_to_continue_from_is_an_error(server_and_store):
+    server, store = server_and_store
     for no_key in (None, 7, ["a"]):
         server.spoiled = {key: {"tls_key": no_key} for key in server.keys}
         assert isinstance(await store.read_table("t", 5.0), Refused)
 
 
-async def test_a_conflict_contains_the_rows_that_can_be_decoded(served):
-    server, store = served
+async def test_a_conflict_contains_the_rows_that_can_be_decoded(server_and_store):
+    server, store = server_and_store
     server.spoiled["a"] = {"value": 7}
     conditions = tuple(RowCondition(RowKey("t", "", key), 1) for key in ("a", "b"))
     conflict = await store.transact(conditions, (), 5.0)
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -14,20 +14,20 @@
     return StoredRow(RowKey(table, "", key), value, 7)
 
 
-def decoded(**changes):
+def decode(**changes):
     return decode_configuration_row(row(configuration(**changes)))
 
 
 def test_a_configuration_is_translated_completely():
-    read = decoded(version=4)
-    assert read.version == 4
-    assert [route.name for route in read.routes] == ["stream", "kept", "safe", "unsafe"]
-    kept = read.routes[1]
+    decoded = decode(version=4)
+    assert decoded.version == 4
+    assert [route.name for route in decoded.routes] == ["stream", "kept", "safe", "unsafe"]
+    kept = decoded.routes[1]
     assert (kept.kind, kept.retained, kept.retain_seconds) == (RouteKind.STREAM, True, 60.0)
     assert (kept.timeout_seconds, kept.target_seconds, kept.event_gap_seconds) == (3.0, 0.2, 0.3)
-    assert read.services["s"].tokens_per_event == 25
-    assert read.bounds.body_bytes == 200_000
-    assert read.bounds.idle_seconds == RequestLimits().idle_seconds
+    assert decoded.services["s"].tokens_per_event == 25
+    assert decoded.bounds.body_bytes == 200_000
+    assert decoded.bounds.idle_seconds == RequestLimits().idle_seconds
 
 
 WRONG_ROUTES = {
@@ -42,23 +42,23 @@
 @pytest.mark.parametrize("wrong", WRONG_ROUTES.values(), ids=WRONG_ROUTES)
 def test_an_invalid_route_does_not_affect_other_routes(wrong):
     first, *others = routes()
-    read = decoded(version=5, routes=[{**first, **wrong}, *others, "no route"])
-    assert read.version == 5
-    assert [route.name for route in read.routes] == ["kept", "safe", "unsafe"]
+    decoded = decode(version=5, routes=[{**first, **wrong}, *others, "no route"])
+    assert decoded.version == 5
+    assert [route.name for route in decoded.routes] == ["kept", "safe", "unsafe"]
 
 
 def test_invalid_services_or_limits_do_not_affect_other_entries():
-    read = decoded(services=[{"name": 7}, {"name": "s"}], limits=["none"])
-    assert list(read.services) == ["s"]
-    assert read.bounds == RequestLimits()
-    assert len(read.routes) == len(routes())
+    decoded = decode(services=[{"name": 7}, {"name": "s"}], limits=["none"])
+    assert list(decoded.services) == ["s"]
+    assert decoded.bounds == RequestLimits()
+    assert len(decoded.routes) == len(routes())
 
 
 def test_requests_of_an_unknown_route_kind_run_at_most_once():
     first, *others = routes()
-    read = decoded(routes=[{**first, "type": "call", "resumable": True}, *others])
-    assert read.routes[0].kind is RouteKind.UNSAFE
-    assert not read.routes[0].repeatable
+    decoded = decode(routes=[{**first, "type": "call", "resumable": True}, *others])
+    assert decoded.routes[0].kind is RouteKind.UNSAFE
+    assert not decoded.routes[0].repeatable
 
 
 @pytest.mark.parametrize("value", [None, b"", b"[]", b"{}", b'{"version": "new"}', b"\xff"])
--- a/tests/test_serve_command.py
+++ b/tests/test_serve_command.py
@@ -18,7 +18,7 @@
 
 ROOT = Path(__file__).parents[1]
 START = ROOT / "deploy" / "start.py"
-GIVEN = {
+TEMPLATE_VALUES = {
     "node_name": "front-1",
     "ip": "10.1.0.38",
     "zone": "z",
@@ -34,15 +34,15 @@
 }
 
 
-def fill(template):
+def render_template(template):
     """Render the template as the platform does."""
 
     def value(match):
         name, _, form = match[1].partition("|")
-        return f'"{GIVEN[name]}"' if form == "json" else GIVEN[name]
+        return f'"{TEMPLATE_VALUES[name]}"' if form == "json" else TEMPLATE_VALUES[name]
 
     def section(match):
-        return match[2] if match[1] in GIVEN else ""
+        return match[2] if match[1] in TEMPLATE_VALUES else ""
 
     sections = re.sub(r"\{\{#(\w+)\}\}(.*?)\{\{/\1\}\}", section, template)
     return re.sub(r"\{\{([^}]+)\}\}", value, sections)
@@ -50,7 +50,7 @@
 
 def test_the_template_gives_valid_settings(tmp_path):
     path = tmp_path / "node.toml"
-    path.write_text(fill((ROOT / "deploy" / "settings.toml").read_text()))
+    path.write_text(render_template((ROOT / "deploy" / "settings.toml").read_text()))
     settings = load_serve_settings(path)
     assert not isinstance(settings, SettingsError), str(settings)
     assert settings.listen.peers == "10.1.0.38:7380"
@@ -59,9 +59,9 @@
 
 
 def test_the_template_is_valid_without_optional_values(tmp_path, monkeypatch):
-    monkeypatch.delitem(GIVEN, "heartbeat_ms")
+    monkeypatch.delitem(TEMPLATE_VALUES, "heartbeat_ms")
     path = tmp_path / "node.toml"
-    path.write_text(fill((ROOT / "deploy" / "settings.toml").read_text()))
+    path.write_text(render_template((ROOT / "deploy" / "settings.toml").read_text()))
     assert not isinstance(load_serve_settings(path), SettingsError)
 
 
@@ -74,7 +74,7 @@
     assert "grace_seconds" in json.loads(capsys.readouterr().out)["properties"]
 
 
-async def run(*arguments, **environment):
+async def start_serve(*arguments, **environment):
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -94,7 +94,7 @@
     path = tmp_path / "node.toml"
     text = (ROOT / "examples" / "serve.toml").read_text()
     path.write_text(re.sub(rf"^{field} = .*$", f"{field} = {wrong}", text, flags=re.MULTILINE))
-    process = await run(FOXWINCH_CONFIG=str(path))
+    process = await start_serve(FOXWINCH_CONFIG=str(path))
     _, errors = await process.communicate()
     assert process.returncode == 2
     assert field in errors.decode()
@@ -102,7 +102,7 @@
 
 
 async def test_missing_settings_are_reported_with_the_variable_to_set():
-    process = await run()
+    process = await start_serve()
     _, errors = await process.communicate()
     assert process.returncode == 2
     assert "FOXWINCH_CONFIG" in errors.decode()
@@ -125,7 +125,7 @@
         path.write_text(
             text.replace('address = "127.0.0.1:0"', f'address = "{store.host}:{store.port}"')
         )
-        process = await run("--settings", str(path))
+        process = await start_serve("--settings", str(path))
         started = await read_until(process.stdout, "event=started")
         address = re.search(r"callers=(\S+)", started)[1]
         await read_until(process.stdout, "event=workers_listed")
@@ -151,9 +151,9 @@
 def test_the_deployed_entry_point_imports_no_command_line_and_no_replicated_node():
     deployed = (ROOT / "deploy" / "requirements.lock").read_text()
     assert not re.search(r"^(rich|cappa)==", deployed, re.MULTILINE)
-    look = "import sys, foxwinch.platform.start; print(*sys.modules)"
-    asked = [sys.executable, "-c", look]
-    loaded = subprocess.run(asked, capture_output=True, text=True, check=True).stdout.split()
+    script = "import sys, foxwinch.platform.start; print(*sys.modules)"
+    command = [sys.executable, "-c", script]
+    loaded = subprocess.run(command, capture_output=True, text=True, check=True).stdout.split()
     assert "foxwinch.platform.process" in loaded
     assert not {"cappa", "foxwinch.cli", "foxwinch.settings.cluster", "foxwinch.node"} & set(loaded)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -28,12 +28,12 @@
 
 
 def test_tools_with_side_effects_are_not_repeatable():
-    found = {}
+    repeatable_by_tool = {}
     for name in ("physio", "cledwyn"):
         document = load_cluster_configuration(EXAMPLES / f"{name}.toml")
-        found.update({tool.name: tool.repeatable for tool in document.tools})
-    assert not any(found[n] for n in ("session-log", "confirm-seats", "release-seats"))
-    assert found["timetable"]
+        repeatable_by_tool.update({tool.name: tool.repeatable for tool in document.tools})
+    assert not any(repeatable_by_tool[n] for n in ("session-log", "confirm-seats", "release-seats"))
+    assert repeatable_by_tool["timetable"]
 
 
 @pytest.mark.parametrize("name", ["node-tvm-hall", "node-caerdydd"])
