--- a/src/foxwinch/backends/engine_load.py
+++ b/src/foxwinch/backends/engine_load.py
@@ -1,4 +1,4 @@
-"""Load of an engine as Prometheus text."""
+"""Encoding and decoding of an engine's load report in Prometheus text format."""
 
 from collections.abc import Callable
 
@@ -15,8 +15,8 @@
 MODEL_LOADED = "engine_model_loaded"
 
 
-def write_load(report: LoadReport) -> str:
-    """Return a report as Prometheus text."""
+def encode_load(report: LoadReport) -> str:
+    """Return a load report in Prometheus text format."""
     values = {
         RUNNING: report.running,
         WAITING: report.waiting,
@@ -30,8 +30,8 @@
     return "\n".join(lines) + "\n"
 
 
-def read_load(text: str) -> LoadReport | None:
-    """Return the report, or None when the text is not Prometheus text with the needed metrics."""
+def decode_load(text: str) -> LoadReport | None:
+    """Return the load report, or None if the text is malformed or lacks a required metric."""
     values: dict[str, float] = {}
     models: list[ModelName] = []
     try:
--- a/src/foxwinch/log_sink.py
+++ b/src/foxwinch/log_sink.py
@@ -1,8 +1,8 @@
-"""Log lines to standard output without ever blocking: bounded, and what is dropped is counted.
+"""Non-blocking logging to standard output with a bounded buffer and a count of dropped lines.
 
-Lines wait in memory until the loop finds standard output writable. A reader that does not read
-costs lines, never time. The rate is bounded as well, so that a loaded node spends its processor on
-requests.
+Lines are buffered in memory until standard output accepts them. A slow reader causes lines to be
+dropped but never blocks the node. The rate is limited as well, so that a loaded node spends its CPU
+time on requests.
 """
 
 import asyncio
@@ -19,27 +19,27 @@
 MAX_LINES_WAITING = 2_000
 LINES_PER_SECOND = 300.0
 LINES_BURST = 600.0
-FLUSH_SECONDS = 0.25
-"""Lines are written in batches: each system call costs."""
+FLUSH_INTERVAL_SECONDS = 0.25
+"""Interval between writes; batching reduces the number of system calls."""
 
 
-class BoundedSink(logging.Handler):
-    """Keeps formatted lines and writes them when standard output takes them."""
+class NonBlockingHandler(logging.Handler):
+    """Logging handler that buffers formatted lines and writes them without blocking."""
 
     def __init__(self, descriptor: int, now: float) -> None:
-        """Write to `descriptor`, which is made non-blocking."""
+        """Write to the file descriptor, which becomes non-blocking; `now` is the loop's time."""
         super().__init__()
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self._bucket = TokenBucket.full(LINES_PER_SECOND, LINES_BURST, now)
-        self._flushing = False
+        self._is_flush_scheduled = False
         self.dropped = 0
-        """Lines that were not written."""
+        """Number of lines dropped since the last report."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a line, or count it as dropped; never waits."""
+        """Buffer a line or count it as dropped; never blocks."""
         loop = _running_loop()
         now = loop.time() if loop is not None else 0.0
         urgent = record.levelno >= logging.WARNING
@@ -57,21 +57,21 @@
         self._lines.append((self.format(record) + "\n").encode())
         if loop is None:
             self.flush()
-        elif not self._flushing:
-            self._flushing = True
-            loop.call_later(FLUSH_SECONDS, self._flush_later)
+        elif not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
+            loop.call_later(FLUSH_INTERVAL_SECONDS, self._flush_and_reschedule)
 
-    def _flush_later(self) -> None:
-        self._flushing = False
+    def _flush_and_reschedule(self) -> None:
+        self._is_flush_scheduled = False
         self.flush()
         loop = _running_loop()
-        if (self._lines or self._rest) and loop is not None and not self._flushing:
-            self._flushing = True
-            loop.call_later(FLUSH_SECONDS, self._flush_later)
+        if (self._lines or self._unwritten) and loop is not None and not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
+            loop.call_later(FLUSH_INTERVAL_SECONDS, self._flush_and_reschedule)
 
     def flush(self) -> None:
-        """Write what standard output takes now."""
-        data = self._rest + b"".join(self._lines)
+        """Write as many bytes as the descriptor accepts."""
+        data = self._unwritten + b"".join(self._lines)
         self._lines.clear()
         try:
             written = os.write(self._descriptor, data) if data else 0
@@ -79,7 +79,7 @@
             written = 0
         except OSError:
             written = len(data)
-        self._rest = data[written:]
+        self._unwritten = data[written:]
 
 
 def _running_loop() -> asyncio.AbstractEventLoop | None:
@@ -89,9 +89,9 @@
         return None
 
 
-def log_to_standard_output(level: str) -> BoundedSink:
-    """Send the project's log lines to standard output in logfmt; `level` as `logging` names it."""
-    sink = BoundedSink(sys.stdout.fileno(), 0.0)
+def log_to_standard_output(level: str) -> NonBlockingHandler:
+    """Write foxwinch's log lines to standard output in logfmt, from the given `logging` level."""
+    sink = NonBlockingHandler(sys.stdout.fileno(), 0.0)
     sink.setFormatter(Logfmter(keys=["at", "when"], mapping={"at": "levelname", "when": "created"}))
     root = logging.getLogger()
     root.handlers[:] = [sink]
--- a/src/foxwinch/node/parts/records.py
+++ b/src/foxwinch/node/parts/records.py
@@ -1,4 +1,4 @@
-"""Part: what lies in the shared store: program trees, and epochs of workers."""
+"""Records subsystem: program trees and worker epochs in the shared store."""
 
 from dataclasses import dataclass
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsPart:
-    """Program trees and epochs."""
+    """Views of the records subsystem."""
 
     trees: ProgramTreeStore
     epochs: EpochView
 
 
 def build_records(context: NodeContext) -> RecordsPart:
-    """Build the part; without a store this node serves all and keeps it in memory."""
+    """Build the subsystem; without a store, this node owns everything and keeps it in memory."""
     ports = context.ports
     if ports.records is None:
         return RecordsPart(LocalTreeStore(), LocalEpochs())
--- a/src/foxwinch/operator/client.py
+++ b/src/foxwinch/operator/client.py
@@ -1,4 +1,4 @@
-"""Client of the operators' service, for the command line: refusals are values."""
+"""Client of the operator service for the command line; errors are returned as values."""
 
 import ssl
 from collections.abc import Callable
@@ -20,18 +20,18 @@
 
 
 class OperatorClient:
-    """A connection to one node's operator side; use as an async context manager."""
+    """A connection to one node's operator service; use as an async context manager."""
 
     def __init__(
         self, host: str, port: int, key: str, seconds: float, tls: ssl.SSLContext | None = None
     ) -> None:
-        """Connect on first use; `seconds` is the deadline of each request."""
+        """Connect on first use; `seconds` is the timeout of each request."""
         self._channel = Channel(host, port, ssl=tls)
         self._stub = OperatorStub(self._channel)
         self._metadata = {AUTHORIZATION_KEY: f"{BEARER_PREFIX}{key}"}
-        self._seconds = seconds
+        self._timeout_seconds = seconds
         self._trailing: dict[str, object] = {}
-        listen(self._channel, RecvTrailingMetadata, self._keep_trailing)
+        listen(self._channel, RecvTrailingMetadata, self._store_trailing)
 
     async def __aenter__(self) -> Self:
         """Return the client."""
@@ -47,31 +47,33 @@
         self._channel.close()
 
     async def query(self, method: Method, request: Message) -> Any | Refused:
-        """Ask a question, which has no effect."""
+        """Send a query, which has no side effects."""
         return await self._call(method, request, is_command=False)
 
     async def command(self, method: Method, request: Message) -> Any | Refused:
-        """Give a command; when its answer is lost the refusal's run state is `unknown`."""
+        """Send a command; if its response is lost, the run state of the refusal is `unknown`."""
         return await self._call(method, request, is_command=True)
 
     async def _call(self, method: Method, request: Message, is_command: bool) -> Any | Refused:
         self._trailing = {}
         try:
-            return await method(self._stub)(request, timeout=self._seconds, metadata=self._metadata)
+            return await method(self._stub)(
+                request, timeout=self._timeout_seconds, metadata=self._metadata
+            )
         except GRPCError as error:
             return refusal_of(error, self._trailing, is_command)
         except (ConnectionRefusedError, ssl.SSLError) as error:
-            return not_run(Reason.PEER_UNREACHABLE, f"the node cannot be reached: {error}")
+            return not_run(Reason.PEER_UNREACHABLE, f"cannot connect to the node: {error}")
         except TimeoutError:
-            detail = f"no answer within {self._seconds:g} s"
-            return Refused(Reason.DEADLINE, _lost(is_command), detail)
+            detail = f"no response within {self._timeout_seconds:g} s"
+            return Refused(Reason.DEADLINE, _run_state_without_response(is_command), detail)
         except (OSError, StreamTerminatedError) as error:
             detail = f"the connection was lost: {error}"
-            return Refused(Reason.PEER_UNREACHABLE, _lost(is_command), detail)
+            return Refused(Reason.PEER_UNREACHABLE, _run_state_without_response(is_command), detail)
 
-    async def _keep_trailing(self, event: RecvTrailingMetadata) -> None:
+    async def _store_trailing(self, event: RecvTrailingMetadata) -> None:
         self._trailing = dict(event.metadata)
 
 
-def _lost(is_command: bool) -> RunState:
+def _run_state_without_response(is_command: bool) -> RunState:
     return RunState.UNKNOWN if is_command else RunState.NOT_RUN
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -1,7 +1,8 @@
-"""Sends calls to the platform's workers over HTTP, and reads their answers with suspicion.
+"""HTTP client of the platform's workers.
 
-Every answer names the request that it belongs to. A surplus answer, which a faulty worker may send
-on a kept connection, is passed over by that name, and its connection is not used again.
+Every response carries the id of its request. A faulty worker may send extra responses on a
+persistent connection; they are recognized by their request id and skipped, and the connection is
+not reused.
 """
 
 import asyncio
@@ -35,27 +36,29 @@
     ResponseHead,
 )
 
-KEPT_SECONDS = 3.0
-"""An idle connection is used again within it; workers close theirs later than that."""
+KEEPALIVE_SECONDS = 3.0
+"""Keep-alive time of idle connections; workers close idle connections later than that."""
 STATUS_WRONG_WORKER = 421
 STATUS_UNAVAILABLE = 503
-NEVER_SENT = frozenset({"host", "accept-encoding", "user-agent", "accept", "content-type"})
-"""Headers that the HTTP library would add by itself."""
-BROKEN = (aiohttp.ClientError, OSError, ValueError, asyncio.IncompleteReadError)
+SKIPPED_AUTO_HEADERS = frozenset(
+    {"host", "accept-encoding", "user-agent", "accept", "content-type"}
+)
+"""Headers that the HTTP library would otherwise add by itself."""
+CONNECTION_ERRORS = (aiohttp.ClientError, OSError, ValueError, asyncio.IncompleteReadError)
 
 
 class _MatchedResponse(aiohttp.ClientResponse):
-    """Passes over answers to other requests that stand before this one's on the connection."""
+    """Skips responses to other requests that precede this one's on the connection."""
 
     async def start(self, connection: "aiohttp.connector.Connection") -> "_MatchedResponse":
-        """Read the head of this request's own answer."""
-        expected = self.request_info.headers.get(REQUEST_ID)
+        """Read the head of the response to this request."""
+        expected_id = self.request_info.headers.get(REQUEST_ID)
         protocol = connection.protocol
         assert protocol is not None
         while True:
             message, payload = await protocol.read()
-            if _belongs(message.code, message.headers, expected):
-                _put_back(protocol, message, payload)
+            if _matches_request(message.code, message.headers, expected_id):
+                _requeue(protocol, message, payload)
                 break
             protocol.force_close()
             await payload.read()
@@ -63,29 +66,28 @@
         return self
 
 
-def _put_back(
-    protocol: ResponseHandler, message: RawResponseMessage, payload: StreamReader
-) -> None:
-    """Let the next read return this answer, ahead of surplus ones that stand behind it."""
-    behind: list[tuple[RawResponseMessage, StreamReader]] = []
+def _requeue(protocol: ResponseHandler, message: RawResponseMessage, payload: StreamReader) -> None:
+    """Push a response back to the front of the queue, before extra responses behind it."""
+    following: list[tuple[RawResponseMessage, StreamReader]] = []
     while len(protocol):
-        behind.append(protocol._buffer.popleft()[0])
-    for entry in ((message, payload), *behind):
+        following.append(protocol._buffer.popleft()[0])
+    for entry in ((message, payload), *following):
         protocol.feed_data(entry, 0)
 
 
-def _belongs(status: int, headers: "CIMultiDictProxy[str]", expected: str | None) -> bool:
-    given = headers.get(REQUEST_ID)
-    if given is None:
+def _matches_request(
+    status: int, headers: "CIMultiDictProxy[str]", expected_id: str | None
+) -> bool:
+    response_id = headers.get(REQUEST_ID)
+    if response_id is None:
         return NOT_RUN in headers or status == STATUS_WRONG_WORKER or status // 100 == 1
-    return given == expected
+    return response_id == expected_id
 
 
-class HttpResponse:
-    """An answer whose head has arrived; implements `foxwinch.serving.messages.WorkerResponse`."""
+class HttpWorkerResponse:
+    """A response whose head has arrived; implements `foxwinch.serving.messages.WorkerResponse`."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
-        """Read on from `response`."""
         self._response = response
         self._protocol = response.connection.protocol if response.connection else None
         headers = tuple(
@@ -95,37 +97,37 @@
         )
         signed = SIGNATURE in response.headers and "Content-Encoding" not in response.headers
         self.head = ResponseHead(response.status, headers, signed)
-        self._framed = (
+        self._is_framed = (
             "Content-Length" in response.headers or "Transfer-Encoding" in response.headers
         )
 
     async def read_whole(self) -> bytes | CallInterrupted:
-        """Read the body."""
+        """Read the whole body."""
         try:
             body = await self._response.content.read()
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
-        return self._reset() or body
+        return self._check_reset() or body
 
     async def pieces(self) -> AsyncIterator[bytes | CallInterrupted]:
-        """Yield the body as it comes."""
+        """Yield the body as it arrives."""
         try:
-            async for piece in self._response.content.iter_any():
-                yield piece
-        except BROKEN as error:
+            async for chunk in self._response.content.iter_any():
+                yield chunk
+        except CONNECTION_ERRORS as error:
             yield CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
             return
-        reset = self._reset()
+        reset = self._check_reset()
         if reset is not None:
             yield reset
 
     def close(self) -> None:
-        """Drop what was not read; a connection that is not at its end is closed."""
+        """Discard the rest of the body; an incompletely read connection is closed."""
         self._response.close()
 
-    def _reset(self) -> CallInterrupted | None:
-        """An answer without a length ends with its connection: a reset one is not whole."""
-        if self._framed or self._protocol is None:
+    def _check_reset(self) -> CallInterrupted | None:
+        """Return an error if a response without a length ended with a connection reset."""
+        if self._is_framed or self._protocol is None:
             return None
         error = self._protocol.exception()
         if error is None or isinstance(error, aiohttp.ServerDisconnectedError):
@@ -133,18 +135,18 @@
         return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
 
 
-class HttpWorkers:
-    """Calls workers; implements `foxwinch.serving.ports.Workers`."""
+class HttpWorkerClient:
+    """Sends calls to workers; implements `foxwinch.serving.ports.Workers`."""
 
     def __init__(self) -> None:
-        """Open a pool of connections; call on the running loop."""
+        """Open a connection pool; must be called in a running event loop."""
         self._session = open_session(
-            KEPT_SECONDS,
+            KEEPALIVE_SECONDS,
             response_class=_MatchedResponse,
             auto_decompress=False,
-            skip_auto_headers=NEVER_SENT,
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
         )
-        # A request is repeated by the product's rules only, never by the library.
+        # Only foxwinch decides on retries, never the HTTP library.
         self._session._retry_connection = False
 
     async def close(self) -> None:
@@ -153,8 +155,8 @@
 
     async def call(
         self, worker: Worker, call: OutgoingCall
-    ) -> HttpResponse | CallRefused | CallInterrupted:
-        """Send a call and wait for the head of its answer."""
+    ) -> HttpWorkerResponse | CallRefused | CallInterrupted:
+        """Send a call and wait for the head of its response."""
         request = call.request
         url = URL(f"http://{worker.address}{request.target}", encoded=True)
         try:
@@ -167,13 +169,13 @@
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return CallRefused(CallFailure.UNREACHABLE, type(error).__name__)
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
-        refused = _not_run(response)
+        refused = _refusal(response)
         if refused is not None:
             response.release()
             return refused
-        return HttpResponse(response)
+        return HttpWorkerResponse(response)
 
 
 def _headers(worker: Worker, call: OutgoingCall) -> CIMultiDict[str]:
@@ -189,9 +191,9 @@
     return headers
 
 
-def _not_run(response: aiohttp.ClientResponse) -> CallRefused | None:
+def _refusal(response: aiohttp.ClientResponse) -> CallRefused | None:
     if response.status == STATUS_WRONG_WORKER:
-        return CallRefused(CallFailure.WRONG_WORKER, "another worker has the address")
+        return CallRefused(CallFailure.WRONG_WORKER, "the address belongs to another worker")
     if NOT_RUN not in response.headers:
         return None
     retry_after = response.headers.get(RETRY_AFTER)
