--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,7 +1,7 @@
-"""A family's journey plan through a node with stand-ins, from the first question to the seats.
+"""Plan a family's train journey through a node with emulated services.
 
-Runs `foxwinch dev` with `cledwyn.toml`, and uses nothing but its two sides: HTTP as any caller
-would, and the operators' command line for the table of decisions at the end.
+Runs `foxwinch dev` with `cledwyn.toml`. The demo uses the public HTTP API for the program, and the
+operators' command line for the table of scheduling decisions at the end.
 """
 
 import json
@@ -31,10 +31,10 @@
 
 
 class Demo:
-    """One running node and the program that goes through it."""
+    """A running node, with methods that call its public API and its operator API."""
 
     def __init__(self) -> None:
-        """Start the node and wait for its addresses."""
+        """Start the node and read its addresses and keys."""
         self.process = subprocess.Popen(
             [sys.executable, "-m", "foxwinch", "dev", "--configuration", str(CONFIGURATION)],
             stdout=subprocess.PIPE,
@@ -46,17 +46,17 @@
         while not self.node.keys() >= ADDRESSES:
             line = self.process.stdout.readline()
             if not line:
-                raise SystemExit(f"the node ended with code {self.process.wait()}")
+                raise SystemExit(f"the node exited with code {self.process.wait()}")
             name, _, value = line.strip().partition("=")
             self.node[name] = value
 
     def stop(self) -> int:
-        """Drain the node; returns its exit code."""
+        """Drain the node and return its exit code."""
         self.process.terminate()
         return self.process.wait(TIMEOUT_SECONDS)
 
     def post(self, path: str, body: dict[str, Any], key: str = "") -> Any:
-        """Send a request to the caller side; returns the open response."""
+        """Send a request to the public API and return the open response."""
         headers = {
             "Authorization": f"Bearer {self.node['caller_key']}",
             "Content-Type": "application/json",
@@ -68,14 +68,14 @@
         )
         return urllib.request.urlopen(request, timeout=TIMEOUT_SECONDS)
 
-    def read(self, path: str, body: dict[str, Any], key: str = "") -> dict[str, Any]:
-        """Send a request and read its whole answer."""
+    def send(self, path: str, body: dict[str, Any], key: str = "") -> dict[str, Any]:
+        """Send a request and return the JSON document of its response."""
         with self.post(path, body, key) as response:
             document: dict[str, Any] = json.load(response)
         return document
 
-    def say(self, program: str, text: str, tokens: int = 24) -> None:
-        """Add a turn to a program and print the answer as it streams."""
+    def send_turn(self, program: str, text: str, tokens: int = 24) -> None:
+        """Add a turn to a program and print the model output as it is streamed."""
         print(f"\n> {text}")
         body = {
             "model": MODEL,
@@ -91,76 +91,80 @@
                         print(choice["delta"].get("content") or "", end="", flush=True)
         print()
 
-    def tool(self, program: str, name: str, arguments: dict[str, Any], key: str = "") -> str:
-        """Call a tool and print its answer."""
+    def call_tool(self, program: str, name: str, arguments: dict[str, Any], key: str = "") -> str:
+        """Call a tool, print its result and return it."""
         body = {"tool": name, "arguments": arguments}
-        answer = self.read(f"/v1/programs/{program}/tools", body, key)
-        content = str(answer["message"]["content"])
+        response = self.send(f"/v1/programs/{program}/tools", body, key)
+        content = str(response["message"]["content"])
         print(f"\n[{name}] {content}")
         return content
 
-    def operator(self, *arguments: str) -> dict[str, Any]:
-        """Run an operators' query."""
+    def query_operator(self, *arguments: str) -> dict[str, Any]:
+        """Run an operators' query and return its JSON document."""
         environment = {
             **os.environ,
             "FOXWINCH_OPERATOR_ADDRESS": self.node["operator_address"],
             "FOXWINCH_OPERATOR_KEY": self.node["operator_key"],
         }
-        answer = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "foxwinch", *arguments, "--json"],
             env=environment,
             stdout=subprocess.PIPE,
             check=True,
             timeout=TIMEOUT_SECONDS,
         )
-        document: dict[str, Any] = json.loads(answer.stdout)
+        document: dict[str, Any] = json.loads(completed.stdout)
         return document
 
 
 def main() -> int:
-    """Run the journey plan; returns the exit code."""
+    """Run the demo and return the exit code of the node."""
     demo = Demo()
     try:
         programs = plan_journey(demo)
         print_decisions(demo, programs)
     finally:
-        code = demo.stop()
-    return code
+        exit_code = demo.stop()
+    return exit_code
 
 
 def plan_journey(demo: Demo) -> list[str]:
-    """Go through the family's plan; returns its program and the sub-agent's."""
+    """Run the journey plan and return the names of its program and of its sub-agent's program."""
     new = {"template": "journey-planner", "name": "family-journey"}
-    plan = demo.read("/v1/programs", new)["id"]
-    demo.say(plan, "Two adults and two children from Carmarthen to Wrecsam on Friday, please.")
-    demo.tool(plan, "timetable", {"from": "Carmarthen", "to": "Wrecsam", "day": "Friday"})
-    demo.say(plan, "The ten o'clock is good. The children should sit by a window.")
-
-    print("\nA sub-agent looks into the change of trains.")
-    child = demo.read(f"/v1/programs/{plan}/spawn", {"template": "itinerary"}, key="change")["id"]
-    demo.say(child, "Is the change at Newport step-free?")
-    demo.read(f"/v1/programs/{child}/finish", {})
-
-    held = demo.tool(plan, "hold-seats", SEATS, key="hold")
-    demo.say(plan, f"Seats are {held}. Please sum the journey up.")
-    confirmed = demo.tool(plan, "confirm-seats", SEATS, key="confirm")
-    print("The answer seems lost: the same confirmation is sent again under its key.")
-    repeated = demo.tool(plan, "confirm-seats", SEATS, key="confirm")
+    plan = demo.send("/v1/programs", new)["id"]
+    demo.send_turn(
+        plan, "Two adults and two children from Carmarthen to Wrecsam on Friday, please."
+    )
+    demo.call_tool(plan, "timetable", {"from": "Carmarthen", "to": "Wrecsam", "day": "Friday"})
+    demo.send_turn(plan, "The ten o'clock is good. The children should sit by a window.")
+
+    print("\nA sub-agent checks the change of trains.")
+    child = demo.send(f"/v1/programs/{plan}/spawn", {"template": "itinerary"}, key="change")["id"]
+    demo.send_turn(child, "Is the change at Newport step-free?")
+    demo.send(f"/v1/programs/{child}/finish", {})
+
+    held = demo.call_tool(plan, "hold-seats", SEATS, key="hold")
+    demo.send_turn(plan, f"Seats are {held}. Please sum the journey up.")
+    confirmed = demo.call_tool(plan, "confirm-seats", SEATS, key="confirm")
+    print("Simulating a lost response: the confirmation is retried with its idempotency key.")
+    repeated = demo.call_tool(plan, "confirm-seats", SEATS, key="confirm")
     if repeated != confirmed:
-        raise SystemExit("the repeated confirmation got another answer")
-    demo.say(plan, "Thank you, that is all.")
-    demo.read(f"/v1/programs/{plan}/finish", {})
+        raise SystemExit("the retried confirmation returned a different result")
+    demo.send_turn(plan, "Thank you, that is all.")
+    demo.send(f"/v1/programs/{plan}/finish", {})
     return [plan, child]
 
 
 def print_decisions(demo: Demo, programs: list[str]) -> None:
-    """Print what was decided for each call."""
-    listed = demo.operator("programs", "list")["programs"]
-    identities = {entry["program_id"].split("/", 1)[-1]: entry["program_id"] for entry in listed}
+    """Print a table of the scheduling decision for each call."""
+    summaries = demo.query_operator("programs", "list")["programs"]
+    program_ids = {
+        entry["program_id"].split("/", 1)[-1]: entry["program_id"] for entry in summaries
+    }
     rows: list[tuple[str, ...]] = [HEADINGS]
     for name in programs:
-        detail = demo.operator("programs", "show", identities[name])["program"]
-        rows += [row_of(name, call) for call in detail["calls"]]
+        detail = demo.query_operator("programs", "show", program_ids[name])["program"]
+        rows += [decision_row(name, call) for call in detail["calls"]]
     widths = [max(len(row[column]) for row in rows) for column in range(len(HEADINGS))]
     print("\nWhat was decided:")
     for row in rows:
@@ -168,8 +172,8 @@
         print("  ".join(cells).rstrip())
 
 
-def row_of(name: str, call: dict[str, Any]) -> tuple[str, ...]:
-    """Return the table's row of one call."""
+def decision_row(name: str, call: dict[str, Any]) -> tuple[str, ...]:
+    """Return the table row of one call."""
     return (
         name,
         call["kind"],
--- a/src/foxwinch/cli/__init__.py
+++ b/src/foxwinch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one file for each command."""
+"""Command-line interface, one module per command."""
--- a/src/foxwinch/cli/bench.py
+++ b/src/foxwinch/cli/bench.py
@@ -1,4 +1,4 @@
-"""`foxwinch bench`: measurements and experiments, never part of a deployed node."""
+"""The `foxwinch bench` commands, which are not part of a deployed node."""
 
 from dataclasses import dataclass
 
@@ -11,10 +11,10 @@
 from foxwinch.cli.bench_schedule import BenchScheduleCommand
 
 
-@cappa.command(name="bench", help="Measurements, and experiments on models.")
+@cappa.command(name="bench", help="Run benchmarks and simulation experiments.")
 @dataclass
 class BenchCommand:
-    """Measurements, and experiments on models."""
+    """Group of the benchmark commands."""
 
     command: cappa.Subcommands[
         FailoverCommand | BenchScheduleCommand | PeerCommand | DetectionCommand | OverheadCommand
--- a/src/foxwinch/cli/bench_detection.py
+++ b/src/foxwinch/cli/bench_detection.py
@@ -1,4 +1,4 @@
-"""`foxwinch bench detection`."""
+"""The `foxwinch bench detection` command."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -12,20 +12,22 @@
 
 @cappa.command(
     name="detection",
-    help="Measure failure detection under loss and pauses, on virtual time.",
+    help="Measure failure detection under packet loss and pauses, in virtual time.",
     description=examples("foxwinch bench detection --nodes 71 --json detection.json"),
 )
 @dataclass(kw_only=True)
 class DetectionCommand:
-    """Measure failure detection under loss and pauses, on virtual time."""
+    """Measure failure detection under packet loss and pauses, in virtual time."""
 
-    json: Annotated[Path, cappa.Arg(long="--json", help="File for the figures")]
-    nodes: Annotated[int, cappa.Arg(long="--nodes", help="Nodes of the region")] = 71
-    seconds: Annotated[float, cappa.Arg(long="--seconds", help="Virtual time of each case")] = 300.0
-    seed: Annotated[int, cappa.Arg(long="--seed", help="Seed of every random choice")] = 1
+    json: Annotated[Path, cappa.Arg(long="--json", help="Output file for the results")]
+    nodes: Annotated[int, cappa.Arg(long="--nodes", help="Number of nodes in the region")] = 71
+    seconds: Annotated[float, cappa.Arg(long="--seconds", help="Virtual duration of each case")] = (
+        300.0
+    )
+    seed: Annotated[int, cappa.Arg(long="--seed", help="Seed of the random generators")] = 1
 
     def __call__(self) -> None:
-        """Run every case; prints a line for each."""
+        """Run all cases, then write and print the report."""
         from foxwinch.bench.fleet.detection import run_detection
 
         report = run_detection(self.nodes, self.seconds, self.seed)
--- a/src/foxwinch/cli/bench_failover.py
+++ b/src/foxwinch/cli/bench_failover.py
@@ -1,4 +1,4 @@
-"""`foxwinch bench failover`."""
+"""The `foxwinch bench failover` command."""
 
 import json as json_format
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @cappa.command(
     name="failover",
-    help="Run programs on real nodes, inject faults, and count what was lost, doubled or cut.",
+    help="Inject faults into real nodes; count lost, duplicated and interrupted calls.",
     description=examples(
         "foxwinch bench failover --deployment cledwyn --json failover.json",
         "foxwinch bench failover --deployment physio --scenario killed_owners --json one.json",
@@ -28,32 +28,35 @@
 )
 @dataclass(kw_only=True)
 class FailoverCommand:
-    """Inject faults into real nodes under load."""
+    """Inject faults into real nodes that run programs."""
 
-    json: Annotated[Path, cappa.Arg(long="--json", help="File for the figures")]
+    json: Annotated[Path, cappa.Arg(long="--json", help="Output file for the results")]
     deployment: Annotated[
-        Literal["physio", "cledwyn"], cappa.Arg(long="--deployment", help="Example to run")
+        Literal["physio", "cledwyn"],
+        cappa.Arg(long="--deployment", help="Example deployment to run"),
     ] = "cledwyn"
     scenario: Annotated[
         list[str],
-        cappa.Arg(long="--scenario", help="Only this one; may be given again"),
+        cappa.Arg(long="--scenario", help="Run only this scenario; repeatable"),
     ] = None  # type: ignore[assignment]
-    callers: Annotated[int, cappa.Arg(long="--callers", help="Programs at a time")] = 24
-    seed: Annotated[int, cappa.Arg(long="--seed", help="Seed of the callers' choices")] = 1
-    logs: Annotated[
-        Path | None, cappa.Arg(long="--logs", help="Directory in which the logs are kept")
-    ] = None
+    callers: Annotated[int, cappa.Arg(long="--callers", help="Number of concurrent programs")] = 24
+    seed: Annotated[int, cappa.Arg(long="--seed", help="Seed of the callers' random choices")] = 1
+    logs: Annotated[Path | None, cappa.Arg(long="--logs", help="Directory for the node logs")] = (
+        None
+    )
 
     def __call__(self) -> None:
-        """Run the bench; prints a line for each scenario."""
+        """Run the scenarios, printing a line for each, and write the report."""
         document = load_cluster_configuration(EXAMPLES / f"{self.deployment}.toml")
         if isinstance(document, SettingsError):
             fail_settings(document)
         names = self.scenario or [scenario.name for scenario in SCENARIOS]
-        unknown = set(names) - {scenario.name for scenario in SCENARIOS}
-        if unknown:
+        unknown_names = set(names) - {scenario.name for scenario in SCENARIOS}
+        if unknown_names:
             allowed = ", ".join(scenario.name for scenario in SCENARIOS)
-            fail(ExitCode.INVALID, f"scenario {', '.join(unknown)}: allowed: {allowed}")
+            fail(
+                ExitCode.INVALID, f"unknown scenario {', '.join(unknown_names)}; allowed: {allowed}"
+            )
         chosen = [scenario for scenario in SCENARIOS if scenario.name in names]
         options = FailoverOptions(document, chosen, self.callers, self.seed, self.logs)
         report = run_failover(options, print)
--- a/src/foxwinch/cli/bench_overhead.py
+++ b/src/foxwinch/cli/bench_overhead.py
@@ -1,4 +1,4 @@
-"""`foxwinch bench overhead`."""
+"""The `foxwinch bench overhead` command."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -12,20 +12,20 @@
 
 @cappa.command(
     name="overhead",
-    help="Compare a node with a bare pass-through to the same engine.",
+    help="Compare a node with a minimal pass-through proxy to the same engine.",
     description=examples("foxwinch bench overhead --json overhead.json"),
 )
 @dataclass(kw_only=True)
 class OverheadCommand:
-    """Compare a node with a bare pass-through to the same engine."""
+    """Compare a node with a minimal pass-through proxy to the same engine."""
 
-    json: Annotated[Path, cappa.Arg(long="--json", help="File for the figures")]
+    json: Annotated[Path, cappa.Arg(long="--json", help="Output file for the results")]
     rounds: Annotated[
-        int, cappa.Arg(long="--rounds", help="Rounds of each case; their order alternates")
+        int, cappa.Arg(long="--rounds", help="Rounds per case, in alternating order")
     ] = 5
 
     def __call__(self) -> None:
-        """Run the bench; prints a line for each case."""
+        """Run the benchmark, printing a line for each case, and write the report."""
         report = run_overhead(self.rounds, print)
         self.json.write_text(report.to_json(), encoding="utf-8")
         print(
--- a/src/foxwinch/cli/bench_peer.py
+++ b/src/foxwinch/cli/bench_peer.py
@@ -1,4 +1,4 @@
-"""`foxwinch bench peer`."""
+"""The `foxwinch bench peer` command."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -12,19 +12,19 @@
 
 @cappa.command(
     name="peer",
-    help="Measure requests between two nodes on loopback.",
+    help="Measure peer requests between two nodes on loopback.",
     description=examples("foxwinch bench peer --json peer.json"),
 )
 @dataclass(kw_only=True)
 class PeerCommand:
-    """Measure requests between two nodes on loopback."""
+    """Measure peer requests between two nodes on loopback."""
 
-    json: Annotated[Path, cappa.Arg(long="--json", help="File for the figures")]
-    calls: Annotated[int, cappa.Arg(long="--calls", help="Calls in each round")] = 32_000
-    rounds: Annotated[int, cappa.Arg(long="--rounds", help="Rounds")] = 3
+    json: Annotated[Path, cappa.Arg(long="--json", help="Output file for the results")]
+    calls: Annotated[int, cappa.Arg(long="--calls", help="Calls per round")] = 32_000
+    rounds: Annotated[int, cappa.Arg(long="--rounds", help="Number of rounds")] = 3
 
     def __call__(self) -> None:
-        """Run the bench; prints the report."""
+        """Run the benchmark, then write and print its report."""
         from foxwinch.bench.peer_echo import run_echo
 
         report = run_echo(self.calls, self.rounds)
--- a/src/foxwinch/cli/bench_schedule.py
+++ b/src/foxwinch/cli/bench_schedule.py
@@ -1,4 +1,4 @@
-"""`foxwinch bench schedule`."""
+"""The `foxwinch bench schedule` command."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -7,38 +7,43 @@
 import cappa
 
 
-@cappa.command(name="schedule", help="Compare scheduling policies on the same arrivals.")
+@cappa.command(
+    name="schedule", help="Compare scheduling policies on the same arrivals in virtual time."
+)
 @dataclass
 class BenchScheduleCommand:
-    """Compare scheduling policies on the same arrivals, on virtual time."""
+    """Compare scheduling policies on the same arrivals in virtual time."""
 
     deployment: Annotated[
         Literal["physio", "cledwyn"], cappa.Arg(long="--deployment", help="Workload to run")
     ]
-    load: Annotated[str, cappa.Arg(long="--load", help="Loads, separated by commas")] = (
+    load: Annotated[str, cappa.Arg(long="--load", help="Comma-separated list of loads")] = (
         "0.5,0.7,0.85,0.95"
     )
-    seeds: Annotated[int, cappa.Arg(long="--seeds", help="Seeds 1 to N")] = 3
+    seeds: Annotated[int, cappa.Arg(long="--seeds", help="Number of seeds; runs seeds 1 to N")] = 3
     measured: Annotated[
-        float, cappa.Arg(long="--measured", help="Seconds of arrivals measured; 500 when not given")
+        float, cappa.Arg(long="--measured", help="Measured seconds of arrivals; default: 500")
     ] = 500.0
-    json: Annotated[Path | None, cappa.Arg(long="--json", help="File for the figures")] = None
-    report: Annotated[Path | None, cappa.Arg(long="--report", help="Directory for the report")] = (
+    json: Annotated[Path | None, cappa.Arg(long="--json", help="Output file for the results")] = (
         None
     )
+    report: Annotated[
+        Path | None, cappa.Arg(long="--report", help="Output directory for the report")
+    ] = None
     policies: Annotated[
-        str, cappa.Arg(long="--policies", help="Policies, separated by commas; all when empty")
+        str, cappa.Arg(long="--policies", help="Comma-separated list of policies; default: all")
     ] = ""
     ablation: Annotated[
-        bool, cappa.Arg(long="--ablation", help="Run foxwinch without each feature, too")
+        bool,
+        cappa.Arg(long="--ablation", help="Also run foxwinch with each feature disabled in turn"),
     ] = False
     decisions: Annotated[
-        bool, cappa.Arg(long="--decisions", help="Measure the time that a decision takes, too")
+        bool, cappa.Arg(long="--decisions", help="Also measure the time per scheduling decision")
     ] = False
 
     def __call__(self) -> None:
-        """Run the experiment, write what was asked for and print the table."""
-        # The bench's plotting and statistics are loaded by this command only.
+        """Run the experiment, write the requested files and print the table."""
+        # Imported here so that other commands do not load the plotting and statistics packages.
         from foxwinch.bench.schedule.command import Experiment, run_experiment
 
         run_experiment(
--- a/src/foxwinch/cli/config.py
+++ b/src/foxwinch/cli/config.py
@@ -1,4 +1,4 @@
-"""`foxwinch config get|check|diff|apply|status`."""
+"""The `foxwinch config get|check|diff|apply|status` commands."""
 
 import uuid
 from dataclasses import dataclass
@@ -20,26 +20,27 @@
 
 STATUS_HEADINGS = ("node", "zone", "state", "held", "heard", "serving")
 APPLY_ATTEMPTS = 3
-"""A change whose answer was lost is sent again under its token, which applies it once."""
+"""Number of times a change with a lost response is sent; its token makes retries idempotent."""
 
 
 @cappa.command(
     name="get",
-    help="Print the configuration in force and its revision.",
+    help="Print the active configuration and its revision.",
     description=examples("foxwinch config get", "foxwinch config get --json"),
 )
 @dataclass(kw_only=True)
 class ConfigGetCommand:
-    """Print the configuration in force."""
+    """Print the active configuration."""
 
     connection: cappa.Destructured[Connection]
     json: Annotated[
-        bool, cappa.Arg(long="--json", help="Print the revision too, the document as a string")
+        bool,
+        cappa.Arg(long="--json", help="Print JSON with the revision and the document as a string"),
     ] = False
 
     def __call__(self) -> None:
-        """Ask and print."""
-        response: pb.GetConfigurationResponse = self.connection.ask(
+        """Query the node and print the configuration."""
+        response: pb.GetConfigurationResponse = self.connection.execute(
             lambda client: client.query(
                 lambda stub: stub.GetConfiguration, pb.GetConfigurationRequest()
             )
@@ -54,18 +55,18 @@
 
 @cappa.command(
     name="check",
-    help="Check a configuration file without changing anything; needs no node.",
+    help="Validate a configuration file without connecting to a node.",
     description=examples("foxwinch config check examples/physio.toml"),
 )
 @dataclass(kw_only=True)
 class ConfigCheckCommand:
-    """Check a configuration file."""
+    """Validate a configuration file."""
 
     file: Annotated[Path, cappa.Arg(help="Cluster configuration (TOML)")]
     json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON")] = False
 
     def __call__(self) -> None:
-        """Check and print."""
+        """Validate the file and print the problems found."""
         document = load_cluster_configuration(self.file)
         problems = document.problems if isinstance(document, SettingsError) else ()
         if self.json:
@@ -78,21 +79,21 @@
 
 @cappa.command(
     name="diff",
-    help="Compare a file with the configuration in force; exit code 9 when they differ.",
+    help="Compare a file with the active configuration; exit code 9 when they differ.",
     description=examples("foxwinch config diff physio.toml", "foxwinch config diff f.toml --json"),
 )
 @dataclass(kw_only=True)
 class ConfigDiffCommand:
-    """Compare a file with the configuration in force."""
+    """Compare a file with the active configuration."""
 
     file: Annotated[Path, cappa.Arg(help="Cluster configuration (TOML)")]
     connection: cappa.Destructured[Connection]
     json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON")] = False
 
     def __call__(self) -> None:
-        """Ask and print."""
-        request = pb.DiffConfigurationRequest(document_json=_read(self.file))
-        response: pb.DiffConfigurationResponse = self.connection.ask(
+        """Query the node and print the differences."""
+        request = pb.DiffConfigurationRequest(document_json=_load_as_json(self.file))
+        response: pb.DiffConfigurationResponse = self.connection.execute(
             lambda client: client.query(lambda stub: stub.DiffConfiguration, request)
         )
         if self.json:
@@ -108,33 +109,33 @@
 
 @cappa.command(
     name="apply",
-    help="Put a file in force if the revision it was made from is still the newest.",
+    help="Activate a configuration file if its base revision is still the newest.",
     description=examples("foxwinch config apply physio.toml --expected-revision 7"),
 )
 @dataclass(kw_only=True)
 class ConfigApplyCommand:
-    """Put a file in force."""
+    """Activate a configuration file."""
 
     file: Annotated[Path, cappa.Arg(help="Cluster configuration (TOML)")]
     expected_revision: Annotated[
         int,
-        cappa.Arg(long="--expected-revision", help="Revision the change was made from; 0: none"),
+        cappa.Arg(long="--expected-revision", help="Base revision of the change; 0: none"),
     ]
     connection: cappa.Destructured[Connection]
     token: Annotated[
-        str, cappa.Arg(long="--token", help="Token of an earlier try whose outcome is unknown")
+        str, cappa.Arg(long="--token", help="Token of an earlier attempt with an unknown outcome")
     ] = ""
     json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON")] = False
 
     def __call__(self) -> None:
-        """Give the command."""
+        """Send the change and print the accepted revision."""
         request = pb.ApplyConfigurationRequest(
             expected_revision=self.expected_revision,
-            document_json=_read(self.file),
+            document_json=_load_as_json(self.file),
             token=self.token or uuid.uuid4().hex,
             repeated=bool(self.token),
         )
-        response: pb.ApplyConfigurationResponse = self.connection.ask(
+        response: pb.ApplyConfigurationResponse = self.connection.execute(
             lambda client: _apply(client, request)
         )
         if self.json:
@@ -145,19 +146,19 @@
 
 @cappa.command(
     name="status",
-    help="Show the revision at each node; exit code 9 when a node is behind or silent.",
+    help="Show the revision of each node; exit code 9 if one is outdated or unresponsive.",
     description=examples("foxwinch config status", "foxwinch config status --json"),
 )
 @dataclass(kw_only=True)
 class ConfigStatusCommand:
-    """Show the revision at each node."""
+    """Show the revision of each node."""
 
     connection: cappa.Destructured[Connection]
     json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON")] = False
 
     def __call__(self) -> None:
-        """Ask and print."""
-        response: pb.GetConfigurationStatusResponse = self.connection.ask(
+        """Query the node and print one row per node."""
+        response: pb.GetConfigurationStatusResponse = self.connection.execute(
             lambda client: client.query(
                 lambda stub: stub.GetConfigurationStatus, pb.GetConfigurationStatusRequest()
             )
@@ -170,10 +171,10 @@
             raise cappa.Exit(code=ExitCode.DIFFERENT)
 
 
-@cappa.command(name="config", help="The cluster configuration.")
+@cappa.command(name="config", help="Inspect and change the cluster configuration.")
 @dataclass
 class ConfigCommand:
-    """The cluster configuration."""
+    """Group of the cluster configuration commands."""
 
     command: cappa.Subcommands[
         ConfigGetCommand
@@ -185,25 +186,25 @@
 
 
 async def _apply(client: OperatorClient, request: pb.ApplyConfigurationRequest) -> Any | Refused:
-    """Send a change until its outcome is known; the token makes that harmless."""
+    """Send a change, retrying with the same token while its outcome is unknown."""
     outcome: Any = None
     for _ in range(APPLY_ATTEMPTS):
         outcome = await client.command(lambda stub: stub.ApplyConfiguration, request)
         if not isinstance(outcome, Refused) or outcome.run_state is not RunState.UNKNOWN:
             return outcome
         request.repeated = True
-    detail = f"{outcome.detail}; apply again with --token {request.token}"
+    detail = f"{outcome.detail}; retry with --token {request.token}"
     return outcome_unknown(outcome.reason, detail)
 
 
 def _status_row(node: pb.NodeRevision) -> tuple[object, ...]:
     if not node.answered:
-        return (node.node, node.zone, node.state, "no answer", "", "")
+        return (node.node, node.zone, node.state, "no response", "", "")
     serving = "yes" if node.serving else "no"
     return (node.node, node.zone, node.state, node.held_revision, node.heard_revision, serving)
 
 
-def _read(path: Path) -> str:
+def _load_as_json(path: Path) -> str:
     document = load_cluster_configuration(path)
     if isinstance(document, SettingsError):
         fail_settings(document)
--- a/src/foxwinch/cli/connection.py
+++ b/src/foxwinch/cli/connection.py
@@ -1,4 +1,4 @@
-"""The connection options that every operators' command shares."""
+"""Connection options shared by all commands that use the operator API."""
 
 import ipaddress
 import os
@@ -17,21 +17,21 @@
 from foxwinch.outcomes import Refused
 
 KEY_VARIABLE = "FOXWINCH_OPERATOR_KEY"
-"""A key in the arguments would show in the list of processes."""
+"""The key is no command-line option, because the process list would expose it."""
 CONNECTION = cappa.Group(name="Connection", order=5)
-Ask = Callable[[OperatorClient], Awaitable[Any]]
+Operation = Callable[[OperatorClient], Awaitable[Any]]
 
 
 @dataclass(kw_only=True)
 class Connection:
-    """Which node to ask, and as whom."""
+    """Address of the node to connect to, and the operator's credentials."""
 
     address: Annotated[
         str,
         cappa.Arg(
             long="--address",
             default=cappa.Env("FOXWINCH_OPERATOR_ADDRESS", default=""),
-            help="Operator address of any node, ip:port [env: FOXWINCH_OPERATOR_ADDRESS]",
+            help="Operator API address of any node, ip:port [env: FOXWINCH_OPERATOR_ADDRESS]",
             group=CONNECTION,
         ),
     ] = ""
@@ -39,7 +39,7 @@
         Path | None,
         cappa.Arg(
             long="--key-file",
-            help="File with the operator key; else FOXWINCH_OPERATOR_KEY",
+            help="File with the operator key; default: FOXWINCH_OPERATOR_KEY",
             group=CONNECTION,
         ),
     ] = None
@@ -47,24 +47,24 @@
         Path | None,
         cappa.Arg(
             long="--authority-file",
-            help="Authority (PEM) of the node's certificate; turns TLS on",
+            help="CA certificate (PEM) that signed the node's certificate; enables TLS",
             group=CONNECTION,
         ),
     ] = None
     timeout_seconds: Annotated[
         float,
-        cappa.Arg(long="--timeout-seconds", help="Deadline of each request", group=CONNECTION),
+        cappa.Arg(long="--timeout-seconds", help="Timeout of each request", group=CONNECTION),
     ] = 5.0
 
-    def ask(self, ask: Ask) -> Any:
-        """Run `ask` on a client; a refusal ends the command."""
+    def execute(self, operation: Operation) -> Any:
+        """Return the result of `operation` on a connected client; exit on a refusal."""
         host, port = self._host_and_port()
         key = self._operator_key()
         tls = self._tls()
 
         async def run() -> Any:
             async with OperatorClient(host, port, key, self.timeout_seconds, tls) as client:
-                return await ask(client)
+                return await operation(client)
 
         outcome = uvloop.run(run())
         if isinstance(outcome, Refused):
--- a/src/foxwinch/cli/dev.py
+++ b/src/foxwinch/cli/dev.py
@@ -1,4 +1,4 @@
-"""`foxwinch dev`."""
+"""The `foxwinch dev` command."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -18,12 +18,12 @@
 
 @cappa.command(
     name="dev",
-    help="Run one node with embedded stand-ins on loopback; prints addresses and keys.",
+    help="Run one node with emulated services on loopback; prints addresses and keys.",
     description=examples("foxwinch dev --configuration examples/cledwyn.toml"),
 )
 @dataclass(kw_only=True)
 class DevCommand:
-    """Run one node with embedded stand-ins on loopback."""
+    """Run one node with emulated services on loopback."""
 
     configuration: Annotated[
         Path, cappa.Arg(long="--configuration", help="Cluster configuration (TOML)")
@@ -36,4 +36,4 @@
         if isinstance(document, SettingsError):
             fail_settings(document)
         if not run_dev(document, print_addresses):
-            fail(ExitCode.DRAIN_CUT_SHORT, "stopped with work in progress")
+            fail(ExitCode.DRAIN_CUT_SHORT, "drain timed out with work in progress")
--- a/src/foxwinch/cli/emulator.py
+++ b/src/foxwinch/cli/emulator.py
@@ -1,4 +1,4 @@
-"""`foxwinch emulator`."""
+"""The `foxwinch emulator` command."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 @cappa.command(
     name="emulator",
-    help="Run stand-ins for engines, tools and the platform; prints their URLs when ready.",
+    help="Run emulated engines, tools and platform services; prints their URLs when ready.",
     description=examples(
         "foxwinch emulator --settings examples/emulator.toml",
         "foxwinch emulator --configuration examples/cledwyn.toml --port 7100",
@@ -27,16 +27,16 @@
 )
 @dataclass(kw_only=True)
 class EmulatorCommand:
-    """Run stand-ins for engines, tools and the platform."""
+    """Run emulated engines, tools and platform services."""
 
     settings: Annotated[
-        Path | None, cappa.Arg(long="--settings", help="Settings of the stand-ins (TOML)")
+        Path | None, cappa.Arg(long="--settings", help="Emulator settings (TOML)")
     ] = None
     configuration: Annotated[
         Path | None,
         cappa.Arg(
             long="--configuration",
-            help="Cluster configuration whose workers are served, where no settings are given",
+            help="Cluster configuration whose workers are emulated when no settings are given",
         ),
     ] = None
     port: Annotated[int | None, cappa.Arg(long="--port", help="Port to listen on")] = None
@@ -54,7 +54,7 @@
 
     def _load(self) -> EmulatorSettings | SettingsError:
         if self.settings is None and self.configuration is None:
-            fail(ExitCode.INVALID, "give --settings or --configuration")
+            fail(ExitCode.INVALID, "--settings or --configuration is required")
         if self.settings is not None:
             values = read_toml(self.settings)
             if isinstance(values, SettingsError):
--- a/src/foxwinch/cli/fuzz.py
+++ b/src/foxwinch/cli/fuzz.py
@@ -1,4 +1,4 @@
-"""`foxwinch fuzz`."""
+"""The `foxwinch fuzz` command."""
 
 import json
 import logging
@@ -18,7 +18,7 @@
 
 @cappa.command(
     name="fuzz",
-    help="Fuzz whole clusters on virtual time against an oracle; prints a replayable seed.",
+    help="Fuzz simulated clusters in virtual time against an oracle; prints a replayable seed.",
     description=examples(
         "foxwinch fuzz --configuration examples/physio.toml --minutes 5",
         "foxwinch fuzz --configuration examples/physio.toml --seed 42 --minutes 0",
@@ -27,23 +27,23 @@
 )
 @dataclass(kw_only=True)
 class FuzzCommand:
-    """Fuzz whole clusters."""
+    """Fuzz simulated clusters in virtual time."""
 
     configuration: Annotated[
         Path | None,
         cappa.Arg(
             long="--configuration",
-            help="Cluster configuration (TOML); without one the clusters of the property oracle",
+            help="Cluster configuration (TOML); default: generated clusters of the property oracle",
         ),
     ] = None
     minutes: Annotated[
-        float, cappa.Arg(long="--minutes", help="How long; 0 runs the first seed only")
+        float, cappa.Arg(long="--minutes", help="Duration; 0 runs the first seed only")
     ] = 1.0
     seed: Annotated[int, cappa.Arg(long="--seed", help="First seed")] = 1
     json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON")] = False
 
     def __call__(self) -> None:
-        """Run and report; exit code 11 when a property was broken."""
+        """Run seeds and print the result; exit with code 11 on a property violation."""
         if self.configuration is None:
             self._check_properties()
             return
@@ -53,30 +53,30 @@
         try:
             from foxwinch.bench.fuzz.run import run_for
         except ImportError as error:
-            fail(ExitCode.INVALID, f"install the extra `test` of this package first: {error}")
+            fail(ExitCode.INVALID, f"this command requires the extra `test`: {error}")
         logging.disable(logging.CRITICAL)
-        report = run_for(document, self.seed, self.minutes, self._tell)
+        report = run_for(document, self.seed, self.minutes, self._print_progress)
         if self.json:
             print(json.dumps(asdict(report), indent=2))
         elif report.failed_seed is None:
-            print(f"held: {report.seeds} seeds, at most {report.runs} clusters")
+            print(f"all properties held: {report.seeds} seeds, at most {report.runs} clusters")
         if report.failed_seed is not None:
             detail = f"seed {report.failed_seed}: {report.problem}"
             fail(ExitCode.PROPERTY_BROKEN, detail)
 
     def _check_properties(self) -> None:
-        """Run the clusters of `foxwinch.bench.cluster_fuzz`, seed after seed."""
+        """Run consecutive seeds of `foxwinch.bench.cluster_fuzz`."""
         try:
             from foxwinch.bench.cluster_fuzz.runner import run_for
         except ImportError as error:
-            fail(ExitCode.INVALID, f"install the extra `test` of this package first: {error}")
+            fail(ExitCode.INVALID, f"this command requires the extra `test`: {error}")
         logging.disable(logging.CRITICAL)
-        failure = run_for(self.seed, self.minutes, self._tell)
+        failure = run_for(self.seed, self.minutes, self._print_progress)
         if self.json:
             print(json.dumps(asdict(failure) if failure else None, indent=2))
         if failure is not None:
             detail = f"seed {failure.seed}: {failure.detail}\n{failure.steps}"
             fail(ExitCode.PROPERTY_BROKEN, detail)
 
-    def _tell(self, line: str) -> None:
+    def _print_progress(self, line: str) -> None:
         print(line, file=sys.stderr if self.json else sys.stdout, flush=True)
--- a/src/foxwinch/cli/help.py
+++ b/src/foxwinch/cli/help.py
@@ -1,6 +1,6 @@
-"""Help texts: examples in the form that every command shows them."""
+"""Formatting of command help texts."""
 
 
 def examples(*lines: str) -> str:
-    """Return a description that shows command lines as written."""
+    """Return a command description that lists example command lines verbatim."""
     return "Examples:\n\n" + "\n".join(f"    {line}" for line in lines) + "\n"
--- a/src/foxwinch/cli/main.py
+++ b/src/foxwinch/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: `foxwinch COMMAND`."""
+"""Entry point of the command-line interface: `foxwinch COMMAND`."""
 
 from dataclasses import dataclass
 
@@ -21,7 +21,7 @@
 @cappa.command(name="foxwinch", help="A scheduler for agent programs.")
 @dataclass
 class Foxwinch:
-    """A scheduler for agent programs."""
+    """Root command, which selects a subcommand."""
 
     command: cappa.Subcommands[
         NodeCommand
@@ -40,7 +40,7 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Parse the arguments and run the selected command."""
     cappa.invoke(Foxwinch)
 
 
--- a/src/foxwinch/cli/node.py
+++ b/src/foxwinch/cli/node.py
@@ -1,4 +1,4 @@
-"""`foxwinch node`."""
+"""The `foxwinch node` command."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 @cappa.command(
     name="node",
-    help="Run one node until SIGTERM, SIGINT or an operator's drain.",
+    help="Run one node until SIGTERM, SIGINT or a drain command.",
     description=examples(
         "foxwinch node --settings examples/node-tvm-hall.toml",
         "foxwinch node --settings node.toml --name n2 --zone kollam-hall --peer 127.0.0.1:7103",
@@ -30,32 +30,37 @@
     """Run one node."""
 
     settings: Annotated[
-        Path | None, cappa.Arg(long="--settings", help="Node settings (TOML); flags go over it")
+        Path | None,
+        cappa.Arg(long="--settings", help="Node settings (TOML); options override them"),
     ] = None
-    name: Annotated[str | None, cappa.Arg(long="--name", help="Name of the node")] = None
+    name: Annotated[str | None, cappa.Arg(long="--name", help="Node name")] = None
     region: Annotated[str | None, cappa.Arg(long="--region", help="Region")] = None
     zone: Annotated[str | None, cappa.Arg(long="--zone", help="Zone")] = None
-    host: Annotated[str | None, cappa.Arg(long="--host", help="IP number to listen on")] = None
-    caller_port: Annotated[int | None, cappa.Arg(long="--caller-port", help="0: any")] = None
-    operator_port: Annotated[int | None, cappa.Arg(long="--operator-port", help="0: any")] = None
-    peer_port: Annotated[int | None, cappa.Arg(long="--peer-port", help="0: any")] = None
+    host: Annotated[str | None, cappa.Arg(long="--host", help="IP address to listen on")] = None
+    caller_port: Annotated[int | None, cappa.Arg(long="--caller-port", help="0: any free port")] = (
+        None
+    )
+    operator_port: Annotated[
+        int | None, cappa.Arg(long="--operator-port", help="0: any free port")
+    ] = None
+    peer_port: Annotated[int | None, cappa.Arg(long="--peer-port", help="0: any free port")] = None
     peers: Annotated[
         list[str],
-        cappa.Arg(long="--peer", help="Peer address ip:port to join by; may be given again"),
+        cappa.Arg(long="--peer", help="Address of a peer to join, ip:port; repeatable"),
     ] = None  # type: ignore[assignment]
     configuration: Annotated[
         Path | None,
         cappa.Arg(long="--configuration", help="Cluster configuration to propose (TOML)"),
     ] = None
     store_url: Annotated[
-        str | None, cappa.Arg(long="--store-url", help="Shared store", group=PLATFORM)
+        str | None, cappa.Arg(long="--store-url", help="URL of the shared store", group=PLATFORM)
     ] = None
     machines_url: Annotated[
-        str | None, cappa.Arg(long="--machines-url", help="Machine list", group=PLATFORM)
+        str | None, cappa.Arg(long="--machines-url", help="URL of the machine list", group=PLATFORM)
     ] = None
 
     def __call__(self) -> None:
-        """Run until the planned stop."""
+        """Run until the node is stopped and drained."""
         settings = load_node_settings(self.settings, self._overrides())
         if isinstance(settings, SettingsError):
             fail_settings(settings)
@@ -64,13 +69,13 @@
             fail_settings(proposed)
         configure_logging(settings.log_level)
         try:
-            whole = run_node(settings, proposed, print_addresses)
+            drained = run_node(settings, proposed, print_addresses)
         except OSError as error:
             fail(ExitCode.INVALID, f"cannot start: {error}")
-        if not whole:
+        if not drained:
             fail(
                 ExitCode.DRAIN_CUT_SHORT,
-                f"drain_seconds = {settings.drain_seconds:g} passed with work in progress",
+                f"drain_seconds = {settings.drain_seconds:g} expired with work in progress",
             )
 
     def _overrides(self) -> dict[str, object]:
@@ -93,6 +98,6 @@
 
 
 def print_addresses(addresses: dict[str, str]) -> None:
-    """Print `name=value` lines; whoever reads them may connect from then on."""
+    """Print `name=value` lines; the node accepts connections once they are printed."""
     for name, value in addresses.items():
         print(f"{name}={value}", flush=True)
--- a/src/foxwinch/cli/nodes.py
+++ b/src/foxwinch/cli/nodes.py
@@ -1,4 +1,4 @@
-"""`foxwinch nodes list|drain`."""
+"""The `foxwinch nodes list|drain` commands."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -15,7 +15,7 @@
 
 @cappa.command(
     name="list",
-    help="List the nodes with their state, revision and work.",
+    help="List the nodes with their state, configuration revision and load.",
     description=examples("foxwinch nodes list", "foxwinch nodes list --json"),
 )
 @dataclass(kw_only=True)
@@ -26,31 +26,31 @@
     json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON")] = False
 
     def __call__(self) -> None:
-        """Ask and print."""
-        response: pb.ListNodesResponse = self.connection.ask(
+        """Query the node and print one row per node of the region."""
+        response: pb.ListNodesResponse = self.connection.execute(
             lambda client: client.query(lambda stub: stub.ListNodes, pb.ListNodesRequest())
         )
         if self.json:
             print_message(response)
             return
-        print_table(HEADINGS, [_row(node) for node in response.nodes])
+        print_table(HEADINGS, [_node_row(node) for node in response.nodes])
 
 
 @cappa.command(
     name="drain",
-    help="Begin the planned stop of a node: it hands over, finishes what runs and exits.",
+    help="Start a planned stop of a node: it hands over, finishes running requests and exits.",
     description=examples("foxwinch nodes drain tvm-hall-1-3f2a9c01b7de"),
 )
 @dataclass(kw_only=True)
 class NodesDrainCommand:
     """Drain a node."""
 
-    node: Annotated[str, cappa.Arg(help="Node, as `nodes list` names it")]
+    node: Annotated[str, cappa.Arg(help="Name of the node, as in `nodes list`")]
     connection: cappa.Destructured[Connection]
 
     def __call__(self) -> None:
-        """Give the command."""
-        self.connection.ask(
+        """Send the drain command and print a confirmation."""
+        self.connection.execute(
             lambda client: client.command(
                 lambda stub: stub.DrainNode, pb.DrainNodeRequest(node=self.node)
             )
@@ -58,19 +58,19 @@
         print(f"draining node={self.node}")
 
 
-@cappa.command(name="nodes", help="The nodes of the region.")
+@cappa.command(name="nodes", help="List and drain the nodes of the region.")
 @dataclass
 class NodesCommand:
-    """The nodes of the region."""
+    """Group of the node commands."""
 
     command: cappa.Subcommands[NodesListCommand | NodesDrainCommand]
 
 
-def _row(node: pb.NodeStatus) -> tuple[object, ...]:
+def _node_row(node: pb.NodeStatus) -> tuple[object, ...]:
     notes = [node.not_ready_because] if node.not_ready_because else []
-    notes += [f"cut off from {region}" for region in node.cut_off_regions]
+    notes += [f"isolated from {region}" for region in node.cut_off_regions]
     if not node.answered:
-        notes.append("no answer")
+        notes.append("no response")
     return (
         node.node,
         node.address,
--- a/src/foxwinch/cli/output.py
+++ b/src/foxwinch/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: tables, JSON or reports on standard output, errors on standard error."""
+"""Output of commands: results on standard output, errors and warnings on standard error."""
 
 import json
 import sys
@@ -17,28 +17,28 @@
 
 
 def print_message(message: Message) -> None:
-    """Print a message as one JSON document, absent fields included."""
-    print(json.dumps(_plain(message), indent=2))
+    """Print a protobuf message as one JSON document that includes unset fields."""
+    print(json.dumps(_to_plain(message), indent=2))
 
 
-def _plain(value: Any) -> Any:
-    """Return a message as plain values; unlike protobuf's own JSON, long integers stay numbers."""
+def _to_plain(value: Any) -> Any:
+    """Convert a message to plain values; unlike protobuf's JSON, 64-bit integers stay numbers."""
     if isinstance(value, Message):
         fields = value.DESCRIPTOR.fields
-        return {field.name: _plain(getattr(value, field.name)) for field in fields}
+        return {field.name: _to_plain(getattr(value, field.name)) for field in fields}
     if isinstance(value, (str, int, float)):
         return value
-    return [_plain(item) for item in value]
+    return [_to_plain(item) for item in value]
 
 
 def write_report(path: Path, report: Any) -> None:
-    """Write a bench's report to a file, and print it in one line."""
+    """Write a benchmark report to a file as JSON and print it on one line."""
     path.write_text(json.dumps(report, indent=1) + "\n", encoding="utf-8")
     print(json.dumps(report))
 
 
 def print_table(headings: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print rows under headings; plain tabulated text when the output is no terminal."""
+    """Print a table, as tab-separated text if standard output is not a terminal."""
     if not sys.stdout.isatty():
         for row in (headings, *rows):
             print("\t".join(str(cell) for cell in row))
@@ -51,16 +51,17 @@
     Console().print(table)
 
 
-def warn_of_silent_nodes(nodes: Sequence[str]) -> None:
-    """Say on standard error which nodes the answer lacks."""
+def warn_of_unresponsive_nodes(nodes: Sequence[str]) -> None:
+    """Print a warning that names the nodes missing from a response."""
     if nodes:
         print(
-            f"warning: no answer from {', '.join(nodes)}; the list may lack theirs", file=sys.stderr
+            f"warning: no response from {', '.join(nodes)}; the list may be incomplete",
+            file=sys.stderr,
         )
 
 
 def fail(code: ExitCode, detail: str) -> NoReturn:
-    """End the command with an error and the next step on standard error."""
+    """Exit with an error and a suggested next step on standard error."""
     print(f"error: {detail}", file=sys.stderr)
     if code in NEXT_STEP:
         print(f"next: {NEXT_STEP[code]}", file=sys.stderr)
@@ -68,13 +69,13 @@
 
 
 def fail_refused(refused: Refused) -> NoReturn:
-    """End the command with a refusal."""
+    """Exit with the error and exit code of a refusal."""
     wait = refused.retry_after_seconds
-    after = f"; try again after {wait:g} s" if wait is not None else ""
+    after = f"; retry after {wait:g} s" if wait is not None else ""
     detail = f"{refused.reason.value} ({refused.run_state.value}): {refused.detail}{after}"
     fail(exit_code_of(refused), detail)
 
 
 def fail_settings(error: SettingsError) -> NoReturn:
-    """End the command with what is wrong with settings."""
+    """Exit with the problems found in the settings."""
     fail(ExitCode.INVALID, str(error))
--- a/src/foxwinch/cli/programs.py
+++ b/src/foxwinch/cli/programs.py
@@ -1,4 +1,4 @@
-"""`foxwinch programs list|show|abandon`."""
+"""The `foxwinch programs list|show|abandon` commands."""
 
 from dataclasses import dataclass
 from datetime import UTC, datetime
@@ -9,7 +9,7 @@
 from foxwinch._generated import operator_pb2 as pb
 from foxwinch.cli.connection import Connection
 from foxwinch.cli.help import examples
-from foxwinch.cli.output import print_message, print_table, warn_of_silent_nodes
+from foxwinch.cli.output import print_message, print_table, warn_of_unresponsive_nodes
 
 LIST_HEADINGS = (
     "program",
@@ -38,7 +38,7 @@
 
 @cappa.command(
     name="list",
-    help="List programs, the newest first.",
+    help="List programs, newest first.",
     description=examples(
         "foxwinch programs list", "foxwinch programs list --tenant ward --state running --json"
     ),
@@ -48,15 +48,19 @@
     """List programs."""
 
     connection: cappa.Destructured[Connection]
-    tenant: Annotated[str, cappa.Arg(long="--tenant", help="Only this tenant's")] = ""
-    state: Annotated[str, cappa.Arg(long="--state", help="Only in this state")] = ""
-    limit: Annotated[int, cappa.Arg(long="--limit", help="At most so many, up to 1000")] = 100
+    tenant: Annotated[str, cappa.Arg(long="--tenant", help="Show only programs of this tenant")] = (
+        ""
+    )
+    state: Annotated[str, cappa.Arg(long="--state", help="Show only programs in this state")] = ""
+    limit: Annotated[
+        int, cappa.Arg(long="--limit", help="Maximum number of programs, up to 1000")
+    ] = 100
     json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON")] = False
 
     def __call__(self) -> None:
-        """Ask and print."""
+        """Query the node and print one row per program."""
         request = pb.ListProgramsRequest(tenant=self.tenant, state=self.state, limit=self.limit)
-        response: pb.ListProgramsResponse = self.connection.ask(
+        response: pb.ListProgramsResponse = self.connection.execute(
             lambda client: client.query(lambda stub: stub.ListPrograms, request)
         )
         if self.json:
@@ -64,26 +68,26 @@
             return
         rows = [_program_row(program) for program in response.programs]
         print_table(LIST_HEADINGS, rows)
-        warn_of_silent_nodes(response.silent_nodes)
+        warn_of_unresponsive_nodes(response.silent_nodes)
 
 
 @cappa.command(
     name="show",
-    help="Show a program: the node that serves it, and what was decided for each call.",
+    help="Show a program: the node that serves it and the scheduling decision for each call.",
     description=examples("foxwinch programs show P", "foxwinch programs show P --json"),
 )
 @dataclass(kw_only=True)
 class ProgramsShowCommand:
-    """Show a program."""
+    """Show a program and its calls."""
 
-    program: Annotated[str, cappa.Arg(help="Program, as `programs list` names it")]
+    program: Annotated[str, cappa.Arg(help="Id of the program, as in `programs list`")]
     connection: cappa.Destructured[Connection]
     json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON")] = False
 
     def __call__(self) -> None:
-        """Ask and print."""
+        """Query the node and print the program and its calls."""
         request = pb.ShowProgramRequest(program_id=self.program)
-        response: pb.ShowProgramResponse = self.connection.ask(
+        response: pb.ShowProgramResponse = self.connection.execute(
             lambda client: client.query(lambda stub: stub.ShowProgram, request)
         )
         if self.json:
@@ -103,29 +107,29 @@
 
 @cappa.command(
     name="abandon",
-    help="Abandon a program: no further call runs, and its engine memory is released.",
+    help="Abandon a program: no further calls run, and its KV cache on the engines is released.",
     description=examples("foxwinch programs abandon P"),
 )
 @dataclass(kw_only=True)
 class ProgramsAbandonCommand:
     """Abandon a program."""
 
-    program: Annotated[str, cappa.Arg(help="Program, as `programs list` names it")]
+    program: Annotated[str, cappa.Arg(help="Id of the program, as in `programs list`")]
     connection: cappa.Destructured[Connection]
 
     def __call__(self) -> None:
-        """Give the command."""
+        """Send the command and print a confirmation."""
         request = pb.AbandonProgramRequest(program_id=self.program)
-        self.connection.ask(
+        self.connection.execute(
             lambda client: client.command(lambda stub: stub.AbandonProgram, request)
         )
         print(f"abandoned program={self.program}")
 
 
-@cappa.command(name="programs", help="The programs of all tenants.")
+@cappa.command(name="programs", help="List, show and abandon the programs of all tenants.")
 @dataclass
 class ProgramsCommand:
-    """The programs of all tenants."""
+    """Group of the program commands."""
 
     command: cappa.Subcommands[ProgramsListCommand | ProgramsShowCommand | ProgramsAbandonCommand]
 
--- a/src/foxwinch/cli/serve.py
+++ b/src/foxwinch/cli/serve.py
@@ -1,4 +1,4 @@
-"""`foxwinch serve`."""
+"""The `foxwinch serve` command."""
 
 import os
 from dataclasses import dataclass
@@ -16,27 +16,27 @@
 
 @cappa.command(
     name="serve",
-    help="Run one node on the users' platform until SIGTERM or SIGINT.",
+    help="Run one node on the deployment platform until SIGTERM or SIGINT.",
     description=examples("foxwinch serve --settings examples/serve.toml"),
 )
 @dataclass(kw_only=True)
 class ServeCommand:
-    """Run one node on the users' platform."""
+    """Run one node on the deployment platform."""
 
     settings: Annotated[
         Path | None,
         cappa.Arg(
-            long="--settings", help=f"Settings (TOML); else what {ENVIRONMENT_VARIABLE} names"
+            long="--settings", help=f"Settings (TOML); default: the path in {ENVIRONMENT_VARIABLE}"
         ),
     ] = None
 
     def __call__(self) -> None:
-        """Run until the planned stop."""
+        """Run until the node is stopped and drained."""
         path = self.settings
         if path is None and ENVIRONMENT_VARIABLE in os.environ:
             path = Path(os.environ[ENVIRONMENT_VARIABLE])
         if path is None:
-            fail(ExitCode.INVALID, f"settings: give --settings or set {ENVIRONMENT_VARIABLE}")
+            fail(ExitCode.INVALID, f"settings: --settings or {ENVIRONMENT_VARIABLE} is required")
         problems = serve(path)
         if problems:
             fail(ExitCode.INVALID, "\n".join(problems))
--- a/src/foxwinch/cli/settings.py
+++ b/src/foxwinch/cli/settings.py
@@ -1,4 +1,4 @@
-"""`foxwinch settings schema`."""
+"""The `foxwinch settings schema` command."""
 
 import json
 from collections.abc import Mapping
@@ -27,23 +27,23 @@
 )
 @dataclass(kw_only=True)
 class SettingsSchemaCommand:
-    """Print a JSON Schema."""
+    """Print the JSON Schema of a settings file."""
 
     document: Annotated[
         Literal["node", "cluster", "serve"],
         cappa.Arg(
-            help="node, serve: settings of one process; cluster: the configuration of all nodes"
+            help="node, serve: settings of one process; cluster: configuration shared by all nodes"
         ),
     ]
 
     def __call__(self) -> None:
-        """Print."""
+        """Print the schema of the chosen document."""
         print(json.dumps(MODELS[self.document].model_json_schema(), indent=2))
 
 
-@cappa.command(name="settings", help="What settings files may hold.")
+@cappa.command(name="settings", help="Describe the settings files.")
 @dataclass
 class SettingsCommand:
-    """What settings files may hold."""
+    """Group of the settings commands."""
 
     command: cappa.Subcommands[SettingsSchemaCommand]
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration runs a whole journey plan and prints what was decided."""
+"""Test that the demo runs a complete journey plan and prints the scheduling decisions."""
 
 import os
 import subprocess
@@ -7,7 +7,7 @@
 from foxwinch_process import ROOT, SECONDS
 
 
-def test_the_demo_prints_its_decisions_and_ends_with_zero():
+def test_demo_prints_its_decisions_and_exits_with_zero():
     demo = subprocess.run(
         [sys.executable, str(ROOT / "examples" / "demo.py")],
         env={**os.environ, "PYTHONPATH": str(ROOT / "src")},
