--- a/src/foxwinch/emulator/http_record_store.py
+++ b/src/foxwinch/emulator/http_record_store.py
@@ -1,4 +1,4 @@
-"""The stand-in of the shared store on the wire of the users' platform."""
+"""The emulated shared store over the wire protocol of the users' platform."""
 
 import base64
 from typing import Any
@@ -18,22 +18,22 @@
     Written,
 )
 
-CALL_SECONDS = 3_600.0
-"""A silent store holds a call for so long; clients give up long before."""
+UNRESPONSIVE_SECONDS = 3_600.0
+"""Time that an unresponsive store holds a request; clients time out long before."""
 AFTER_ALL_KEYS = "\U0010ffff"
 
 
 class RecordStoreHandlers:
-    """Handlers of the store's calls."""
+    """HTTP handlers of the store's operations."""
 
     def __init__(self, model: RecordStoreModel) -> None:
         """Serve `model`."""
         self._model = model
-        self.foreign: dict[str, dict[str, Any]] = {}
-        """By key: fields of a row's document as another writer's row has them."""
+        self.row_overrides: dict[str, dict[str, Any]] = {}
+        """Fields that replace those in a row's document, by row key, as from another writer."""
 
     def application(self) -> web.Application:
-        """Return the application."""
+        """Return an aiohttp application with all handlers."""
         application = web.Application(client_max_size=1 << 21)
         application.router.add_post("/v1/rows-tx", self._transact)
         application.router.add_get("/v1/rows-get", self._read)
@@ -42,19 +42,21 @@
 
     async def _transact(self, request: web.Request) -> web.Response:
         body = await request.json()
-        conditions = tuple(RowCondition(_place(entry), entry["ver"]) for entry in body["if_rev"])
+        conditions = tuple(RowCondition(_row_key(entry), entry["ver"]) for entry in body["if_rev"])
         writes = [
-            RowWrite(_place(entry), base64.b64decode(entry["value"])) for entry in body["put"]
+            RowWrite(_row_key(entry), base64.b64decode(entry["value"])) for entry in body["put"]
         ]
-        writes += [RowWrite(_place(entry), None) for entry in body["remove"]]
-        return self._answer(await self._model.transact(conditions, tuple(writes), CALL_SECONDS))
+        writes += [RowWrite(_row_key(entry), None) for entry in body["remove"]]
+        return self._respond(
+            await self._model.transact(conditions, tuple(writes), UNRESPONSIVE_SECONDS)
+        )
 
     async def _read(self, request: web.Request) -> web.Response:
         query = request.query
         partition = query.get("part", "")
         first = RowKey(query["table"], partition, query.get("from", ""))
         end_key = query.get("target_version", AFTER_ALL_KEYS)
-        return self._answer(await self._model.read(first, end_key, CALL_SECONDS))
+        return self._respond(await self._model.read(first, end_key, UNRESPONSIVE_SECONDS))
 
     async def _changes(self, request: web.Request) -> web.Response:
         query = request.query
@@ -62,19 +64,19 @@
         outcome = await self._model.changes(query["table"], int(query["after"]), wait_seconds)
         if isinstance(outcome, HistoryLost):
             return web.json_response({}, status=410)
-        return self._answer(outcome)
+        return self._respond(outcome)
 
-    def _answer(self, outcome: Written | Conflict | RowsRead | Refused) -> web.Response:
+    def _respond(self, outcome: Written | Conflict | RowsRead | Refused) -> web.Response:
         match outcome:
             case Written():
                 return web.json_response({"ver": outcome.version, "now_ms": outcome.now_ms})
             case Conflict():
-                rows = [self._document(row) for row in outcome.rows]
+                rows = [self._row_document(row) for row in outcome.rows]
                 document = {"rows": rows, "ver": outcome.version, "now_ms": outcome.now_ms}
                 return web.json_response(document, status=412)
             case RowsRead():
                 document = {
-                    "rows": [self._document(row) for row in outcome.rows],
+                    "rows": [self._row_document(row) for row in outcome.rows],
                     "more": outcome.more,
                     "ver": outcome.version,
                     "now_ms": outcome.now_ms,
@@ -83,7 +85,7 @@
             case Refused():
                 return web.json_response({}, status=_status(outcome))
 
-    def _document(self, row: StoredRow) -> dict[str, Any]:
+    def _row_document(self, row: StoredRow) -> dict[str, Any]:
         document: dict[str, Any] = {
             "table": row.row.table,
             "part": row.row.partition,
@@ -93,7 +95,7 @@
         if row.value is None:
             return {**document, "gone": True}
         value = base64.b64encode(row.value).decode()
-        return {**document, "value": value, **self.foreign.get(row.row.key, {})}
+        return {**document, "value": value, **self.row_overrides.get(row.row.key, {})}
 
 
 def _status(refused: Refused) -> int:
@@ -102,5 +104,5 @@
     return 503 if refused.run_state is RunState.NOT_RUN else 500
 
 
-def _place(entry: dict[str, Any]) -> RowKey:
+def _row_key(entry: dict[str, Any]) -> RowKey:
     return RowKey(entry["table"], entry.get("part", ""), entry["tls_key"])
--- a/src/foxwinch/emulator/record_store.py
+++ b/src/foxwinch/emulator/record_store.py
@@ -1,7 +1,7 @@
-"""Stand-in of the shared store: versioned rows, conditions, a feed, and the moods of a real one.
+"""In-memory model of the shared store: versioned rows, conditional writes, a feed and faults.
 
-The model implements `foxwinch.records.ports.RecordStore` in process; `http_record_store` serves the
-same model on the users' platform's wire.
+The model implements `foxwinch.records.ports.RecordStore` in process. `http_record_store` serves the
+same model over the wire protocol of the users' platform.
 """
 
 import asyncio
@@ -24,55 +24,55 @@
     Written,
 )
 
-PATIENCE_SECONDS = 0.8
-"""For which clients wait for the answer of a held call, after the time that it is held."""
-EMPTY: SortedDict = SortedDict()
+RESPONSE_GRACE_SECONDS = 0.8
+"""Time that clients of the feed wait for a response beyond the requested wait."""
+NO_ROWS: SortedDict = SortedDict()
 
 
-class Mood(StrEnum):
-    """How the store treats calls."""
+class StoreFault(StrEnum):
+    """How the store fails."""
 
-    WELL = "well"
+    NONE = "well"
     BUSY = "busy"
-    """Refuses: nothing was done."""
-    LIMITED = "limited"
-    """Refuses by its rate: nothing was done."""
-    SILENT = "silent"
-    """Takes calls and does nothing, without an answer."""
-    LOSING = "losing"
-    """Does writes and loses the answers."""
-    LATE = "late"
-    """Loses answers, and does writes some seconds later if their conditions still hold."""
+    """Refuses requests without effect."""
+    RATE_LIMITED = "limited"
+    """Refuses requests by rate limit, without effect."""
+    UNRESPONSIVE = "silent"
+    """Accepts requests, has no effect and does not respond."""
+    RESPONSE_LOST = "losing"
+    """Applies writes and loses the responses."""
+    LATE_WRITE = "late"
+    """Loses responses, and applies writes after `late_seconds` if their conditions still hold."""
 
 
 @dataclass(slots=True)
-class StoreMoods:
-    """What goes wrong now; tests change it while nodes run."""
+class StoreFaultSettings:
+    """The active fault; tests change it while nodes run."""
 
-    mood: Mood = Mood.WELL
+    fault: StoreFault = StoreFault.NONE
     partitions: frozenset[str] | None = None
-    """Partitions that the mood is for; None: all, and reads of whole tables too."""
+    """Partitions that the fault applies to; None means all, and reads of whole tables too."""
     delay_seconds: float = 0.0
-    """Before each answer."""
+    """Delay before each request is processed."""
     late_seconds: float = 3.0
     stale_reads: bool = False
-    """Plain reads return the table as it was when this was set."""
+    """Plain reads return the rows as of the last call of `serve_stale_reads`."""
 
-    def of(self, partition: str) -> Mood:
-        """Return the mood towards a partition."""
+    def fault_of(self, partition: str) -> StoreFault:
+        """Return the active fault of a partition."""
         if self.partitions is not None and partition not in self.partitions:
-            return Mood.WELL
-        return self.mood
+            return StoreFault.NONE
+        return self.fault
 
 
 @dataclass(slots=True)
-class _Stored:
+class _StoredValue:
     value: bytes
     version: int
 
 
 @dataclass(slots=True)
-class _Calls:
+class _CallCounts:
     writes: int = 0
     commits: int = 0
     """Transactions that took effect."""
@@ -87,13 +87,13 @@
         self.version = 0
         self._partitions: dict[tuple[str, str], SortedDict] = {}
 
-    def get(self, row: RowKey) -> _Stored | None:
-        found: _Stored | None = self._partition(row).get(row.key)
+    def get(self, row: RowKey) -> _StoredValue | None:
+        found: _StoredValue | None = self._partition(row).get(row.key)
         return found
 
-    def put(self, row: RowKey, stored: _Stored) -> None:
-        place = (row.table, row.partition)
-        self._partitions.setdefault(place, SortedDict())[row.key] = stored
+    def put(self, row: RowKey, stored: _StoredValue) -> None:
+        location = (row.table, row.partition)
+        self._partitions.setdefault(location, SortedDict())[row.key] = stored
 
     def remove(self, row: RowKey) -> None:
         self._partition(row).pop(row.key, None)
@@ -106,7 +106,7 @@
             row = RowKey(first.table, first.partition, key)
             yield StoredRow(row, stored.value, stored.version)
 
-    def of(self, table: str) -> Iterator[tuple[RowKey, _Stored]]:
+    def of(self, table: str) -> Iterator[tuple[RowKey, _StoredValue]]:
         for (name, partition), rows in self._partitions.items():
             if name == table:
                 yield from ((RowKey(name, partition, key), rows[key]) for key in rows)
@@ -114,60 +114,60 @@
     def copy(self) -> "_Rows":
         copied = _Rows()
         copied.version = self.version
-        copied._partitions = {place: rows.copy() for place, rows in self._partitions.items()}
+        copied._partitions = {location: rows.copy() for location, rows in self._partitions.items()}
         return copied
 
     def _partition(self, row: RowKey) -> SortedDict:
-        return self._partitions.get((row.table, row.partition), EMPTY)
+        return self._partitions.get((row.table, row.partition), NO_ROWS)
 
 
 class RecordStoreModel:
-    """The store in memory."""
+    """The shared store, held in memory."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty and well."""
+        """Start empty and without faults."""
         self._clock = clock
         self._state = _Rows()
         self._frozen: _Rows | None = None
         self._history: list[StoredRow] = []
         self._history_from = 0
         self._changed = asyncio.Event()
-        self.moods = StoreMoods()
-        self.calls = _Calls()
+        self.store_faults = StoreFaultSettings()
+        self.calls = _CallCounts()
         self.on_write: Callable[[tuple[RowWrite, ...]], None] = lambda writes: None
         """Called after each transaction that took effect."""
 
     def now_ms(self) -> int:
-        """Return the store's steady clock."""
+        """Return the store's monotonic clock in milliseconds."""
         return 1_000_000 + int(1e3 * self._clock.monotonic())
 
     def value(self, row: RowKey) -> bytes | None:
-        """Return a row's value as it stands."""
+        """Return the current value of a row, or None."""
         stored = self._state.get(row)
         return stored.value if stored is not None else None
 
     def rows_of(self, table: str) -> dict[RowKey, bytes]:
-        """Return all rows of a table as they stand."""
+        """Return the current values of all rows of a table."""
         return {row: stored.value for row, stored in self._state.of(table)}
 
     def put(self, table: str, key: str, value: bytes, partition: str = "") -> int:
-        """Write a row as the operator or a worker would, whatever the mood."""
+        """Write a row as the operator or a worker would, regardless of faults."""
         return self._commit((RowWrite(RowKey(table, partition, key), value),))
 
     def remove(self, table: str, key: str, partition: str = "") -> int:
-        """Remove a row, whatever the mood."""
+        """Remove a row, regardless of faults."""
         return self._commit((RowWrite(RowKey(table, partition, key), None),))
 
-    def forget_history(self) -> None:
-        """Drop the changes so far: feeds that go on from before are told so."""
+    def drop_history(self) -> None:
+        """Drop all past changes; feeds that resume from an earlier version get `HistoryLost`."""
         self._history.clear()
         self._history_from = self._state.version
         self._wake_feeds()
 
-    def hold_reads(self) -> None:
-        """From now on plain reads return the rows as they are now."""
+    def serve_stale_reads(self) -> None:
+        """Make plain reads return the current rows until `stale_reads` is cleared."""
         self._frozen = self._state.copy()
-        self.moods.stale_reads = True
+        self.store_faults.stale_reads = True
 
     async def transact(
         self,
@@ -175,18 +175,18 @@
         writes: tuple[RowWrite, ...],
         timeout_seconds: float,
     ) -> Written | Conflict | Refused:
-        """Apply a transaction in the present mood."""
+        """Apply a transaction, subject to the active fault."""
         self.calls.writes += 1
         rows = [entry.row for entry in conditions] + [write.row for write in writes]
-        mood = self.moods.of(rows[0].partition if rows else "")
-        refused = await self._enter(mood, timeout_seconds)
+        fault = self.store_faults.fault_of(rows[0].partition if rows else "")
+        refused = await self._apply_fault(fault, timeout_seconds)
         if refused is not None:
             return refused
-        if mood is Mood.LATE:
-            self._apply_later(conditions, writes)
+        if fault is StoreFault.LATE_WRITE:
+            self._schedule_apply(conditions, writes)
         else:
             outcome = self.apply(conditions, writes)
-            if mood is not Mood.LOSING:
+            if fault is not StoreFault.RESPONSE_LOST:
                 return outcome
         await self._clock.sleep(timeout_seconds)
         return outcome_unknown(Reason.STORE_UNAVAILABLE, "no answer")
@@ -194,7 +194,7 @@
     def apply(
         self, conditions: tuple[RowCondition, ...], writes: tuple[RowWrite, ...]
     ) -> Written | Conflict:
-        """Apply a transaction at once."""
+        """Apply a transaction immediately, regardless of faults."""
         if any(self._version_of(entry.row) != entry.version for entry in conditions):
             found = tuple(self._stored(entry.row) for entry in conditions)
             return Conflict(found, self._state.version, self.now_ms())
@@ -202,33 +202,37 @@
         return Written(version, self.now_ms())
 
     async def read(self, first: RowKey, end_key: str, timeout_seconds: float) -> RowsRead | Refused:
-        """Read rows of a partition."""
+        """Read the rows of a partition from `first` up to `end_key`."""
         self.calls.reads += 1
-        refused = await self._enter(self.moods.of(first.partition), timeout_seconds)
+        refused = await self._apply_fault(
+            self.store_faults.fault_of(first.partition), timeout_seconds
+        )
         if refused is not None:
             return refused
         return self.rows_between(first, end_key)
 
     def rows_between(self, first: RowKey, end_key: str) -> RowsRead:
-        """Return the rows of a partition from `first` up to `end_key`, whatever the mood."""
-        return self._select(first, end_key)
+        """Return the rows of a partition from `first` up to `end_key`, regardless of faults."""
+        return self._read_range(first, end_key)
 
     async def read_table(self, table: str, timeout_seconds: float) -> RowsRead | Refused:
         """Read the rows of a table whose partition is empty."""
         self.calls.reads += 1
-        refused = await self._enter(self.moods.of(""), timeout_seconds)
+        refused = await self._apply_fault(self.store_faults.fault_of(""), timeout_seconds)
         if refused is not None:
             return refused
-        return self._select(RowKey(table, "", ""), None)
+        return self._read_range(RowKey(table, "", ""), None)
 
     async def changes(
         self, table: str, after_version: int, wait_seconds: float
     ) -> RowsRead | HistoryLost | Refused:
-        """Wait for changes of a table."""
+        """Return the changes of a table after a version, waiting up to `wait_seconds` for one."""
         self.calls.feeds += 1
         end_at = self._clock.monotonic() + wait_seconds
         while True:
-            refused = await self._enter(self.moods.of(""), wait_seconds + PATIENCE_SECONDS)
+            refused = await self._apply_fault(
+                self.store_faults.fault_of(""), wait_seconds + RESPONSE_GRACE_SECONDS
+            )
             if refused is not None:
                 return refused
             if after_version < self._history_from:
@@ -248,27 +252,27 @@
             except TimeoutError:
                 continue
 
-    async def _enter(self, mood: Mood, timeout_seconds: float) -> Refused | None:
-        if mood is Mood.BUSY:
+    async def _apply_fault(self, fault: StoreFault, timeout_seconds: float) -> Refused | None:
+        if fault is StoreFault.BUSY:
             return not_run(Reason.STORE_UNAVAILABLE, "busy")
-        if mood is Mood.LIMITED:
+        if fault is StoreFault.RATE_LIMITED:
             return not_run(Reason.RATE_LIMITED, "limited")
-        delay = self.moods.delay_seconds
-        if mood is Mood.SILENT or delay > timeout_seconds:
+        delay = self.store_faults.delay_seconds
+        if fault is StoreFault.UNRESPONSIVE or delay > timeout_seconds:
             await self._clock.sleep(timeout_seconds)
             return outcome_unknown(Reason.STORE_UNAVAILABLE, "no answer")
         if delay:
             await self._clock.sleep(delay)
         return None
 
-    def _apply_later(
+    def _schedule_apply(
         self, conditions: tuple[RowCondition, ...], writes: tuple[RowWrite, ...]
     ) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(self.moods.late_seconds, self.apply, conditions, writes)
+        loop.call_later(self.store_faults.late_seconds, self.apply, conditions, writes)
 
-    def _select(self, first: RowKey, end_key: str | None) -> RowsRead:
-        state = self._frozen if self.moods.stale_reads and self._frozen else self._state
+    def _read_range(self, first: RowKey, end_key: str | None) -> RowsRead:
+        state = self._frozen if self.store_faults.stale_reads and self._frozen else self._state
         rows = tuple(state.between(first, end_key))
         return RowsRead(rows, False, state.version, self.now_ms())
 
@@ -280,7 +284,7 @@
             if write.value is None:
                 self._state.remove(write.row)
             else:
-                self._state.put(write.row, _Stored(write.value, version))
+                self._state.put(write.row, _StoredValue(write.value, version))
             self._history.append(StoredRow(write.row, write.value, version))
         self.on_write(writes)
         self._wake_feeds()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from foxwinch.emulator.http_record_store import RecordStoreHandlers
-from foxwinch.emulator.record_store import Mood, RecordStoreModel
+from foxwinch.emulator.record_store import RecordStoreModel, StoreFault
 from soak.nodes import SoakNode
 from soak.troubles import STORE, WORKERS, Troubles
 from soak.workers import SoakWorker, WorkerFaults
@@ -121,34 +121,36 @@
 
 async def store_mood(site: Site, seconds: float) -> None:
     """Let the store refuse, be silent, lose answers or write late, wholly or in part."""
-    moods = site.model.moods
+    store_faults = site.model.store_faults
     with site.troubles.span(STORE, "mood"):
-        moods.mood = site.draws.choice([mood for mood in Mood if mood is not Mood.WELL])
+        store_faults.fault = site.draws.choice(
+            [fault for fault in StoreFault if fault is not StoreFault.NONE]
+        )
         some = {f"{number:02x}" for number in range(PARTITIONS) if site.draws.random() < 0.4}
-        moods.partitions = site.draws.choice([None, frozenset(some)])
+        store_faults.partitions = site.draws.choice([None, frozenset(some)])
         await asyncio.sleep(seconds)
-        moods.mood, moods.partitions = Mood.WELL, None
+        store_faults.fault, store_faults.partitions = StoreFault.NONE, None
 
 
 async def forget_history(site: Site, seconds: float) -> None:
     """Let the store forget its changes, and answer reads as of before for a while."""
     with site.troubles.span(STORE, "history"):
         if site.draws.random() < 0.5:
-            site.model.hold_reads()
-        site.model.forget_history()
+            site.model.serve_stale_reads()
+        site.model.drop_history()
         await asyncio.sleep(seconds)
-        site.model.moods.stale_reads = False
+        site.model.store_faults.stale_reads = False
 
 
 async def foreign_entries(site: Site, seconds: float) -> None:
     """Put entries of another writer into the list of workers, some of which cannot be decoded."""
     key = f"x{site.draws.randrange(3)}"
     if site.draws.random() < 0.5:
-        site.handlers.foreign[key] = site.draws.choice(FOREIGN_ROWS)
+        site.handlers.row_overrides[key] = site.draws.choice(FOREIGN_ROWS)
     site.model.put("servers", key, site.draws.choice(FOREIGN_ENTRIES))
     await asyncio.sleep(seconds)
     site.model.remove("servers", key)
-    site.handlers.foreign.pop(key, None)
+    site.handlers.row_overrides.pop(key, None)
 
 
 async def worker_fails(site: Site, seconds: float) -> None:
--- a/tests/soak/operator.py
+++ b/tests/soak/operator.py
@@ -57,7 +57,7 @@
         self._probes = 0
 
     def put_next(self) -> None:
-        """Put the next version; the store takes it at once, whatever its mood."""
+        """Put the next version; the store applies it at once, whatever its fault."""
         self.version += 1
         self._model.put("op", "config", document(self.version))
         self._put_at = self._troubles.now()
--- a/tests/test_backends_http.py
+++ b/tests/test_backends_http.py
@@ -183,7 +183,7 @@
     assert [row.row.key for row in (await records.read_table("list", 5.0)).rows] == ["w"]
     heard = await records.changes("list", 1, 5.0)
     assert [(row.row.key, row.version) for row in heard.rows] == [("w", 2)]
-    world.emulated_services.store.forget_history()
+    world.emulated_services.store.drop_history()
     assert await records.changes("list", 1, 5.0) == HistoryLost()
     removed = await records.transact((RowCondition(ROW, 1),), (RowWrite(ROW, None),), 5.0)
     assert removed.version == 3
--- a/tests/test_platform_node.py
+++ b/tests/test_platform_node.py
@@ -7,7 +7,7 @@
 
 from fake_worker import Answer, FakeWorker, events, raw_answer
 from foxwinch.core.records.budget import BudgetRecord
-from foxwinch.emulator.record_store import Mood
+from foxwinch.emulator.record_store import StoreFault
 from foxwinch.records.budgets import BUDGETS_TABLE
 from foxwinch.records.turns import TURNS_TABLE
 from platform_site import (
@@ -270,18 +270,20 @@
 async def test_a_stale_read_is_no_proof_that_a_turn_never_was():
     async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         first, second = await site.start_node(), await site.start_node()
-        site.model.hold_reads()
+        site.model.serve_stale_reads()
         await site.turn(first, "t1", path=RETAINED)
         reply = await site.turn(second, "t2", path=RETAINED, Previous_Turn="t1")
         assert reply.status == 503
 
 
-@pytest.mark.parametrize("mood", [Mood.BUSY, Mood.LIMITED, Mood.SILENT])
-async def test_without_the_store_a_history_is_refused_and_not_denied(mood):
+@pytest.mark.parametrize(
+    "fault", [StoreFault.BUSY, StoreFault.RATE_LIMITED, StoreFault.UNRESPONSIVE]
+)
+async def test_without_the_store_a_history_is_refused_and_not_denied(fault):
     async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         first, second = await site.start_node(), await site.start_node()
         await site.turn(first, "t1", path=RETAINED)
-        site.model.moods.mood = mood
+        site.model.store_faults.fault = fault
         reply = await site.turn(second, "t2", path=RETAINED, Previous_Turn="t1")
         assert reply.status == 503
         assert "Retry-After" in reply.headers
@@ -291,8 +293,10 @@
     async with site_of(FakeWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
         await site.turn(node, "t1", path=RETAINED)
-        site.model.moods.mood = Mood.BUSY
-        asyncio.get_running_loop().call_later(0.5, setattr, site.model.moods, "mood", Mood.WELL)
+        site.model.store_faults.fault = StoreFault.BUSY
+        asyncio.get_running_loop().call_later(
+            0.5, setattr, site.model.store_faults, "fault", StoreFault.NONE
+        )
         reply = await site.turn(node, "t2", path=RETAINED, Previous_Turn="t1")
         assert reply.whole
         assert any(row.key == "t2" for row in site.model.rows_of(TURNS_TABLE))
@@ -361,7 +365,7 @@
     async with site_of(FakeWorker(Answer())) as site:
         node = await site.start_node()
         site.model.put("op", "config", configuration(version=5))
-        site.model.forget_history()
+        site.model.drop_history()
 
         async def version():
             return node.node.routing.configuration.version
@@ -408,22 +412,22 @@
         await stopping
 
 
-@pytest.mark.parametrize("mood", [Mood.BUSY, Mood.SILENT])
-async def test_a_node_that_the_store_does_not_answer_sends_its_callers_elsewhere(site, mood):
+@pytest.mark.parametrize("fault", [StoreFault.BUSY, StoreFault.UNRESPONSIVE])
+async def test_a_node_that_the_store_does_not_answer_sends_its_callers_elsewhere(site, fault):
     node = await site.start_node()
-    site.model.moods.mood = mood
+    site.model.store_faults.fault = fault
     await until(lambda: site.ready(node), 503)
     reply = await site.ask(node, SAFE, "r1")
     assert reply.status == 200
     assert reply.headers["Connection"].lower() == "close"
-    site.model.moods.mood = Mood.WELL
+    site.model.store_faults.fault = StoreFault.NONE
     await until(lambda: site.ready(node), 200)
 
 
 async def test_a_node_stays_ready_while_a_part_of_the_store_is_down(site):
     node = await site.start_node(notice_ms=30_000)
-    site.model.moods.partitions = frozenset(f"{number:02x}" for number in range(256))
-    site.model.moods.mood = Mood.BUSY
+    site.model.store_faults.partitions = frozenset(f"{number:02x}" for number in range(256))
+    site.model.store_faults.fault = StoreFault.BUSY
     for number in range(3):
         assert (await site.turn(node, f"r{number}")).status == 503
         assert await site.ready(node) == 200
--- a/tests/test_program_budgets.py
+++ b/tests/test_program_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of programs over the stand-in store, in all its moods, on virtual time."""
+"""Budgets of programs over the emulated store under each of its faults, on virtual time."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 
 from foxwinch.core.records.account import Exhausted, Reserve
 from foxwinch.core.records.budget import BudgetRecord, Lease
-from foxwinch.emulator.record_store import Mood, RecordStoreModel
+from foxwinch.emulator.record_store import RecordStoreModel, StoreFault
 from foxwinch.outcomes import Refused, RunState
 from foxwinch.records.budgets import BUDGETS_TABLE, BudgetLedger, Reserved
 from foxwinch.records.partitions import partition_of
@@ -72,7 +72,7 @@
 async def test_the_next_turns_need_no_call(model, nodes):
     await nodes[0].reserve("r1", 2000)
     nodes[0].ledger.settle("p", "r1", 40)
-    model.moods.mood = Mood.SILENT
+    model.store_faults.fault = StoreFault.UNRESPONSIVE
     for number in range(2, 5):
         outcome = await nodes[0].reserve(f"r{number}", 2000)
         assert isinstance(outcome, Reserved)
@@ -95,7 +95,7 @@
     await asyncio.sleep(3.0)
     assert nodes[0].ledger.programs == 0
     before = model.calls.writes
-    model.moods.mood = Mood.SILENT
+    model.store_faults.fault = StoreFault.UNRESPONSIVE
     for number in range(10, 20):
         assert isinstance(await nodes[0].reserve(f"r{number}", 350), Exhausted)
     assert nodes[0].ledger.programs == 0
@@ -134,16 +134,16 @@
 async def test_a_lease_that_is_over_is_not_used(model, nodes):
     await nodes[0].reserve("r1", 2000)
     nodes[0].ledger.settle("p", "r1", 10)
-    model.moods.mood = Mood.SILENT
+    model.store_faults.fault = StoreFault.UNRESPONSIVE
     await asyncio.sleep(13.0)
     assert isinstance(await nodes[0].reserve("r2", 2000), Refused)
 
 
 async def test_a_lost_answer_neither_doubles_nor_loses_a_reservation(model, nodes):
-    model.moods.mood = Mood.LOSING
+    model.store_faults.fault = StoreFault.RESPONSE_LOST
     reserving = asyncio.ensure_future(nodes[0].reserve("r1", 1000, seconds=5.0))
     await asyncio.sleep(0.3)
-    model.moods.mood = Mood.WELL
+    model.store_faults.fault = StoreFault.NONE
     assert isinstance(await reserving, Reserved)
     nodes[0].ledger.settle("p", "r1", 70)
     await asyncio.sleep(4.0)
@@ -151,9 +151,9 @@
 
 
 async def test_a_late_write_of_a_refused_turn_is_harmless(model, nodes):
-    model.moods.mood = Mood.LATE
+    model.store_faults.fault = StoreFault.LATE_WRITE
     assert isinstance(await nodes[0].reserve("r1", 1000), Refused)
-    model.moods.mood = Mood.WELL
+    model.store_faults.fault = StoreFault.NONE
     assert isinstance(await nodes[1].reserve("r2", 1000), Reserved)
     nodes[1].ledger.settle("p", "r2", 30)
     await asyncio.sleep(25.0)
@@ -161,9 +161,11 @@
     assert stored(model).spent == 30
 
 
-@pytest.mark.parametrize("mood", [Mood.BUSY, Mood.LIMITED, Mood.SILENT])
-async def test_without_the_store_a_new_program_is_refused_in_time(model, nodes, mood):
-    model.moods.mood = mood
+@pytest.mark.parametrize(
+    "fault", [StoreFault.BUSY, StoreFault.RATE_LIMITED, StoreFault.UNRESPONSIVE]
+)
+async def test_without_the_store_a_new_program_is_refused_in_time(model, nodes, fault):
+    model.store_faults.fault = fault
     began = asyncio.get_running_loop().time()
     refused = await nodes[0].reserve("r1", 1000, seconds=0.9)
     assert isinstance(refused, Refused)
@@ -175,11 +177,11 @@
     for program in range(40):
         await nodes[0].reserve("r", 1000, program=f"p{program}")
         nodes[0].ledger.settle(f"p{program}", "r", 10)
-    model.moods.mood = Mood.BUSY
+    model.store_faults.fault = StoreFault.BUSY
     before = model.calls.writes
     await asyncio.sleep(10.0)
     assert model.calls.writes - before < 40 * 10
-    model.moods.mood = Mood.WELL
+    model.store_faults.fault = StoreFault.NONE
     await asyncio.sleep(6.0)
     assert nodes[0].ledger.programs == 0
 
@@ -194,7 +196,7 @@
 @example(seed=128, budget=300)  # A change in doubt was taken for one of an earlier account.
 @example(seed=306, budget=400)  # A lease that was over was written off before the store took it.
 def test_no_budget_is_overspent_whatever_the_store_does(seed, budget):
-    """Turns at three nodes while the store changes its mood and nodes stop dead."""
+    """Turns at three nodes while the store fails in changing ways and nodes are killed."""
     import looptime
 
     loop = looptime.new_event_loop()
@@ -227,15 +229,15 @@
 
     turns = []
     for number in range(40):
-        model.moods.mood = rng.choice([Mood.WELL] * 4 + list(Mood))
-        model.moods.late_seconds = rng.uniform(0.5, 6.0)
-        model.moods.delay_seconds = rng.choice([0.0, 0.005, 0.3, 0.9])
+        model.store_faults.fault = rng.choice([StoreFault.NONE] * 4 + list(StoreFault))
+        model.store_faults.late_seconds = rng.uniform(0.5, 6.0)
+        model.store_faults.delay_seconds = rng.choice([0.0, 0.005, 0.3, 0.9])
         turns.append(asyncio.ensure_future(turn(number)))
         if rng.random() < 0.05:
             dead = rng.randrange(3)
             await nodes[dead].tasks.stop()
             nodes[dead] = Node(model, clock, f"n{dead}-{number}")
-            model.moods.mood = Mood.WELL
+            model.store_faults.fault = StoreFault.NONE
             await nodes[dead].start()
         await asyncio.sleep(rng.choice([0.0, 0.2, 1.0, 5.0]))
     await asyncio.wait_for(asyncio.gather(*turns, return_exceptions=True), 60)
--- a/tests/test_program_trees.py
+++ b/tests/test_program_trees.py
@@ -8,7 +8,7 @@
 from foxwinch._generated.journal_pb2 import JournalRecord, ProgramFinished
 from foxwinch.emulator.faults import ServiceFaults
 from foxwinch.emulator.in_process import InProcessRecords
-from foxwinch.emulator.record_store import Mood, RecordStoreModel
+from foxwinch.emulator.record_store import RecordStoreModel, StoreFault
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.outcomes import Reason, Refused, RunState
 from foxwinch.records.partitions import partition_of
@@ -117,9 +117,9 @@
     trees = world.node("a", world.store)
     journal = (await trees.open(ROOT)).journal
     await journal.append([record("one")])
-    world.store.moods.mood = Mood.LATE
+    world.store.store_faults.fault = StoreFault.LATE_WRITE
     assert (await journal.append([record("lost")])).run_state is RunState.UNKNOWN
-    world.store.moods.mood = Mood.WELL
+    world.store.store_faults.fault = StoreFault.NONE
     assert await journal.append([record("two")]) is None
     await asyncio.sleep(10)
     found = texts(await trees.read(ROOT))
--- a/tests/test_record_watch.py
+++ b/tests/test_record_watch.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from foxwinch.emulator.record_store import Mood, RecordStoreModel
+from foxwinch.emulator.record_store import RecordStoreModel, StoreFault
 from foxwinch.platform.connections import CONNECT_SECONDS
 from foxwinch.records.ports import MAX_CONDITIONS
 from foxwinch.records.watch import (
@@ -74,27 +74,27 @@
 
 async def test_a_lost_history_is_made_good(model):
     async with watching(model) as seen:
-        model.moods.mood = Mood.BUSY
+        model.store_faults.fault = StoreFault.BUSY
         await asyncio.sleep(1.0)
         model.remove("t", "a")
         model.put("t", "b", b"2")
-        model.forget_history()
-        model.moods.mood = Mood.WELL
+        model.drop_history()
+        model.store_faults.fault = StoreFault.NONE
         await asyncio.sleep(3.0)
         assert seen.values == {"b": b"2"}
 
 
 async def test_an_old_read_never_takes_the_table_back(model):
     async with watching(model) as seen:
-        model.hold_reads()
+        model.serve_stale_reads()
         model.put("t", "a", b"2")
         await asyncio.sleep(0.1)
-        model.forget_history()
+        model.drop_history()
         model.put("t", "a", b"3")
-        model.forget_history()
+        model.drop_history()
         await asyncio.sleep(2.0)
         assert seen.values == {"a": b"3"}
-        model.moods.stale_reads = False
+        model.store_faults.stale_reads = False
         await asyncio.sleep(2.0)
         assert seen.values == {"a": b"3"}
         assert seen.versions == sorted(seen.versions)
@@ -104,13 +104,13 @@
 async def deaf_while_reads_are_old(model):
     """Within, the store changes unheard; then its history is gone and its reads stay old."""
     await asyncio.sleep(0.5)
-    model.moods.delay_seconds = 0.004
-    model.hold_reads()
-    model.moods.mood = Mood.SILENT
+    model.store_faults.delay_seconds = 0.004
+    model.serve_stale_reads()
+    model.store_faults.fault = StoreFault.UNRESPONSIVE
     yield
-    model.forget_history()
+    model.drop_history()
     await asyncio.sleep(1.0)
-    model.moods.mood = Mood.WELL
+    model.store_faults.fault = StoreFault.NONE
 
 
 async def test_a_removal_of_a_deaf_moment_is_heard_while_reads_are_old(model):
@@ -135,7 +135,7 @@
             model.put("t", "b", b"2")
         await asyncio.sleep(4.0)
         assert seen.watch.age_seconds() > 4.0
-        model.moods.stale_reads = False
+        model.store_faults.stale_reads = False
         await asyncio.sleep(2.0)
         assert seen.values == {"a": b"1", "b": b"2"}
         assert seen.watch.age_seconds() < 2.5
@@ -149,7 +149,7 @@
             model.put("t", "a", b"2")
         await asyncio.sleep(4.0)
         assert seen.values["a"] == b"1"
-        model.moods.stale_reads = False
+        model.store_faults.stale_reads = False
         await asyncio.sleep(2.0)
         assert seen.values["a"] == b"2"
 
@@ -178,11 +178,11 @@
         now = asyncio.get_running_loop().time()
         assert seen.since[0] == float("-inf")
         assert now - seen.since[-1] < 0.2
-        model.moods.mood = Mood.BUSY
+        model.store_faults.fault = StoreFault.BUSY
         await asyncio.sleep(4.0)
         gone = asyncio.get_running_loop().time()
         model.put("t", "a", b"3")
-        model.moods.mood = Mood.WELL
+        model.store_faults.fault = StoreFault.NONE
         await asyncio.sleep(1.0)
         assert seen.values == {"a": b"3"}
         assert gone - seen.since[-1] > 2.0
@@ -190,22 +190,24 @@
 
 async def test_a_transaction_that_is_refused_does_not_keep_a_new_read_away(model):
     async with watching(model) as seen:
-        model.moods.partitions = frozenset([""])
+        model.store_faults.partitions = frozenset([""])
         model.put("t", "a", b"2")
-        model.forget_history()
+        model.drop_history()
         await asyncio.sleep(1.0)
         assert seen.values == {"a": b"2"}
 
 
-@pytest.mark.parametrize("mood", [Mood.BUSY, Mood.LIMITED, Mood.SILENT])
-async def test_its_age_tells_how_long_the_store_is_gone(model, mood):
+@pytest.mark.parametrize(
+    "fault", [StoreFault.BUSY, StoreFault.RATE_LIMITED, StoreFault.UNRESPONSIVE]
+)
+async def test_its_age_tells_how_long_the_store_is_gone(model, fault):
     async with watching(model) as seen:
         await asyncio.sleep(2.5)
         assert seen.watch.age_seconds() < 2.5
-        model.moods.mood = mood
+        model.store_faults.fault = fault
         await asyncio.sleep(10.0)
         assert seen.watch.age_seconds() > 7.0
-        model.moods.mood = Mood.WELL
+        model.store_faults.fault = StoreFault.NONE
         model.put("t", "a", b"9")
         await asyncio.sleep(4.0)
         assert seen.values == {"a": b"9"}
@@ -216,9 +218,9 @@
 async def test_a_store_that_was_silent_is_heard_soon_after_its_return(model, away_seconds):
     async with watching(model) as seen:
         await asyncio.sleep(3.0)
-        model.moods.mood = Mood.SILENT
+        model.store_faults.fault = StoreFault.UNRESPONSIVE
         await asyncio.sleep(away_seconds + 2 * WAIT_SECONDS)
-        model.moods.mood = Mood.WELL
+        model.store_faults.fault = StoreFault.NONE
         model.put("t", "a", b"2")
         await asyncio.sleep(ANSWER_SECONDS + RETRY_BACKOFF.cap_seconds + NEW_ANSWER_SECONDS)
         assert seen.values == {"a": b"2"}
@@ -226,7 +228,7 @@
 
 async def test_a_store_that_is_down_is_asked_seldom(model):
     async with watching(model):
-        model.moods.mood = Mood.BUSY
+        model.store_faults.fault = StoreFault.BUSY
         await asyncio.sleep(1.0)
         before = model.calls.feeds
         await asyncio.sleep(10.0)
@@ -257,10 +259,10 @@
     watch = TableWatch(model, clock, "t", take, wait_seconds)
     following = asyncio.ensure_future(watch.run())
     await asyncio.sleep(0.5)
-    model.moods.mood = Mood.SILENT
+    model.store_faults.fault = StoreFault.UNRESPONSIVE
     await asyncio.sleep(wait_seconds + 0.1)
     model.put("t", "a", b"2")
-    model.moods.mood = Mood.WELL
+    model.store_faults.fault = StoreFault.NONE
     began = clock.monotonic()
     await heard.wait()
     following.cancel()
--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fake_worker import Answer, FakeWorker, events
-from foxwinch.emulator.record_store import Mood, RecordStoreModel
+from foxwinch.emulator.record_store import RecordStoreModel, StoreFault
 from foxwinch.records.watch import TableWatch
 from foxwinch.service_tasks import TaskFailedError
 from platform_site import SAFE, PlatformSite, configuration, until
@@ -41,13 +41,13 @@
         async def programs():
             return node.node.budgets.programs
 
-        site.model.moods.delay_seconds = 0.1
+        site.model.store_faults.delay_seconds = 0.1
         turns = (
             site.turn(node, f"r{number}", Program=f"p{number}")
             for number in range(KEPT_CONNECTIONS)
         )
         assert {reply.status for reply in await asyncio.gather(*turns)} == {200}
-        site.model.moods.delay_seconds = 0.0
+        site.model.store_faults.delay_seconds = 0.0
         await until(programs, 0)
         site.store_proxy.silence()
         site.model.put("op", "config", configuration(version=2))
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize("document", UNREADABLE_DOCUMENTS.values(), ids=UNREADABLE_DOCUMENTS)
 async def test_a_row_that_cannot_be_decoded_hides_no_drain(document, found):
     async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
-        site.handlers.foreign["x"] = document
+        site.handlers.row_overrides["x"] = document
         if found == "on the first read":
             site.model.put("servers", "x", b"{}")
         node = await site.start_node()
@@ -158,7 +158,7 @@
 async def test_a_change_of_a_deaf_moment_is_heard_while_reads_are_old():
     clock = VirtualClock()
     model = RecordStoreModel(clock)
-    model.moods.delay_seconds = 0.004
+    model.store_faults.delay_seconds = 0.004
     model.put("t", "a", b"1")
     values = {}
 
@@ -168,12 +168,12 @@
     watch = TableWatch(model, clock, "t", take)
     following = asyncio.ensure_future(watch.run())
     await asyncio.sleep(0.5)
-    model.hold_reads()
-    model.moods.mood = Mood.SILENT
+    model.serve_stale_reads()
+    model.store_faults.fault = StoreFault.UNRESPONSIVE
     model.put("t", "a", b"2")
-    model.forget_history()
+    model.drop_history()
     await asyncio.sleep(1.0)
-    model.moods.mood = Mood.WELL
+    model.store_faults.fault = StoreFault.NONE
     calls_before = model.calls.reads + model.calls.feeds
     await asyncio.sleep(4.0)
     following.cancel()
