--- a/src/foxwinch/bench/cluster_fuzz/oracle.py
+++ b/src/foxwinch/bench/cluster_fuzz/oracle.py
@@ -9,7 +9,7 @@
 from foxwinch.bench.cluster_fuzz.document import SHORT, SHORT_CALLS, TENANT
 from foxwinch.bench.cluster_fuzz.world import FuzzWorld
 from foxwinch.core.program.call_events import ProgramDetails
-from foxwinch.emulator.engine_answers import WORDS, history_marker
+from foxwinch.emulator.engine_responses import WORDS, history_marker
 
 LEAVING_SECONDS = 10.0
 """After which a leaving worker gets no new work, faults of the nodes included."""
@@ -107,7 +107,7 @@
         if not program.ended:
             continue
         for name, worker in world.workers.items():
-            if worker.holds(program.identity):
+            if worker.has_cache_of(program.identity):
                 raise PropertyError(MEMORY, f"{name} still holds {program.name}, which ended")
 
 
--- a/src/foxwinch/bench/cluster_fuzz/world.py
+++ b/src/foxwinch/bench/cluster_fuzz/world.py
@@ -42,7 +42,7 @@
 NOOP_CYCLES = 2
 """Idle turns of the loop before virtual time jumps; the default of 42 took most of a run."""
 PEER_PORT = 7000
-LOSSY = LinkFaults(loss=0.1, doubling=0.05, reordering=0.1)
+LOSSY = LinkFaults(loss=0.1, duplication=0.05, reordering=0.1)
 CALM = LinkFaults()
 
 
--- a/src/foxwinch/bench/failover/programs.py
+++ b/src/foxwinch/bench/failover/programs.py
@@ -10,7 +10,7 @@
 from foxwinch.bench.failover.calls import Ask, Attempt, Caller, LogicalCall, Outcome
 from foxwinch.bench.failover.cluster import FailoverCluster
 from foxwinch.core.program.identity import scoped_program_id
-from foxwinch.emulator.engine_answers import history_marker
+from foxwinch.emulator.engine_responses import history_marker
 from foxwinch.identifiers import TenantName
 from foxwinch.settings.cluster import ClusterConfiguration, TemplateSettings
 
--- a/src/foxwinch/bench/schedule/engines.py
+++ b/src/foxwinch/bench/schedule/engines.py
@@ -8,7 +8,7 @@
 from foxwinch.core.coordinator.calls import WorkerDescription
 from foxwinch.core.coordinator.events import BlockChange
 from foxwinch.emulator import engine_events as engine_side
-from foxwinch.emulator.block_cache import CacheLedger
+from foxwinch.emulator.block_cache import CacheStatistics
 from foxwinch.emulator.engine_model import EngineModel
 from foxwinch.emulator.engine_parameters import EngineParameters
 from foxwinch.identifiers import ModelName, WorkerId
@@ -52,7 +52,7 @@
         self._parameters = parameters
         self._simulator = simulator
         self._take_output = take_output
-        self._ledger = CacheLedger()
+        self._ledger = CacheStatistics()
         self._engines = [
             EngineModel(parameters, [MODEL], seed * 100 + number, self._ledger)
             for number in range(count)
--- a/src/foxwinch/emulator/__init__.py
+++ b/src/foxwinch/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for engines, tools and the platform, over HTTP or on virtual time."""
+"""Emulated engines, tools and platform services, over HTTP or on virtual time."""
--- a/src/foxwinch/emulator/cache_feed.py
+++ b/src/foxwinch/emulator/cache_feed.py
@@ -1,4 +1,4 @@
-"""What a modelled engine publishes: cache events late and with gaps, load with a lag."""
+"""The cache events of a modelled engine, published with a delay and with gaps."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -9,36 +9,36 @@
 from foxwinch.emulator.engine_parameters import EngineParameters
 
 SNAPSHOT_SEQUENCE = 0
-"""Reading after this sequence number gives a snapshot: `cleared`, then all blocks as `stored`."""
+"""Reading after this number returns a snapshot: `cleared`, then `stored` with all blocks."""
 HASH_RANGE = 2**64
 
 
 @dataclass(frozen=True, slots=True)
-class _Published:
+class _PublishedEvent:
     event: CacheEvent
     at_seconds: float
     lost: bool
 
 
 class CacheFeed:
-    """Cache events of one engine with sequence numbers from 1."""
+    """Cache events of one engine, with sequence numbers that start at 1."""
 
     def __init__(self, parameters: EngineParameters, seed: int) -> None:
-        """Lose events by `seed`, the same ones in every run."""
+        """Drop events by `seed`, so that every run loses the same ones."""
         self._parameters = parameters
         self._seed = seed
         self._sequence = 0
-        self._events: deque[_Published] = deque(maxlen=parameters.cache_event_history)
+        self._events: deque[_PublishedEvent] = deque(maxlen=parameters.cache_event_history)
 
     def publish(self, kind: str, hashes: tuple[int, ...], now: float) -> None:
-        """Record a change."""
+        """Record a change of the cache."""
         self._sequence += 1
         draw = xxhash.xxh64_intdigest(self._sequence.to_bytes(8, "little"), self._seed)
         lost = draw / HASH_RANGE < self._parameters.cache_event_loss
-        self._events.append(_Published(CacheEvent(self._sequence, kind, hashes), now, lost))
+        self._events.append(_PublishedEvent(CacheEvent(self._sequence, kind, hashes), now, lost))
 
     def page(self, after: int, cached: tuple[int, ...], now: float) -> CacheEventPage:
-        """Return the events after a sequence number that are old enough to be seen."""
+        """Return the events after a sequence number that are older than the event lag."""
         if after == SNAPSHOT_SEQUENCE:
             snapshot = (
                 CacheEvent(self._sequence, "cleared", ()),
@@ -46,15 +46,15 @@
             )
             return CacheEventPage(snapshot, self._sequence, gap=False)
         visible_until = now - self._parameters.cache_event_lag_seconds
-        seen: list[_Published] = []
+        visible: list[_PublishedEvent] = []
         for published in reversed(self._events):
             if published.event.sequence <= after:
                 break
             if published.at_seconds <= visible_until:
-                seen.append(published)
-        seen.reverse()
-        if not seen:
+                visible.append(published)
+        visible.reverse()
+        if not visible:
             return CacheEventPage((), after, gap=False)
-        gap = seen[0].event.sequence != after + 1 or any(p.lost for p in seen)
-        events = tuple(p.event for p in seen if not p.lost)
-        return CacheEventPage(events, seen[-1].event.sequence, gap)
+        gap = visible[0].event.sequence != after + 1 or any(p.lost for p in visible)
+        events = tuple(p.event for p in visible if not p.lost)
+        return CacheEventPage(events, visible[-1].event.sequence, gap)
--- a/src/foxwinch/emulator/clock.py
+++ b/src/foxwinch/emulator/clock.py
@@ -1,4 +1,4 @@
-"""A node's clock on virtual time: seeded, skewed and frozen from outside."""
+"""A node's clock on virtual time, with a seed, a skew and external pausing."""
 
 import asyncio
 import random
@@ -8,26 +8,26 @@
     """Implements `foxwinch.clock.Clock` on the running loop's (virtual) time."""
 
     def __init__(self, seed: int, wall_offset_seconds: float = 0.0) -> None:
-        """Draw from `seed`; `wall_offset_seconds` skews only the wall clock."""
+        """Draw random values from `seed`; `wall_offset_seconds` skews only the wall clock."""
         self.wall_offset_seconds = wall_offset_seconds
         self._random = random.Random(seed)
         self._running = asyncio.Event()
         self._running.set()
 
     def pause(self) -> None:
-        """Freeze the node: whoever sleeps goes on sleeping."""
+        """Pause the node: pending sleeps do not end before `resume`."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Wake the node: sleeps whose time has passed end at once, as after SIGCONT."""
+        """Resume the node: sleeps whose time has passed end immediately, as after SIGCONT."""
         self._running.set()
 
     def monotonic(self) -> float:
-        """Seconds of the running event loop."""
+        """Return the time of the running event loop in seconds."""
         return asyncio.get_running_loop().time()
 
     def wall(self) -> float:
-        """Seconds since an arbitrary moment, with the node's skew."""
+        """Return seconds since an arbitrary point in time, with the node's skew."""
         return self.monotonic() + self.wall_offset_seconds
 
     def identifier(self) -> str:
@@ -39,6 +39,6 @@
         return self._random.random()
 
     async def sleep(self, seconds: float) -> None:
-        """Wait, and as long as the node is frozen."""
+        """Sleep for `seconds`, and while the node is paused."""
         await asyncio.sleep(seconds)
         await self._running.wait()
--- a/src/foxwinch/emulator/emulated_services.py
+++ b/src/foxwinch/emulator/emulated_services.py
@@ -1,21 +1,21 @@
-"""All stand-ins of one process: their models, workers and fault gates."""
+"""All emulated services of one process: their models, workers and fault gates."""
 
 from foxwinch.clock import Clock
 from foxwinch.emulator.engine_worker import EngineWorker, EngineWorkerSettings
 from foxwinch.emulator.faults import FaultGate, ToolFaults
 from foxwinch.emulator.machines import MachineModel
 from foxwinch.emulator.record_store import RecordStoreModel
-from foxwinch.emulator.settings import EVERY_ENGINE, EmulatorSettings, FaultSettings
+from foxwinch.emulator.settings import ALL_ENGINES, EmulatorSettings, FaultSettings
 from foxwinch.emulator.tools import ToolModel
 from foxwinch.identifiers import ModelName, RegionName, ToolName, WorkerId, ZoneName
 from foxwinch.storage.ports import Machine
 
 
 class EmulatedServices:
-    """The state behind the emulator's HTTP side."""
+    """State behind the emulator's HTTP API."""
 
     def __init__(self, settings: EmulatorSettings, clock: Clock) -> None:
-        """Build every service with its faults."""
+        """Create every service with its faults."""
         self.settings = settings
         self.clock = clock
         self.store = RecordStoreModel(clock)
@@ -43,13 +43,13 @@
 
     @property
     def tool_faults(self) -> ToolFaults:
-        """Faults in force at the tools."""
+        """Active faults of the tools."""
         faults = self.tools_gate.faults
         assert isinstance(faults, ToolFaults)
         return faults
 
     def apply_faults(self, faults: FaultSettings) -> None:
-        """Put the faults of the named services in force."""
+        """Activate the faults of the named services."""
         if faults.store is not None:
             self.store_gate.faults = faults.store
         if faults.machines is not None:
@@ -57,12 +57,12 @@
         if faults.tools is not None:
             self.tools_gate.faults = faults.tools
         for name, engine in self.engines.items():
-            chosen = faults.engines.get(name) or faults.engines.get(EVERY_ENGINE)
+            chosen = faults.engines.get(name) or faults.engines.get(ALL_ENGINES)
             if chosen is not None:
                 engine.gate.faults = chosen
 
     def list_workers(self, address: str) -> None:
-        """Put every worker on the machine list, as one that has long been there."""
+        """Add every worker to the machine list as if it had always been listed."""
         region = RegionName(self.settings.region)
         workers = [(engine.name, engine.zone) for engine in self.settings.engines]
         workers += [(worker.name, worker.zone) for worker in self.settings.tool_workers]
@@ -73,6 +73,6 @@
         self.machines.change(listed, float("-inf"))
 
     def stop(self) -> None:
-        """Let nothing happen any more."""
+        """Stop all engines."""
         for engine in self.engines.values():
             engine.stop()
--- a/src/foxwinch/emulator/engine_batch.py
+++ b/src/foxwinch/emulator/engine_batch.py
@@ -1,4 +1,4 @@
-"""Calls in a modelled engine and the tokens that each step gives them."""
+"""Calls in a modelled engine, and the batch steps that produce their tokens."""
 
 from dataclasses import dataclass
 
@@ -9,54 +9,54 @@
 class EngineCall:
     """A call inside the engine, waiting or running."""
 
-    order: Submit
+    request: Submit
     sequence: int
-    """Order of arrival, which decides among equal priorities."""
-    produced: int
-    """Tokens of the answer that exist, those of an earlier run of this call included."""
-    prefill_left: int = 0
+    """Order of arrival, the tie-break among equal priorities."""
+    produced_tokens: int
+    """Response tokens produced so far, including those of an earlier run of this call."""
+    prefill_tokens_left: int = 0
     cached_tokens: int | None = None
-    """Prompt tokens found in the cache at the first start, None before it."""
-    pinned: int = 0
+    """Prompt tokens found in the cache when the call first started, None before."""
+    pinned_blocks: int = 0
     """Leading blocks that this call pins in the cache."""
-    reserved: int = 0
-    """Blocks reserved and not yet stored."""
+    reserved_blocks: int = 0
+    """Blocks that are reserved but not yet stored."""
     running: bool = False
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Sort key: more urgent first, then earlier."""
-        return (self.order.priority, self.sequence)
+        """Sort key that orders by urgency, then by arrival."""
+        return (self.request.priority, self.sequence)
 
     @property
     def context_tokens(self) -> int:
-        """Tokens that must be in memory before the next one can be produced."""
-        return self.order.prompt_tokens + self.produced
+        """Tokens that must be in the cache before the next token can be produced."""
+        return self.request.prompt_tokens + self.produced_tokens
 
     @property
-    def output_left(self) -> int:
-        """Tokens of the answer still to produce."""
-        return self.order.output_tokens - self.produced
+    def output_tokens_left(self) -> int:
+        """Response tokens still to be produced."""
+        return self.request.output_tokens - self.produced_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """One or more equal steps of the batch."""
+    """One or more identical consecutive steps of the batch."""
 
     start_seconds: float
     step_seconds: float
     steps: int
     decoding: tuple[EngineCall, ...]
     prefill: tuple[tuple[EngineCall, int], ...]
-    """Calls that prefill in this step and how many tokens; then there is one step."""
+    """Calls that prefill, with their numbers of tokens; if there are any, `steps` is 1."""
 
     @property
     def end_seconds(self) -> float:
-        """When the last step ends."""
+        """Time at which the last step ends."""
         return self.start_seconds + self.step_seconds * self.steps
 
-    def cut_at(self, now: float) -> "Segment":
-        """Return the segment ending with the step that runs at `now`."""
+    def truncated_at(self, now: float) -> "Segment":
+        """Return the segment shortened to end with the step that runs at `now`."""
         done = int((now - self.start_seconds) / self.step_seconds) + 1
         steps = max(1, min(self.steps, done))
         return Segment(self.start_seconds, self.step_seconds, steps, self.decoding, self.prefill)
--- a/src/foxwinch/emulator/engine_driver.py
+++ b/src/foxwinch/emulator/engine_driver.py
@@ -1,4 +1,4 @@
-"""Drives the model of an engine on the event loop's time, which a test may make virtual."""
+"""Runs the engine model on the time of the event loop, which may be virtual in tests."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -29,7 +29,7 @@
 
 
 class EngineDriver:
-    """Feeds inputs to a model, wakes it when something is due, and hands its outputs out."""
+    """Feeds inputs and timer ticks to a model, and dispatches its outputs to the waiting calls."""
 
     def __init__(self, model: EngineModel) -> None:
         """Drive `model`; nothing runs until the first input."""
@@ -39,53 +39,53 @@
         self._completions: dict[str, asyncio.Future[EngineOutput]] = {}
 
     def load_report(self, age_seconds: float = 0.0) -> LoadReport:
-        """Return the load, `age_seconds` older than the model's own lag."""
+        """Return the load, `age_seconds` older than with the model's own lag."""
         return self._model.load_report(self._now() - age_seconds)
 
     def cache_events(self, after: int, age_seconds: float = 0.0) -> CacheEventPage:
-        """Return cache events, `age_seconds` later than the model's own lag."""
+        """Return cache events, delayed by `age_seconds` beyond the model's own lag."""
         return self._model.cache_events(after, self._now() - age_seconds)
 
-    def tell(self, event: EngineInput) -> None:
-        """Feed an input that has no answer."""
+    def feed(self, event: EngineInput) -> None:
+        """Feed an input without waiting for an output."""
         self._handle(event)
 
-    async def run(self, order: Submit) -> AsyncGenerator[CallOutput, None]:
-        """Run a call; the last output is completed, stopped or rejected.
+    async def run(self, request: Submit) -> AsyncGenerator[CallOutput, None]:
+        """Run a call and yield its outputs; the last is completed, stopped or rejected.
 
-        A call of the same name that still runs is stopped first: its reader has gone away.
-        Closing the iterator early cancels the call.
+        A call with the same identifier that still runs is stopped first, because its reader has
+        disconnected. Closing the iterator early cancels the call.
         """
-        if order.call_id in self._calls:
-            self._handle(CancelCall(order.call_id))
+        if request.call_id in self._calls:
+            self._handle(CancelCall(request.call_id))
         queue: asyncio.Queue[CallOutput] = asyncio.Queue()
-        self._calls[order.call_id] = queue
-        over = False
+        self._calls[request.call_id] = queue
+        finished = False
         try:
-            self._handle(order)
-            while not over:
+            self._handle(request)
+            while not finished:
                 output = await queue.get()
-                over = not isinstance(output, TokensProduced)
+                finished = not isinstance(output, TokensProduced)
                 yield output
         finally:
-            if self._calls.get(order.call_id) is queue:
-                del self._calls[order.call_id]
-                if not over:
-                    self._handle(CancelCall(order.call_id))
+            if self._calls.get(request.call_id) is queue:
+                del self._calls[request.call_id]
+                if not finished:
+                    self._handle(CancelCall(request.call_id))
 
     async def complete(
         self, name: str, event: LoadModel | UnloadModel | ExportBlocks | ImportBlocks
     ) -> EngineOutput:
-        """Feed an input named `name` (its token or transfer) and wait for its completion."""
-        waiting = self._completions.get(name)
-        if waiting is None:
-            waiting = asyncio.get_running_loop().create_future()
-            self._completions[name] = waiting
+        """Feed an input, identified by its token or transfer as `name`, and wait for completion."""
+        completion = self._completions.get(name)
+        if completion is None:
+            completion = asyncio.get_running_loop().create_future()
+            self._completions[name] = completion
             self._handle(event)
-        return await asyncio.shield(waiting)
+        return await asyncio.shield(completion)
 
     def stop(self) -> None:
-        """Let nothing happen any more."""
+        """Cancel the timer, so that the model does not advance any more."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -95,24 +95,24 @@
 
     def _handle(self, event: EngineInput) -> None:
         for output in self._model.handle(event, self._now()):
-            self._hand_out(output)
+            self._dispatch(output)
         self._set_timer()
 
-    def _hand_out(self, output: EngineOutput) -> None:
+    def _dispatch(self, output: EngineOutput) -> None:
         match output:
             case OrderCompleted():
-                self._finish(output.token, output)
+                self._resolve(output.token, output)
             case BlocksExported() | BlocksImported():
-                self._finish(output.transfer, output)
+                self._resolve(output.transfer, output)
             case _:
                 queue = self._calls.get(output.call_id)
                 if queue is not None:
                     queue.put_nowait(output)
 
-    def _finish(self, name: str, output: EngineOutput) -> None:
-        waiting = self._completions.pop(name, None)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(output)
+    def _resolve(self, name: str, output: EngineOutput) -> None:
+        completion = self._completions.pop(name, None)
+        if completion is not None and not completion.done():
+            completion.set_result(output)
 
     def _set_timer(self) -> None:
         self.stop()
--- a/src/foxwinch/emulator/engine_events.py
+++ b/src/foxwinch/emulator/engine_events.py
@@ -1,10 +1,10 @@
-"""What goes into the model of an engine and what comes out of it."""
+"""Inputs and outputs of the engine model."""
 
 from dataclasses import dataclass
 
 from foxwinch.identifiers import CallId, ModelName, ProgramId
 
-# --- into the engine -------------------------------------------------------------------------
+# --- inputs ----------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,16 +17,16 @@
     prompt_tokens: int
     output_tokens: int
     block_hashes: tuple[int, ...]
-    """Chained hashes of the whole blocks of the prompt and of the answer, prompt first.
+    """Chained hashes of the full blocks of the prompt, then of the response.
 
-    The model knows in advance what the answer will be; an engine would hash it when done.
+    The model gets the response in advance; a real engine would hash it once it is generated.
     """
     priority: int = 0
-    """Lower is more urgent."""
+    """Lower values are more urgent."""
     produced_tokens: int = 0
-    """Tokens of the answer that the caller already has: a resumed call sends only what follows."""
+    """Response tokens that the caller already has; a resumed call sends only the following ones."""
     adapter: str = ""
-    """Adapter that must be loaded, or empty."""
+    """Adapter that the call needs, or empty."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,21 +38,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseProgram:
-    """Free the blocks that only this program has used."""
+    """Free the blocks that only this program uses."""
 
     program_id: ProgramId
 
 
 @dataclass(frozen=True, slots=True)
 class ProgramEnded:
-    """Measurement only: from now on this program's own blocks count as held for the dead."""
+    """Count this program's own blocks as held for an ended program; affects statistics only."""
 
     program_id: ProgramId
 
 
 @dataclass(frozen=True, slots=True)
 class ExportBlocks:
-    """Read blocks out over the link; those that are not cached are left out."""
+    """Read cached blocks over the link; blocks that are not cached are omitted."""
 
     transfer: str
     block_hashes: tuple[int, ...]
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ImportBlocks:
-    """Write blocks that another engine exported, over the link."""
+    """Write blocks exported by another engine, over the link."""
 
     transfer: str
     program_id: ProgramId
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadModel:
-    """Load a model (or, with `adapter`, an adapter of it) from the weight store."""
+    """Load a model, or with `adapter` one of its adapters, from the weight store."""
 
     token: str
     model: ModelName
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnloadModel:
-    """Unload a model or an adapter; calls of it that wait are refused."""
+    """Unload a model or an adapter; waiting calls that need it are rejected."""
 
     token: str
     model: ModelName
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Nothing but that time has come to `now`."""
+    """Advance the time without any other input."""
 
 
 EngineInput = (
@@ -102,12 +102,12 @@
     | Tick
 )
 
-# --- out of the engine -----------------------------------------------------------------------
+# --- outputs ---------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class TokensProduced:
-    """A running call has produced `tokens` more tokens at `at_seconds`."""
+    """A running call produced `tokens` more tokens at `at_seconds`."""
 
     call_id: CallId
     tokens: int
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallCompleted:
-    """A call has produced its whole answer."""
+    """A call produced its complete response."""
 
     call_id: CallId
     prompt_tokens: int
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRejected:
-    """A call was not run: its model is not loaded, or it can never fit in memory."""
+    """A call was not run because its model is not loaded or it exceeds the cache capacity."""
 
     call_id: CallId
     detail: str
@@ -145,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlocksExported:
-    """The export is read; the hashes that were cached at its start."""
+    """An export is complete; `block_hashes` are the leading blocks that were cached."""
 
     transfer: str
     block_hashes: tuple[int, ...]
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlocksImported:
-    """The import is written; `blocks` found room."""
+    """An import is complete; `blocks` is the number of blocks for which there was room."""
 
     transfer: str
     blocks: int
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderCompleted:
-    """A load or unload is done."""
+    """A load or unload is complete."""
 
     token: str
     at_seconds: float
--- a/src/foxwinch/emulator/engine_model.py
+++ b/src/foxwinch/emulator/engine_model.py
@@ -1,25 +1,25 @@
-"""A pure model of one model engine: continuous batching over a limited prefix cache.
+"""A pure model of one inference engine: continuous batching over a limited prefix cache.
 
 The same model runs on virtual time and, behind an HTTP server, in real time. It does no I/O and
 reads no clock. To drive it:
 
     engine = EngineModel(load_engine_parameters(), models=("rail-chat",))
-    outputs = engine.handle(Submit(...), now)      # feed an input; get what has happened until now
-    wake_at = engine.next_event_time()             # None: nothing will happen without an input
-    outputs = engine.handle(TimePassed(), wake_at) # call again no later than that
-    engine.load_report(now)                        # lagging load, as `LoadReport`
-    engine.cache_events(after, now)                # lagging, gapped events, as `CacheEventPage`
+    outputs = engine.handle(Submit(...), now)      # feed an input and get the outputs up to now
+    wake_at = engine.next_event_time()             # None if nothing happens without an input
+    outputs = engine.handle(Tick(), wake_at)       # call again no later than that
+    engine.load_report(now)                        # delayed load, as `LoadReport`
+    engine.cache_events(after, now)                # delayed events with gaps, as `CacheEventPage`
 
-`handle` first brings the engine to `now`, then applies the input; `now` must never go back, and
-may be later than `next_event_time()` (all steps until then are carried out, each output bearing
-its own `at_seconds`). Equal steps are joined into one event on virtual time and `TokensProduced`
-is left out; a real-time server passes `steps_per_event=1` to get each token when it is due.
+`handle` first advances the engine to `now`, then applies the input. `now` must never decrease. It
+may be later than `next_event_time()`: all steps until then are executed, and each output has its
+own `at_seconds`. On virtual time, identical steps are merged into one event and `TokensProduced`
+is omitted; a real-time server passes `steps_per_event=1` to get each token when it is due.
 
 Scheduling inside the engine: calls enter the batch by priority (lower first), then by arrival,
-when a batch slot and memory for prompt and answer are free. A waiting call that does not fit
-preempts running calls of strictly lower urgency; a preempted call keeps its tokens, goes back to
-waiting, and prefills again whatever of its blocks was evicted meanwhile. A step gives one token
-to each decoding call and the rest of its token budget to prefill, by priority then arrival.
+when a batch slot and memory for prompt and response are free. A waiting call that does not fit
+preempts running calls of strictly lower urgency. A preempted call keeps its tokens, waits again,
+and repeats the prefill of those of its blocks that were evicted meanwhile. A step gives one token
+to each decoding call and the rest of its token budget to prefill, by priority, then by arrival.
 """
 
 import heapq
@@ -27,7 +27,7 @@
 from collections.abc import Iterable
 
 from foxwinch.backends.ports import CacheEventPage, LoadReport
-from foxwinch.emulator.block_cache import BlockCache, CacheLedger
+from foxwinch.emulator.block_cache import BlockCache, CacheStatistics
 from foxwinch.emulator.cache_feed import CacheFeed
 from foxwinch.emulator.engine_batch import EngineCall, Segment
 from foxwinch.emulator.engine_events import (
@@ -58,25 +58,25 @@
 
 
 class EngineModel:
-    """One engine."""
+    """Model of one inference engine."""
 
     def __init__(
         self,
         parameters: EngineParameters,
         models: Iterable[str] = (),
         seed: int = 0,
-        ledger: CacheLedger | None = None,
+        statistics: CacheStatistics | None = None,
         weights: WeightStore | None = None,
         steps_per_event: int = UNBOUNDED_STEPS,
     ) -> None:
-        """Start idle with `models` loaded; a pool shares `ledger` and `weights`."""
+        """Start idle with `models` loaded; a pool shares `statistics` and `weights`."""
         self._parameters = parameters
         self._steps_per_event = steps_per_event
-        self._ledger = ledger if ledger is not None else CacheLedger()
+        self._statistics = statistics if statistics is not None else CacheStatistics()
         self._weights = weights or WeightStore(parameters.weight_store_bytes_per_second)
         self._feed = CacheFeed(parameters, seed)
         self.cache = BlockCache(
-            parameters.cache_blocks, parameters.block_tokens, self._ledger, self._feed.publish
+            parameters.cache_blocks, parameters.block_tokens, self._statistics, self._feed.publish
         )
         self._loaded: dict[tuple[str, str], None] = {(model, ""): None for model in models}
         self._waiting: list[EngineCall] = []
@@ -98,15 +98,15 @@
         outputs: list[EngineOutput] = []
         self._advance(now, outputs)
         self._apply(event, now, outputs)
-        if self._segment is not None and (self._waiting or self._finished_early()):
-            self._segment = self._segment.cut_at(now)
+        if self._segment is not None and (self._waiting or self._has_departed_call()):
+            self._segment = self._segment.truncated_at(now)
         if self._segment is None:
             self._start_segment(now)
         self._record_load(now)
         return outputs
 
     def next_event_time(self) -> float | None:
-        """Return when something happens next without an input, or None."""
+        """Return the time of the next event that needs no input, or None."""
         times = []
         if self._segment is not None:
             times.append(self._segment.end_seconds)
@@ -115,7 +115,7 @@
         return min(times, default=None)
 
     def load_report(self, now: float) -> LoadReport:
-        """Return the load as it was one lag ago."""
+        """Return the load as of one reporting lag before `now`."""
         visible = now - self._parameters.load_lag_seconds
         running = waiting = used = 0
         for at, *load in self._load_history:
@@ -125,7 +125,7 @@
         return LoadReport(running, waiting, used, self._parameters.cache_blocks, self._models())
 
     def cache_events(self, after: int, now: float) -> CacheEventPage:
-        """Return the cache events after a sequence number; after 0 a snapshot of all blocks."""
+        """Return the cache events after a sequence number, or a snapshot of all blocks after 0."""
         return self._feed.page(after, self.cache.hashes(), now)
 
     # --- inputs ------------------------------------------------------------------------------
@@ -154,23 +154,23 @@
     def _weight_bytes(self, event: LoadModel) -> float:
         return self._parameters.adapter_bytes if event.adapter else self._parameters.model_bytes
 
-    def _submit(self, order: Submit, now: float, outputs: list[EngineOutput]) -> None:
-        needed = self._parameters.blocks_of(order.prompt_tokens + order.output_tokens)
-        if (order.model, "") not in self._loaded or (
-            order.model,
-            order.adapter,
+    def _submit(self, request: Submit, now: float, outputs: list[EngineOutput]) -> None:
+        needed = self._parameters.blocks_of(request.prompt_tokens + request.output_tokens)
+        if (request.model, "") not in self._loaded or (
+            request.model,
+            request.adapter,
         ) not in self._loaded:
-            outputs.append(CallRejected(order.call_id, f"{order.model} is not loaded", now))
+            outputs.append(CallRejected(request.call_id, f"{request.model} is not loaded", now))
         elif needed > self.cache.capacity_blocks:
-            outputs.append(CallRejected(order.call_id, "the call exceeds the memory", now))
+            outputs.append(CallRejected(request.call_id, "the call exceeds the memory", now))
         else:
             self._sequence += 1
-            self._waiting.append(EngineCall(order, self._sequence, order.produced_tokens))
+            self._waiting.append(EngineCall(request, self._sequence, request.produced_tokens))
             self._waiting.sort(key=lambda call: call.rank)
 
     def _cancel(self, call_id: CallId, now: float, outputs: list[EngineOutput]) -> None:
         for call in self._waiting + self._running:
-            if call.order.call_id == call_id:
+            if call.request.call_id == call_id:
                 if call in self._running:
                     self._leave_batch(call, now)
                 else:
@@ -182,10 +182,10 @@
             if model == event.model and (not event.adapter or adapter == event.adapter):
                 del self._loaded[(model, adapter)]
         for call in list(self._waiting):
-            if (call.order.model, call.order.adapter) not in self._loaded:
+            if (call.request.model, call.request.adapter) not in self._loaded:
                 self._waiting.remove(call)
                 detail = f"{event.model} was unloaded"
-                outputs.append(CallRejected(call.order.call_id, detail, now))
+                outputs.append(CallRejected(call.request.call_id, detail, now))
         outputs.append(OrderCompleted(event.token, now))
 
     def _set_timer(self, at: float, event: LoadModel | ExportBlocks | ImportBlocks) -> None:
@@ -206,14 +206,14 @@
 
     def _import(self, event: ImportBlocks, now: float) -> int:
         start = self.cache.cached_prefix(event.block_hashes)
-        head = event.block_hashes[:start]
-        self.cache.pin(head, event.program_id, now)
+        cached_hashes = event.block_hashes[:start]
+        self.cache.pin(cached_hashes, event.program_id, now)
         room = min(self.cache.available_blocks(), len(event.block_hashes) - start)
-        fresh = event.block_hashes[start : start + room]
+        new_hashes = event.block_hashes[start : start + room]
         self.cache.reserve(room, now)
-        self.cache.store(fresh, event.program_id, now)
-        self.cache.unpin(head + fresh, now)
-        return len(fresh)
+        self.cache.store(new_hashes, event.program_id, now)
+        self.cache.unpin(cached_hashes + new_hashes, now)
+        return len(new_hashes)
 
     # --- time --------------------------------------------------------------------------------
 
@@ -236,41 +236,43 @@
         self.busy_seconds += at - segment.start_seconds
         for call, tokens in segment.prefill:
             if call.running:
-                self._prefilled(call, tokens, at, outputs)
+                self._add_prefill(call, tokens, at, outputs)
         for call in segment.decoding:
             if call.running:
-                self._produced(call, segment.steps, at, outputs)
+                self._add_output(call, segment.steps, at, outputs)
 
-    def _prefilled(
+    def _add_prefill(
         self, call: EngineCall, tokens: int, at: float, outputs: list[EngineOutput]
     ) -> None:
-        before = call.context_tokens - call.prefill_left
-        call.prefill_left -= tokens
+        before = call.context_tokens - call.prefill_tokens_left
+        call.prefill_tokens_left -= tokens
         self._count_prefill(call, before, tokens)
         self._store_blocks(call, before + tokens, at)
-        if call.prefill_left == 0:
-            self._produced(call, 1, at, outputs)
+        if call.prefill_tokens_left == 0:
+            self._add_output(call, 1, at, outputs)
 
-    def _produced(
+    def _add_output(
         self, call: EngineCall, tokens: int, at: float, outputs: list[EngineOutput]
     ) -> None:
-        call.produced += tokens
+        call.produced_tokens += tokens
         if self._steps_per_event < UNBOUNDED_STEPS:
-            outputs.append(TokensProduced(call.order.call_id, tokens, at))
-        if call.produced < call.order.output_tokens:
+            outputs.append(TokensProduced(call.request.call_id, tokens, at))
+        if call.produced_tokens < call.request.output_tokens:
             return
         self._leave_batch(call, at)
-        order = call.order
+        request = call.request
         cached = call.cached_tokens or 0
-        outputs.append(CallCompleted(order.call_id, order.prompt_tokens, cached, call.produced, at))
+        outputs.append(
+            CallCompleted(request.call_id, request.prompt_tokens, cached, call.produced_tokens, at)
+        )
 
     def _count_prefill(self, call: EngineCall, before: int, tokens: int) -> None:
         size = self._parameters.block_tokens
-        program = call.order.program_id
-        hashes = call.order.block_hashes[before // size : -(-(before + tokens) // size)]
+        program = call.request.program_id
+        hashes = call.request.block_hashes[before // size : -(-(before + tokens) // size)]
         wasted = 0
         for index, block_hash in enumerate(hashes, before // size):
-            if block_hash in self._ledger.known:
+            if block_hash in self._statistics.computed_blocks:
                 wasted += min(before + tokens, (index + 1) * size) - max(before, index * size)
         self.prefill_tokens[program] = self.prefill_tokens.get(program, 0) + tokens
         self.wasted_prefill_tokens[program] = self.wasted_prefill_tokens.get(program, 0) + wasted
@@ -281,17 +283,17 @@
         self._admit(now)
         if not self._running:
             return
-        decoding = [call for call in self._running if call.prefill_left == 0]
+        decoding = [call for call in self._running if call.prefill_tokens_left == 0]
         budget = max(1, self._parameters.step_tokens - len(decoding))
         prefill = []
         for call in sorted(self._running, key=lambda call: call.rank):
-            tokens = min(budget, call.prefill_left)
+            tokens = min(budget, call.prefill_tokens_left)
             if tokens > 0:
                 prefill.append((call, tokens))
                 budget -= tokens
         steps = 1
         if not prefill:
-            steps = min(self._steps_per_event, *(call.output_left for call in decoding))
+            steps = min(self._steps_per_event, *(call.output_tokens_left for call in decoding))
         parameters = self._parameters
         step_seconds = (
             parameters.step_base_seconds
@@ -305,7 +307,7 @@
             call = self._waiting[0]
             while not self._fits(call):
                 victim = max(self._running, key=lambda running: running.rank, default=None)
-                if victim is None or victim.order.priority <= call.order.priority:
+                if victim is None or victim.request.priority <= call.request.priority:
                     return
                 self._preempt(victim, now)
             self._waiting.remove(call)
@@ -318,24 +320,24 @@
         return self._total_blocks(call) - len(hits) <= self.cache.available_blocks(hits)
 
     def _hits(self, call: EngineCall) -> tuple[int, ...]:
-        """Return the leading blocks found in the cache; the last context token is computed."""
-        whole = (call.context_tokens - 1) // self._parameters.block_tokens
-        hashes = call.order.block_hashes[:whole]
+        """Return the leading blocks found in the cache; the last context token is never cached."""
+        full_blocks = (call.context_tokens - 1) // self._parameters.block_tokens
+        hashes = call.request.block_hashes[:full_blocks]
         return hashes[: self.cache.cached_prefix(hashes)]
 
     def _total_blocks(self, call: EngineCall) -> int:
-        return self._parameters.blocks_of(call.order.prompt_tokens + call.order.output_tokens)
+        return self._parameters.blocks_of(call.request.prompt_tokens + call.request.output_tokens)
 
     def _enter_batch(self, call: EngineCall, now: float) -> None:
         hits = self._hits(call)
-        self.cache.pin(hits, call.order.program_id, now)
-        call.pinned = len(hits)
-        call.reserved = self._total_blocks(call) - len(hits)
-        self.cache.reserve(call.reserved, now)
+        self.cache.pin(hits, call.request.program_id, now)
+        call.pinned_blocks = len(hits)
+        call.reserved_blocks = self._total_blocks(call) - len(hits)
+        self.cache.reserve(call.reserved_blocks, now)
         cached = len(hits) * self._parameters.block_tokens
-        call.prefill_left = call.context_tokens - cached
+        call.prefill_tokens_left = call.context_tokens - cached
         if call.cached_tokens is None:
-            call.cached_tokens = min(cached, call.order.prompt_tokens)
+            call.cached_tokens = min(cached, call.request.prompt_tokens)
         self._running.append(call)
         call.running = True
 
@@ -345,24 +347,26 @@
         self._waiting.sort(key=lambda waiting: waiting.rank)
 
     def _leave_batch(self, call: EngineCall, now: float) -> None:
-        self._store_blocks(call, call.context_tokens - call.prefill_left, now)
+        self._store_blocks(call, call.context_tokens - call.prefill_tokens_left, now)
         self._running.remove(call)
         call.running = False
-        self.cache.unpin(call.order.block_hashes[: call.pinned], now)
-        self.cache.unreserve(call.reserved)
-        call.pinned = call.reserved = 0
+        self.cache.unpin(call.request.block_hashes[: call.pinned_blocks], now)
+        self.cache.unreserve(call.reserved_blocks)
+        call.pinned_blocks = call.reserved_blocks = 0
 
     def _store_blocks(self, call: EngineCall, computed_tokens: int, now: float) -> None:
-        """Make the whole blocks among the computed tokens known to the cache."""
-        whole = min(computed_tokens // self._parameters.block_tokens, len(call.order.block_hashes))
-        fresh = call.order.block_hashes[call.pinned : whole]
-        if fresh:
-            self.cache.store(fresh, call.order.program_id, now)
-            call.reserved -= len(fresh)
-            call.pinned = whole
-
-    def _finished_early(self) -> bool:
-        """Tell whether the segment holds a call that has left the batch."""
+        """Store the full blocks of the computed tokens in the cache."""
+        full_blocks = min(
+            computed_tokens // self._parameters.block_tokens, len(call.request.block_hashes)
+        )
+        new_hashes = call.request.block_hashes[call.pinned_blocks : full_blocks]
+        if new_hashes:
+            self.cache.store(new_hashes, call.request.program_id, now)
+            call.reserved_blocks -= len(new_hashes)
+            call.pinned_blocks = full_blocks
+
+    def _has_departed_call(self) -> bool:
+        """Return whether a decoding call of the segment has left the batch."""
         segment = self._segment
         return segment is not None and any(not call.running for call in segment.decoding)
 
--- a/src/foxwinch/emulator/engine_parameters.py
+++ b/src/foxwinch/emulator/engine_parameters.py
@@ -1,4 +1,4 @@
-"""Parameters of the model of one engine, read from the file beside this module."""
+"""Parameters of the engine model, read from `engine_parameters.toml`."""
 
 import tomllib
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineParameters:
-    """What one engine can do; sources and reasons stand in `engine_parameters.toml`."""
+    """Capacity and speed of one engine; `engine_parameters.toml` gives the source of each value."""
 
     block_tokens: int
     cache_blocks: int
@@ -27,16 +27,16 @@
     cache_event_history: int
 
     def transfer_seconds(self, blocks: int) -> float:
-        """Return the time that the link takes to carry cache blocks."""
+        """Return the time that the link takes to transfer cache blocks."""
         size = blocks * self.block_tokens * self.cache_bytes_per_token
         return size / self.link_bytes_per_second
 
     def blocks_of(self, tokens: int) -> int:
-        """Return the number of blocks that hold `tokens`, the last one perhaps in part."""
+        """Return the number of blocks that hold `tokens`, counting a partial last block."""
         return -(-tokens // self.block_tokens)
 
 
 def load_engine_parameters() -> EngineParameters:
-    """Read the parameters that are shipped in the package."""
+    """Return the parameters that ship with the package."""
     text = files("foxwinch.emulator").joinpath("engine_parameters.toml").read_text("utf-8")
     return EngineParameters(**tomllib.loads(text))
--- a/src/foxwinch/emulator/http_engine.py
+++ b/src/foxwinch/emulator/http_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in engines over HTTP: many workers in one process, told apart by the URL's path."""
+"""Emulated engines over HTTP: many workers in one process, distinguished by the URL path."""
 
 import json
 from contextlib import aclosing
@@ -27,19 +27,19 @@
 )
 from foxwinch.emulator.emulated_services import EmulatedServices
 from foxwinch.emulator.engine_worker import EngineWorker
-from foxwinch.emulator.faults import AnswerFate
-from foxwinch.emulator.http_faults import answer, break_connection, refusal_response, refused_at
+from foxwinch.emulator.faults import ResponseOutcome
+from foxwinch.emulator.http_faults import abort_connection, check_gate, refusal_response, respond
 from foxwinch.identifiers import CallId, Epoch, ModelName, ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 
 WORKER = "/workers/{worker}"
-END_OF_STREAM = b"data: [DONE]\n\n"
+DONE_FRAME = b"data: [DONE]\n\n"
 STREAM_HEADERS = {"Content-Type": "text/event-stream"}
 NO_SUCH_WORKER = not_run(Reason.NOT_FOUND, "no such worker")
 
 
 class EngineHandlers:
-    """Handlers of the engines."""
+    """HTTP handlers of the engines."""
 
     def __init__(self, emulated_services: EmulatedServices) -> None:
         """Serve the engines of `emulated_services`."""
@@ -58,22 +58,22 @@
         router.add_post(f"{WORKER}/orders", self.apply_order)
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
-        """Stream an answer."""
+        """Stream a response to a chat completion."""
         body = await request.read()
         engine = await self._enter(request)
         if isinstance(engine, web.Response):
             return engine
         try:
-            order = _generate_order(request, body)
+            generate_request = _parse_generate_request(request, body)
         except (ValueError, KeyError, TypeError, AttributeError):
             return refusal_response(not_run(Reason.INVALID_REQUEST, "not a chat completion"))
-        fate = await engine.gate.leave()
-        if fate is AnswerFate.GIVEN:
-            return await _stream(request, engine, order)
-        async for _ in engine.generate(order):
+        outcome = await engine.gate.leave()
+        if outcome is ResponseOutcome.DELIVERED:
+            return await _stream(request, engine, generate_request)
+        async for _ in engine.generate(generate_request):
             pass
-        if fate is AnswerFate.LOST:
-            return break_connection(request)
+        if outcome is ResponseOutcome.LOST:
+            return abort_connection(request)
         return web.Response(body=b"data: {malformed\n\n", headers=STREAM_HEADERS)
 
     async def cancel(self, request: web.Request) -> web.StreamResponse:
@@ -81,14 +81,16 @@
         engine = await self._enter(request)
         if isinstance(engine, web.Response):
             return engine
-        return await _done(request, engine, engine.cancel(CallId(request.match_info["call"])))
+        return await _respond_completed(
+            request, engine, engine.cancel(CallId(request.match_info["call"]))
+        )
 
     async def release(self, request: web.Request) -> web.StreamResponse:
         """Free a program's cache."""
         engine = await self._enter(request)
         if isinstance(engine, web.Response):
             return engine
-        return await _done(request, engine, engine.release(_program(request)))
+        return await _respond_completed(request, engine, engine.release(_program_id(request)))
 
     async def release_several(self, request: web.Request) -> web.StreamResponse:
         """Free the cache of several programs."""
@@ -102,17 +104,17 @@
             return refusal_response(not_run(Reason.INVALID_REQUEST, "not a list of programs"))
         for program in document.programs:
             engine.release(ProgramId(program))
-        return await _done(request, engine, Completed())
+        return await _respond_completed(request, engine, Completed())
 
     async def metrics(self, request: web.Request) -> web.StreamResponse:
-        """Tell the lagging load."""
+        """Return the load report, delayed by the faults' lag."""
         engine = await self._enter(request)
         if isinstance(engine, web.Response):
             return engine
-        return await answer(request, engine.gate, web.Response(text=write_load(engine.load())))
+        return await respond(request, engine.gate, web.Response(text=write_load(engine.load())))
 
     async def cache_events(self, request: web.Request) -> web.StreamResponse:
-        """Tell cache events."""
+        """Return cache events."""
         engine = await self._enter(request)
         if isinstance(engine, web.Response):
             return engine
@@ -121,28 +123,30 @@
         except (KeyError, ValueError):
             return refusal_response(not_run(Reason.INVALID_REQUEST, "after is a number"))
         page = engine.cache_events(after)
-        return await answer(request, engine.gate, web.json_response(asdict(page)))
+        return await respond(request, engine.gate, web.json_response(asdict(page)))
 
     async def export_cache(self, request: web.Request) -> web.StreamResponse:
-        """Give a program's cache out."""
+        """Export a program's cache."""
         engine = await self._enter(request)
         if isinstance(engine, web.Response):
             return engine
-        data = await engine.export_cache(_program(request))
+        data = await engine.export_cache(_program_id(request))
         if isinstance(data, Refused):
             return refusal_response(data)
-        return await answer(request, engine.gate, web.Response(body=data))
+        return await respond(request, engine.gate, web.Response(body=data))
 
     async def import_cache(self, request: web.Request) -> web.StreamResponse:
-        """Take a program's cache in."""
+        """Import a program's cache."""
         data = await request.read()
         engine = await self._enter(request)
         if isinstance(engine, web.Response):
             return engine
-        return await _done(request, engine, await engine.import_cache(_program(request), data))
+        return await _respond_completed(
+            request, engine, await engine.import_cache(_program_id(request), data)
+        )
 
     async def apply_order(self, request: web.Request) -> web.StreamResponse:
-        """Carry out a fenced order."""
+        """Execute a fenced order."""
         body = await request.read()
         engine = await self._enter(request)
         if isinstance(engine, web.Response):
@@ -158,46 +162,50 @@
             ModelName(document.model),
             document.value,
         )
-        return await _done(request, engine, await engine.apply_order(order))
+        return await _respond_completed(request, engine, await engine.apply_order(order))
 
     async def _enter(self, request: web.Request) -> EngineWorker | web.Response:
-        """Return the engine asked for, or its refusal of the request."""
+        """Return the requested engine, or its refusal of the request."""
         engine = self._engines.get(WorkerId(request.match_info["worker"]))
         if engine is None:
             return refusal_response(NO_SUCH_WORKER)
-        return await refused_at(engine.gate) or engine
+        return await check_gate(engine.gate) or engine
 
 
-async def _done(
+async def _respond_completed(
     request: web.Request, engine: EngineWorker, outcome: Completed | Refused
 ) -> web.StreamResponse:
     if isinstance(outcome, Refused):
         return refusal_response(outcome)
-    return await answer(request, engine.gate, web.Response(status=204))
+    return await respond(request, engine.gate, web.Response(status=204))
 
 
 async def _stream(
-    request: web.Request, engine: EngineWorker, order: GenerateRequest
+    request: web.Request, engine: EngineWorker, generate_request: GenerateRequest
 ) -> web.StreamResponse:
     response = web.StreamResponse(headers=STREAM_HEADERS)
-    model = json.dumps(order.model)
-    async with aclosing(engine.generate(order)) as events:
+    model = json.dumps(generate_request.model)
+    async with aclosing(engine.generate(generate_request)) as events:
         async for event in events:
             if isinstance(event, Refused):
                 if not response.prepared:
                     return refusal_response(event)
                 if event.run_state is RunState.UNKNOWN:
-                    return break_connection(request)
-                await response.write(_error(event))
+                    return abort_connection(request)
+                await response.write(_error_frame(event))
                 return response
             if not response.prepared:
                 await response.prepare(request)
-            frame = _chunk(model, event) if isinstance(event, TokenChunk) else _end(model, event)
+            frame = (
+                _chunk_frame(model, event)
+                if isinstance(event, TokenChunk)
+                else _final_frames(model, event)
+            )
             await response.write(frame)
     return response
 
 
-def _chunk(model: str, chunk: TokenChunk) -> bytes:
+def _chunk_frame(model: str, chunk: TokenChunk) -> bytes:
     text = json.dumps(chunk.text)
     return (
         f'data: {{"object": "chat.completion.chunk", "model": {model}, "choices": '
@@ -205,7 +213,7 @@
     ).encode()
 
 
-def _end(model: str, finished: GenerateFinished) -> bytes:
+def _final_frames(model: str, finished: GenerateFinished) -> bytes:
     usage = {
         "prompt_tokens": finished.prompt_tokens,
         "completion_tokens": finished.completion_tokens,
@@ -218,10 +226,10 @@
         f'data: {{"object": "chat.completion.chunk", "model": {model}, "choices": [], '
         f'"usage": {json.dumps(usage)}}}\n\n'
     )
-    return last.encode() + END_OF_STREAM
+    return last.encode() + DONE_FRAME
 
 
-def _error(refused: Refused) -> bytes:
+def _error_frame(refused: Refused) -> bytes:
     error = {
         "message": refused.detail,
         "code": refused.reason.value,
@@ -230,7 +238,7 @@
     return b"data: " + json.dumps({"error": error}).encode() + b"\n\n"
 
 
-def _generate_order(request: web.Request, body: bytes) -> GenerateRequest:
+def _parse_generate_request(request: web.Request, body: bytes) -> GenerateRequest:
     document = json.loads(body)
     headers = request.headers
     messages = tuple(
@@ -248,5 +256,5 @@
     )
 
 
-def _program(request: web.Request) -> ProgramId:
+def _program_id(request: web.Request) -> ProgramId:
     return ProgramId(request.match_info["program"])
--- a/src/foxwinch/emulator/http_platform.py
+++ b/src/foxwinch/emulator/http_platform.py
@@ -1,4 +1,4 @@
-"""The shared store and the machine list of the stand-ins over HTTP."""
+"""The emulated shared store and machine list over HTTP."""
 
 from dataclasses import asdict
 
@@ -6,7 +6,7 @@
 from pydantic import ValidationError
 
 from foxwinch.emulator.emulated_services import EmulatedServices
-from foxwinch.emulator.http_faults import answer, refusal_response, refused_at
+from foxwinch.emulator.http_faults import check_gate, refusal_response, respond
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.records.ports import Conflict, HistoryLost, RowCondition, RowKey, RowsRead, RowWrite
 from foxwinch.storage.records_http import (
@@ -24,7 +24,7 @@
 
 
 class PlatformHandlers:
-    """Handlers of the platform's services."""
+    """HTTP handlers of the platform services."""
 
     def __init__(self, emulated_services: EmulatedServices) -> None:
         """Serve the models of `emulated_services`."""
@@ -41,7 +41,7 @@
         """Apply a transaction."""
         body = await request.read()
         gate = self._emulated_services.store_gate
-        refused = await refused_at(gate)
+        refused = await check_gate(gate)
         if refused is not None:
             return refused
         try:
@@ -55,58 +55,60 @@
             conflict = ConflictDocument.model_construct(
                 rows=rows, version=outcome.version, now_ms=outcome.now_ms
             )
-            return await answer(request, gate, _json(conflict.model_dump_json(), 412))
+            return await respond(request, gate, _json(conflict.model_dump_json(), 412))
         written = WrittenDocument(version=outcome.version, now_ms=outcome.now_ms)
-        return await answer(request, gate, _json(written.model_dump_json()))
+        return await respond(request, gate, _json(written.model_dump_json()))
 
     async def rows(self, request: web.Request) -> web.StreamResponse:
         """Read a range of a partition."""
         gate = self._emulated_services.store_gate
-        refused = await refused_at(gate)
+        refused = await check_gate(gate)
         if refused is not None:
             return refused
         query = request.query
         first = RowKey(query["table"], query.get("partition", ""), query.get("first", ""))
         read = self._emulated_services.store.rows_between(first, query.get("end", AFTER_ALL_KEYS))
-        return await answer(request, gate, _rows(read))
+        return await respond(request, gate, _rows(read))
 
     async def changes(self, request: web.Request) -> web.StreamResponse:
-        """Wait for changes of a table."""
+        """Return changes of a table, waiting for the first one."""
         gate = self._emulated_services.store_gate
-        refused = await refused_at(gate)
+        refused = await check_gate(gate)
         if refused is not None:
             return refused
         query = request.query
         wait_seconds = min(float(query["wait"]), MAX_WAIT_SECONDS)
         after = int(query["after"])
-        heard = await self._emulated_services.store.changes(query["table"], after, wait_seconds)
-        if isinstance(heard, HistoryLost):
-            return await answer(request, gate, _json("{}", 410))
-        if isinstance(heard, Refused):
-            return refusal_response(heard)
-        return await answer(request, gate, _rows(heard))
+        changes_read = await self._emulated_services.store.changes(
+            query["table"], after, wait_seconds
+        )
+        if isinstance(changes_read, HistoryLost):
+            return await respond(request, gate, _json("{}", 410))
+        if isinstance(changes_read, Refused):
+            return refusal_response(changes_read)
+        return await respond(request, gate, _rows(changes_read))
 
     async def machines(self, request: web.Request) -> web.StreamResponse:
-        """Read the lagging list."""
+        """Return the machine list, delayed by the faults' lag."""
         gate = self._emulated_services.machines_gate
-        refused = await refused_at(gate)
+        refused = await check_gate(gate)
         if refused is not None:
             return refused
         now = self._emulated_services.clock.monotonic()
         listed = self._emulated_services.machines.listed(now, gate.faults.lag_seconds)
         document = {"machines": [asdict(machine) for machine in listed]}
-        return await answer(request, gate, web.json_response(document))
+        return await respond(request, gate, web.json_response(document))
 
 
 def _conditions(document: TransactionDocument) -> tuple[RowCondition, ...]:
-    return tuple(RowCondition(_place(entry), entry.version) for entry in document.conditions)
+    return tuple(RowCondition(_row_key(entry), entry.version) for entry in document.conditions)
 
 
 def _writes(document: TransactionDocument) -> tuple[RowWrite, ...]:
-    return tuple(RowWrite(_place(entry), entry.value) for entry in document.writes)
+    return tuple(RowWrite(_row_key(entry), entry.value) for entry in document.writes)
 
 
-def _place(entry: ConditionDocument | WriteDocument) -> RowKey:
+def _row_key(entry: ConditionDocument | WriteDocument) -> RowKey:
     return RowKey(entry.table, entry.partition, entry.key)
 
 
--- a/src/foxwinch/emulator/in_process.py
+++ b/src/foxwinch/emulator/in_process.py
@@ -1,7 +1,7 @@
-"""The platform and the tools without sockets: ports over the in-memory models, on the loop's time.
+"""Ports of the platform and the tools over in-memory models, without sockets.
 
-A request runs on the service's side to its end even when the client has given up on it, as at a
-real service: an effect may take place after the client was told `unknown`.
+As at a real service, a request runs to completion even if the client has timed out, so an effect
+may take place after the client received the outcome `unknown`.
 """
 
 import asyncio
@@ -11,11 +11,11 @@
 from foxwinch.backends.ports import ToolRequest, ToolResult
 from foxwinch.clock import Clock
 from foxwinch.emulator.faults import (
-    FOREVER_SECONDS,
-    AnswerFate,
+    HANG_SECONDS,
     FaultGate,
-    Gated,
+    GateDecision,
     GateVerdict,
+    ResponseOutcome,
     ServiceFaults,
     ToolFaults,
 )
@@ -36,12 +36,12 @@
 
 AFTER_ALL_KEYS = "\U0010ffff"
 REQUEST_TIMEOUT_SECONDS = 5.0
-"""After which a client gives a request up; as the HTTP adapters have it."""
+"""Request timeout of a client, the same as in the HTTP adapters."""
 Result = TypeVar("Result")
 
 
 class InProcessService:
-    """Requests to one stand-in service; `gate.faults` may be replaced at any time."""
+    """Requests to one emulated service; `gate.faults` may be replaced at any time."""
 
     def __init__(self, name: str, unavailable: Reason, gate: FaultGate, clock: Clock) -> None:
         """Refuse with `unavailable` while the service is down."""
@@ -49,48 +49,49 @@
         self.gate = gate
         self._unavailable = unavailable
         self._clock = clock
-        self._serving: set[asyncio.Task[object]] = set()
+        self._requests: set[asyncio.Task[object]] = set()
 
     async def request(
         self,
         effect: Callable[[], Result],
         timeout_seconds: float = REQUEST_TIMEOUT_SECONDS,
-        late: Reason | None = None,
+        timeout_reason: Reason | None = None,
         hangs: bool = False,
     ) -> Result | Refused:
-        """Send a request; `late` is the reason when no answer came in time."""
+        """Send a request; after a timeout the outcome is unknown with `timeout_reason`."""
         task = asyncio.get_running_loop().create_task(self._serve(effect, hangs))
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
+        self._requests.add(task)
+        task.add_done_callback(self._requests.discard)
         done, _ = await asyncio.wait({task}, timeout=timeout_seconds)
         if not done:
             return outcome_unknown(
-                late or self._unavailable, f"{self.name} did not answer in {timeout_seconds} s"
+                timeout_reason or self._unavailable,
+                f"{self.name} did not answer in {timeout_seconds} s",
             )
         return task.result()
 
     async def stop(self) -> None:
-        """End the requests that are still being served, without their effects."""
-        tasks = list(self._serving)
+        """Cancel the requests in flight; effects that have not happened yet never do."""
+        tasks = list(self._requests)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def refusal(self, gated: Gated) -> Refused:
-        """Return what a client makes of a request that the gate refused."""
-        if gated.verdict is GateVerdict.LIMITED:
+    def refusal(self, decision: GateDecision) -> Refused:
+        """Return the refusal that a client gets from a request that the gate refused."""
+        if decision.verdict is GateVerdict.LIMITED:
             detail = f"{self.name} limits its rate"
-            return not_run(Reason.RATE_LIMITED, detail, gated.retry_after_seconds)
-        return not_run(self._unavailable, f"{self.name} is down", gated.retry_after_seconds)
+            return not_run(Reason.RATE_LIMITED, detail, decision.retry_after_seconds)
+        return not_run(self._unavailable, f"{self.name} is down", decision.retry_after_seconds)
 
     async def _serve(self, effect: Callable[[], Result], hangs: bool) -> Result | Refused:
-        gated = await self.gate.enter()
-        if gated.verdict is not GateVerdict.PASS:
-            return self.refusal(gated)
+        decision = await self.gate.enter()
+        if decision.verdict is not GateVerdict.PASS:
+            return self.refusal(decision)
         result = self.gate.apply(effect)
         if hangs:
-            await self._clock.sleep(FOREVER_SECONDS)
-        if await self.gate.leave() is AnswerFate.GIVEN:
+            await self._clock.sleep(HANG_SECONDS)
+        if await self.gate.leave() is ResponseOutcome.DELIVERED:
             return result
         return outcome_unknown(self._unavailable, f"the answer of {self.name} was lost")
 
@@ -101,7 +102,7 @@
     def __init__(
         self, model: RecordStoreModel, clock: Clock, faults: ServiceFaults | None = None
     ) -> None:
-        """Use `model`; the faults are those of this client's way to it."""
+        """Use `model`; `faults` apply to the requests of this client only."""
         self.model = model
         self.gate = FaultGate(clock, faults)
         self.service = InProcessService("the store", Reason.STORE_UNAVAILABLE, self.gate, clock)
@@ -131,19 +132,19 @@
         self, table: str, after_version: int, wait_seconds: float
     ) -> RowsRead | HistoryLost | Refused:
         """See the port."""
-        gated = await self.gate.enter()
-        if gated.verdict is not GateVerdict.PASS:
-            return self.service.refusal(gated)
+        decision = await self.gate.enter()
+        if decision.verdict is not GateVerdict.PASS:
+            return self.service.refusal(decision)
         return await self.model.changes(table, after_version, wait_seconds)
 
 
 class InProcessMachines:
-    """`MachinePort` over a model that several clients may share; the list lags by the faults."""
+    """`MachinePort` over a model that several clients may share; the faults set the list's lag."""
 
     def __init__(
         self, model: MachineModel, clock: Clock, faults: ServiceFaults | None = None
     ) -> None:
-        """Use `model`; the faults are those of this client's way to it."""
+        """Use `model`; `faults` apply to the requests of this client only."""
         self.model = model
         self.gate = FaultGate(clock, faults)
         self._clock = clock
@@ -163,7 +164,7 @@
     """`ToolPort` over a model that records every execution."""
 
     def __init__(self, model: ToolModel, clock: Clock, faults: ToolFaults | None = None) -> None:
-        """Use `model`; the faults are those of the tool services."""
+        """Use `model`; `faults` are those of the tool services."""
         self.model = model
         self.gate = FaultGate(clock, faults or ToolFaults())
         self._clock = clock
@@ -171,13 +172,13 @@
             "the tool service", Reason.BACKEND_UNAVAILABLE, self.gate, clock
         )
 
-    async def call(self, order: ToolRequest) -> ToolResult | Refused:
+    async def call(self, request: ToolRequest) -> ToolResult | Refused:
         """See the port."""
         faults = self.gate.faults
-        hangs = isinstance(faults, ToolFaults) and order.tool in faults.hung_tools
+        hangs = isinstance(faults, ToolFaults) and request.tool in faults.hung_tools
         return await self.service.request(
-            lambda: self.model.run(order, "in-process", self._clock.monotonic()),
-            order.timeout_seconds,
+            lambda: self.model.run(request, "in-process", self._clock.monotonic()),
+            request.timeout_seconds,
             Reason.TOOL_TIMEOUT,
             hangs,
         )
--- a/src/foxwinch/emulator/in_process_engine.py
+++ b/src/foxwinch/emulator/in_process_engine.py
@@ -1,4 +1,4 @@
-"""Engines without sockets: `EnginePort` over stand-in engines, on the loop's time."""
+"""`EnginePort` over emulated engines, without sockets and on the time of the event loop."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Awaitable, Callable, Mapping
@@ -14,27 +14,27 @@
     ModelOrder,
 )
 from foxwinch.emulator.engine_worker import EngineWorker
-from foxwinch.emulator.faults import AnswerFate, GateVerdict
+from foxwinch.emulator.faults import GateVerdict, ResponseOutcome
 from foxwinch.identifiers import CallId, ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, not_run, outcome_unknown
 
 REQUEST_TIMEOUT_SECONDS = 5.0
 IDLE_TIMEOUT_SECONDS = 120.0
-"""An engine that sends nothing for so long is given up; as the HTTP adapter has it."""
+"""Time without data after which a stream times out, the same as in the HTTP adapter."""
 ORDER_TIMEOUT_SECONDS = 120.0
 """Loading a model takes tens of seconds."""
 Result = TypeVar("Result")
 
 
 class InProcessEngine:
-    """`EnginePort` over workers that several clients may share; a removed worker is unreachable."""
+    """`EnginePort` over workers that several clients may share; removed workers are unreachable."""
 
     def __init__(self, workers: Mapping[WorkerId, EngineWorker]) -> None:
-        """Use `workers`, which the caller may change and stops."""
+        """Use `workers`, which the caller may change and must stop."""
         self.workers = workers
 
     async def generate(
-        self, worker: WorkerId, order: GenerateRequest
+        self, worker: WorkerId, request: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
         """See the port."""
         engine = self.workers.get(worker)
@@ -45,12 +45,12 @@
         if refused is not None:
             yield refused
             return
-        fate = await engine.gate.leave()
-        async with aclosing(engine.generate(order)) as events:
+        outcome = await engine.gate.leave()
+        async with aclosing(engine.generate(request)) as events:
             async for event in events:
-                if fate is AnswerFate.GIVEN or isinstance(event, Refused):
+                if outcome is ResponseOutcome.DELIVERED or isinstance(event, Refused):
                     yield event
-        if fate is not AnswerFate.GIVEN:
+        if outcome is not ResponseOutcome.DELIVERED:
             yield outcome_unknown(Reason.BACKEND_FAILED, f"the answer of {worker} was lost")
 
     async def cancel(self, worker: WorkerId, call_id: CallId) -> Completed | Refused:
@@ -90,14 +90,14 @@
     ) -> Refused | None:
         try:
             async with asyncio.timeout(timeout_seconds):
-                gated = await engine.gate.enter()
+                decision = await engine.gate.enter()
         except TimeoutError:
             return outcome_unknown(Reason.BACKEND_FAILED, f"worker {worker} did not answer in time")
-        if gated.verdict is GateVerdict.PASS:
+        if decision.verdict is GateVerdict.PASS:
             return None
-        limited = gated.verdict is GateVerdict.LIMITED
+        limited = decision.verdict is GateVerdict.LIMITED
         reason = Reason.RATE_LIMITED if limited else Reason.BACKEND_UNAVAILABLE
-        return not_run(reason, f"worker {worker} refused", gated.retry_after_seconds)
+        return not_run(reason, f"worker {worker} refused", decision.retry_after_seconds)
 
     async def _request(
         self,
@@ -114,10 +114,10 @@
         try:
             async with asyncio.timeout(timeout_seconds):
                 result = await effect(engine)
-                fate = await engine.gate.leave()
+                outcome = await engine.gate.leave()
         except TimeoutError:
             return outcome_unknown(Reason.BACKEND_FAILED, f"worker {worker} did not answer in time")
-        if fate is AnswerFate.GIVEN:
+        if outcome is ResponseOutcome.DELIVERED:
             return result
         return outcome_unknown(Reason.BACKEND_FAILED, f"the answer of {worker} was lost")
 
--- a/src/foxwinch/emulator/memory_port.py
+++ b/src/foxwinch/emulator/memory_port.py
@@ -1,4 +1,4 @@
-"""One node's port to the in-memory network."""
+"""Peer port of one node on the in-memory network."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterator, Coroutine
@@ -20,16 +20,16 @@
 if TYPE_CHECKING:
     from foxwinch.emulator.network import MemoryNetwork
 
-LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "the connection broke before the answer")
-LATE = outcome_unknown(Reason.DEADLINE, "no answer before the deadline")
-END = None
+CONNECTION_LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "the connection broke before the answer")
+DEADLINE_EXCEEDED = outcome_unknown(Reason.DEADLINE, "no answer before the deadline")
+END_OF_STREAM = None
 CLOCK_STEP_SECONDS = 1e-5
-"""A virtual clock has steps: a wait below one of them would end at once, again and again."""
-Answers = asyncio.Queue[bytes | Refused | None]
+"""Shortest wait; one below the resolution of a virtual clock would end without advancing it."""
+ResponseQueue = asyncio.Queue[bytes | Refused | None]
 
 
 class MemoryPeerPort:
-    """Implements `foxwinch.peer.ports.PeerPort`; made by `MemoryNetwork.join`."""
+    """Implements `foxwinch.peer.ports.PeerPort`; created by `MemoryNetwork.join`."""
 
     def __init__(self, network: "MemoryNetwork", node: NodeId, address: PeerAddress) -> None:
         """Attach `node` at `address`."""
@@ -39,45 +39,45 @@
         self.open = True
         self._network = network
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._connected: dict[PeerAddress, MemoryPeerPort] = {}
-        self._gone: asyncio.Event = asyncio.Event()
+        self._connections: dict[PeerAddress, MemoryPeerPort] = {}
+        self._closed: asyncio.Event = asyncio.Event()
 
     async def start(self) -> None:
-        """Nothing to bind."""
+        """Do nothing, because there is no socket to bind."""
 
     async def stop(self, exception: Exception | None = None) -> None:
         """Leave the network."""
         if self._network.ports.get(self.address) is self:
             self._network.kill(self.address)
 
-    def shut(self) -> None:
-        """End everything that runs here, as the end of the process does."""
+    def close(self) -> None:
+        """Cancel all tasks of this node, as the end of its process does."""
         self.open = False
-        self._gone.set()
+        self._closed.set()
         for task in list(self._tasks):
             task.cancel()
 
-    def keep(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run something that ends with this node."""
+    def start_task(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Start a task that is cancelled when this port closes."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def handle(self, method: str, handler: UnaryHandler) -> None:
-        """Serve `method` with one answer."""
+        """Register a handler that returns one response."""
         self.handlers.handle(method, handler)
 
     def handle_stream(self, method: str, handler: StreamHandler) -> None:
-        """Serve `method` with a stream of answers."""
+        """Register a handler that returns a stream of responses."""
         self.handlers.handle_stream(method, handler)
 
     def handle_datagrams(self, handler: DatagramHandler) -> None:
-        """Give every datagram that arrives to `handler`."""
+        """Register the handler of all incoming datagrams."""
         self.handlers.handle_datagrams(handler)
 
     def send_datagram(self, address: PeerAddress, payload: bytes) -> None:
-        """Send a datagram; raises `ValueError` above the limit, as the UDP side does."""
+        """Send a datagram; raise `ValueError` above the size limit, as the UDP port does."""
         if len(payload) > DATAGRAM_BYTES:
             raise ValueError(f"datagram of {len(payload)} bytes; allowed: {DATAGRAM_BYTES}")
         if self.open:
@@ -86,20 +86,22 @@
     async def call(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> bytes | Refused:
-        """Send a request and wait for its one answer."""
-        asking = self._ask(address, method, payload, deadline_seconds, stream=False)
-        async with aclosing(asking) as answers:
-            async for answer in answers:
-                return answer
-        return LOST
+        """Send a request and return its single response."""
+        response_stream = self._send_request(
+            address, method, payload, deadline_seconds, stream=False
+        )
+        async with aclosing(response_stream) as responses:
+            async for response in responses:
+                return response
+        return CONNECTION_LOST
 
     def stream(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncIterator[bytes | Refused]:
-        """Send a request and iterate over its answers; closing the iterator cancels it."""
-        return self._ask(address, method, payload, deadline_seconds, stream=True)
+        """Send a request and iterate over its responses; closing the iterator cancels it."""
+        return self._send_request(address, method, payload, deadline_seconds, stream=True)
 
-    async def _ask(
+    async def _send_request(
         self,
         address: PeerAddress,
         method: str,
@@ -108,126 +110,130 @@
         stream: bool,
     ) -> AsyncGenerator[bytes | Refused, None]:
         loop = asyncio.get_running_loop()
-        ends_at_seconds = loop.time() + deadline_seconds
+        deadline_at = loop.time() + deadline_seconds
         target = await self._connect(address, deadline_seconds)
         if isinstance(target, Refused):
             yield target
             return
-        queue: Answers = asyncio.Queue(STREAM_CREDIT)
-        context = PeerContext(self.node, max(0.001, ends_at_seconds - loop.time()))
-        serving = target.keep(self._serve(target, context, method, payload, queue, stream))
+        queue: ResponseQueue = asyncio.Queue(STREAM_CREDIT)
+        context = PeerContext(self.node, max(0.001, deadline_at - loop.time()))
+        server_task = target.start_task(
+            self._serve_request(target, context, method, payload, queue, stream)
+        )
         try:
             while True:
-                answer = await self._next(target, queue, ends_at_seconds)
-                if answer is END:
+                response = await self._next_response(target, queue, deadline_at)
+                if response is END_OF_STREAM:
                     return
-                yield answer
-                if not stream or answer in (LOST, LATE):
+                yield response
+                if not stream or response in (CONNECTION_LOST, DEADLINE_EXCEEDED):
                     return
         finally:
-            serving.cancel()
+            server_task.cancel()
 
     async def _connect(
         self, address: PeerAddress, deadline_seconds: float
     ) -> "MemoryPeerPort | Refused":
-        """Open a connection; a refusal says that nothing was sent."""
-        known = self._connected.get(address)
+        """Return an open connection, or a refusal that states that nothing was sent."""
+        known = self._connections.get(address)
         if known is not None and known.open:
             return known
         try:
             async with asyncio.timeout(min(CONNECT_SECONDS, deadline_seconds)):
-                await self._cross(self.address, address)
-                await self._cross(address, self.address)
+                await self._transfer_once(self.address, address)
+                await self._transfer_once(address, self.address)
         except TimeoutError:
             return not_run(Reason.PEER_UNREACHABLE, f"no connection to {address} in time", 0.1)
         target = self._network.ports.get(address)
         if target is None or not self.open:
             return not_run(Reason.PEER_UNREACHABLE, f"no connection to {address}: refused", 0.1)
-        self._connected[address] = target
+        self._connections[address] = target
         return target
 
-    async def _cross(self, source: PeerAddress, target: PeerAddress) -> None:
-        """Wait for one crossing; for ever where the link is cut."""
+    async def _transfer_once(self, source: PeerAddress, target: PeerAddress) -> None:
+        """Transfer one packet; never return if the link is cut."""
         await self._network.transfer(source, target)
         if self._network.is_cut(source, target):
             await asyncio.Event().wait()
 
-    async def _serve(
+    async def _serve_request(
         self,
         target: "MemoryPeerPort",
         context: PeerContext,
         method: str,
         payload: bytes,
-        queue: Answers,
+        queue: ResponseQueue,
         stream: bool,
     ) -> None:
-        """Run the request at the target and carry its answers back."""
+        """Run the request at the target and send its responses back."""
         if not await self._network.transfer(self.address, target.address):
             return
         if not stream:
-            await self._carry(target, await target.handlers.run(context, method, payload), queue)
+            await self._send_response(
+                target, await target.handlers.run(context, method, payload), queue
+            )
             return
-        async with aclosing(target.handlers.run_stream(context, method, payload)) as answers:
-            async for answer in answers:
-                if not await self._carry(target, answer, queue):
+        async with aclosing(target.handlers.run_stream(context, method, payload)) as responses:
+            async for response in responses:
+                if not await self._send_response(target, response, queue):
                     return
-        await self._carry(target, END, queue)
+        await self._send_response(target, END_OF_STREAM, queue)
 
-    async def _carry(
-        self, target: "MemoryPeerPort", answer: bytes | Refused | None, queue: Answers
+    async def _send_response(
+        self, target: "MemoryPeerPort", response: bytes | Refused | None, queue: ResponseQueue
     ) -> bool:
         await self._network.wait_running(target.address)
         arrived = await self._network.transfer(target.address, self.address)
         if arrived:
-            await queue.put(answer)
+            await queue.put(response)
         return arrived
 
-    async def _next(
-        self, target: "MemoryPeerPort", queue: Answers, ends_at_seconds: float
+    async def _next_response(
+        self, target: "MemoryPeerPort", queue: ResponseQueue, deadline_at: float
     ) -> bytes | Refused | None:
-        """Take the next answer, or find that the connection or the time is over."""
-        getting = asyncio.ensure_future(queue.get())
-        gone = asyncio.ensure_future(target._gone.wait())
+        """Return the next response, or the refusal of a lost connection or passed deadline."""
+        next_response = asyncio.ensure_future(queue.get())
+        closed = asyncio.ensure_future(target._closed.wait())
         try:
-            return await self._first(target, getting, gone, ends_at_seconds)
+            return await self._wait_for_response(target, next_response, closed, deadline_at)
         finally:
-            getting.cancel()
-            gone.cancel()
+            next_response.cancel()
+            closed.cancel()
 
-    async def _first(
+    async def _wait_for_response(
         self,
         target: "MemoryPeerPort",
-        getting: "asyncio.Future[Any]",
-        gone: "asyncio.Future[Any]",
-        ends_at_seconds: float,
+        next_response: "asyncio.Future[Any]",
+        closed: "asyncio.Future[Any]",
+        deadline_at: float,
     ) -> bytes | Refused | None:
         loop = asyncio.get_running_loop()
-        silent_until_seconds = loop.time() + SILENCE_SECONDS
-        while not getting.done():
-            until = min(ends_at_seconds, silent_until_seconds)
+        silence_deadline_at = loop.time() + SILENCE_SECONDS
+        while not next_response.done():
+            until = min(deadline_at, silence_deadline_at)
             await asyncio.wait(
-                {getting, gone},
+                {next_response, closed},
                 timeout=max(CLOCK_STEP_SECONDS, until - loop.time()),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             await self._network.wait_running(self.address)
-            if getting.done():
+            if next_response.done():
                 break
-            if gone.done():
-                self._connected.pop(target.address, None)
-                return LOST
-            if loop.time() >= ends_at_seconds:
-                return LATE
-            if loop.time() >= silent_until_seconds:
-                if self._is_silent(target):
-                    self._connected.pop(target.address, None)
-                    return LOST
-                silent_until_seconds = loop.time() + SILENCE_SECONDS
-        answer: bytes | Refused | None = getting.result()
-        return answer
-
-    def _is_silent(self, target: "MemoryPeerPort") -> bool:
-        """Tell whether a ping would stay without reply just now."""
+            if closed.done():
+                self._connections.pop(target.address, None)
+                return CONNECTION_LOST
+            if loop.time() >= deadline_at:
+                return DEADLINE_EXCEEDED
+            if loop.time() >= silence_deadline_at:
+                if self._is_unresponsive(target):
+                    self._connections.pop(target.address, None)
+                    return CONNECTION_LOST
+                silence_deadline_at = loop.time() + SILENCE_SECONDS
+        response: bytes | Refused | None = next_response.result()
+        return response
+
+    def _is_unresponsive(self, target: "MemoryPeerPort") -> bool:
+        """Return whether a ping to the target would get no reply now."""
         network = self._network
         return (
             network.is_cut(self.address, target.address)
--- a/src/foxwinch/emulator/network.py
+++ b/src/foxwinch/emulator/network.py
@@ -1,8 +1,8 @@
-"""The network between nodes in memory, on the running loop's (virtual) time.
+"""An in-memory network between nodes, on the (virtual) time of the running event loop.
 
-Datagrams are lost, delayed, doubled and reordered. Kept streams are reliable and ordered as TCP's
-are: there, loss shows as delay, and a cut as an answer that comes once the cut is mended, unless
-the connection was given up before.
+Datagrams are lost, delayed, duplicated and reordered. Streams are reliable and ordered, as over
+TCP: a lost packet only delays them, and a response that meets a cut link arrives once the link is
+restored, unless the connection was closed before.
 """
 
 import asyncio
@@ -17,30 +17,30 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFaults:
-    """How one direction of a link behaves."""
+    """Delay and faults of one direction of a link."""
 
     delay_seconds: float = 0.001
     jitter_seconds: float = 0.0005
     loss: float = 0.0
-    """Fraction of datagrams lost; a lost stream packet costs `RETRANSMIT_SECONDS`."""
-    doubling: float = 0.0
+    """Fraction of datagrams lost; a lost stream packet is delayed by `RETRANSMIT_SECONDS`."""
+    duplication: float = 0.0
     """Fraction of datagrams delivered twice."""
     reordering: float = 0.0
-    """Fraction of datagrams held back by up to ten times the delay."""
+    """Fraction of datagrams delayed by up to ten additional times the delay."""
 
 
 RETRANSMIT_SECONDS = 0.2
-"""Delay of a stream's message whose packet was lost (the usual minimum of TCP)."""
-HELD_BACK_FACTOR = 10.0
+"""Delay of a stream message whose packet was lost (the usual minimum of TCP)."""
+REORDERING_DELAY_FACTOR = 10.0
 
 
 class MemoryNetwork:
-    """Joins the ports of many nodes; seeded, so that a run can be repeated."""
+    """Connects the ports of many nodes; seeded, so that a run can be repeated."""
 
     def __init__(self, seed: int = 0, faults: LinkFaults | None = None) -> None:
-        """Use `faults` for every link that has none of its own."""
+        """Use `faults` for every link without faults of its own."""
         self._random = random.Random(seed)
-        self._default = faults or LinkFaults()
+        self._default_faults = faults or LinkFaults()
         self._links: dict[tuple[PeerAddress, PeerAddress], LinkFaults] = {}
         self._cut: set[tuple[PeerAddress, PeerAddress]] = set()
         self._running: dict[PeerAddress, asyncio.Event] = {}
@@ -50,7 +50,7 @@
         self.datagram_bytes_total = 0
 
     def join(self, node: NodeId, address: PeerAddress) -> MemoryPeerPort:
-        """Return the port of a node that starts at `address`; an earlier one there is killed."""
+        """Return the port of a node that starts at `address`, killing an earlier node there."""
         self.kill(address)
         port = MemoryPeerPort(self, node, address)
         self.ports[address] = port
@@ -60,26 +60,26 @@
         return port
 
     def kill(self, address: PeerAddress) -> None:
-        """End the node's network side at once: its requests and answers are lost."""
+        """Close the node's port immediately; its requests and responses are lost."""
         port = self.ports.pop(address, None)
         if port is not None:
-            port.shut()
+            port.close()
             self._running[address].set()
 
     def pause(self, address: PeerAddress) -> None:
-        """Freeze the node's network side; what arrives waits (pause its clock as well)."""
+        """Pause the node's port, so that arriving messages wait; pause its clock as well."""
         self._running[address].clear()
 
     def resume(self, address: PeerAddress) -> None:
-        """Let a frozen node go on; what waited arrives now."""
+        """Resume a paused node and deliver the messages that waited."""
         self._running[address].set()
 
     def set_default(self, faults: LinkFaults) -> None:
-        """Change every link that has no faults of its own."""
-        self._default = faults
+        """Set the faults of every link without faults of its own."""
+        self._default_faults = faults
 
     def set_link(self, source: PeerAddress, target: PeerAddress, faults: LinkFaults) -> None:
-        """Change one direction of one link."""
+        """Set the faults of one direction of one link."""
         self._links[(source, target)] = faults
 
     def cut(self, source: PeerAddress, target: PeerAddress) -> None:
@@ -99,32 +99,35 @@
                 self.cut_both(one, other)
 
     def heal(self) -> None:
-        """Mend every cut; other faults of links stay."""
+        """Restore every cut link; other faults of links stay."""
         self._cut.clear()
 
     def is_cut(self, source: PeerAddress, target: PeerAddress) -> bool:
-        """Tell whether one direction is cut."""
+        """Return whether one direction is cut."""
         return (source, target) in self._cut
 
     def send_datagram(self, source: PeerAddress, target: PeerAddress, payload: bytes) -> None:
-        """Deliver a datagram later, perhaps."""
+        """Schedule the delivery of a datagram, subject to the link's faults."""
         self.datagrams_total += 1
         self.datagram_bytes_total += len(payload)
-        faults = self._links.get((source, target), self._default)
+        faults = self._links.get((source, target), self._default_faults)
         if self.is_cut(source, target) or self._random.random() < faults.loss:
             return
-        copies = 2 if self._random.random() < faults.doubling else 1
+        copies = 2 if self._random.random() < faults.duplication else 1
         for _ in range(copies):
             delay_seconds = self._delay_seconds(faults)
             if self._random.random() < faults.reordering:
-                delay_seconds *= 1 + HELD_BACK_FACTOR * self._random.random()
+                delay_seconds *= 1 + REORDERING_DELAY_FACTOR * self._random.random()
             loop = asyncio.get_running_loop()
             loop.call_later(delay_seconds, self._deliver, source, target, payload)
 
     async def transfer(self, source: PeerAddress, target: PeerAddress) -> bool:
-        """Carry one stream message in order, over a cut as well; False when the node is gone."""
+        """Transfer one stream message in order; return False if the target is gone.
+
+        On a cut link the message waits until the link is restored.
+        """
         loop = asyncio.get_running_loop()
-        faults = self._links.get((source, target), self._default)
+        faults = self._links.get((source, target), self._default_faults)
         delay_seconds = self._delay_seconds(faults)
         while self._random.random() < faults.loss:
             delay_seconds += RETRANSMIT_SECONDS
@@ -132,18 +135,18 @@
         arrival = max(self._last_arrival_seconds.get(link, 0.0), loop.time() + delay_seconds)
         self._last_arrival_seconds[link] = arrival
         await asyncio.sleep(arrival - loop.time())
-        while self.is_cut(source, target):  # noqa: ASYNC110 - as TCP sends again
+        while self.is_cut(source, target):  # noqa: ASYNC110 - polls as TCP retransmits
             await asyncio.sleep(RETRANSMIT_SECONDS)
         await self.wait_running(target)
         return target in self.ports
 
     def is_paused(self, address: PeerAddress) -> bool:
-        """Tell whether the node is frozen."""
+        """Return whether the node is paused."""
         running = self._running.get(address)
         return running is not None and not running.is_set()
 
     async def wait_running(self, address: PeerAddress) -> None:
-        """Wait while the node is frozen."""
+        """Wait while the node is paused."""
         running = self._running.get(address)
         if running is not None:
             await running.wait()
@@ -158,7 +161,7 @@
         if self._running[target].is_set():
             port.handlers.deliver(source, payload)
         else:
-            port.keep(self._deliver_after_pause(source, port, payload))
+            port.start_task(self._deliver_after_pause(source, port, payload))
 
     async def _deliver_after_pause(
         self, source: PeerAddress, port: MemoryPeerPort, payload: bytes
@@ -168,5 +171,5 @@
 
 
 def addresses(count: int) -> list[PeerAddress]:
-    """Return so many different addresses for tests."""
+    """Return `count` different addresses for tests."""
     return [PeerAddress(f"127.0.{i // 250}.{i % 250 + 1}", 7000) for i in range(count)]
--- a/src/foxwinch/emulator/process.py
+++ b/src/foxwinch/emulator/process.py
@@ -1,4 +1,4 @@
-"""`foxwinch emulator`: all stand-ins as a process of their own."""
+"""`foxwinch emulator`: all emulated services as a separate process."""
 
 import asyncio
 import signal
@@ -17,10 +17,10 @@
 
 
 class EmulatorService(Service):
-    """The stand-ins, listening."""
+    """Service that runs the emulated services on one HTTP port."""
 
     def __init__(self, settings: EmulatorSettings) -> None:
-        """Serve what `settings` name."""
+        """Serve the engines, tools and platform of `settings`."""
         super().__init__()
         self.emulated_services = EmulatedServices(settings, SystemClock())
         self._http = HttpService(
@@ -32,7 +32,7 @@
 
     @property
     def url(self) -> str:
-        """Base URL, once started."""
+        """Base URL, available once started."""
         return f"http://{self._address}"
 
     @property
@@ -41,7 +41,7 @@
         return f"{f'[{host}]' if ':' in host else host}:{self._http.bound_port}"
 
     async def start(self) -> None:
-        """Listen; the workers are on the machine list from then on."""
+        """Start listening and add the workers to the machine list."""
         await self._http.start()
         self.emulated_services.list_workers(self._address)
 
@@ -51,7 +51,7 @@
         await self._http.stop()
 
     def addresses(self) -> dict[str, str]:
-        """Return the base URL of each service, by the names that the command prints."""
+        """Return the base URL of each service, keyed by the names that the command prints."""
         return {
             "emulator_url": self.url,
             "workers_url": f"{self.url}/workers",
@@ -62,7 +62,7 @@
 
 
 def run_emulator(settings: EmulatorSettings, announce: Callable[[dict[str, str]], None]) -> None:
-    """Run until SIGTERM or SIGINT; `announce` gets the addresses once they are served."""
+    """Run until SIGTERM or SIGINT; call `announce` with the addresses once they are served."""
     service = EmulatorService(settings)
     loop = uvloop.new_event_loop()
     with entrypoint(service, loop=loop, log_config=False, catch_signals=()):
--- a/src/foxwinch/emulator/server.py
+++ b/src/foxwinch/emulator/server.py
@@ -1,8 +1,8 @@
-"""All stand-ins of one process as one aiohttp application.
+"""All emulated services of one process as one aiohttp application.
 
-Besides the services there is a control side for tests and benches: `GET` and `POST /faults` read
-and change the faults in force, `GET /state` tells what the services saw, `POST /machines` puts a
-machine on the list, `DELETE /machines/{name}` takes one off.
+A control API for tests and benches is included: `GET` and `POST /faults` read and change the
+active faults, `GET /state` returns what the services recorded, `POST /machines` adds a machine to
+the list, and `DELETE /machines/{name}` removes one.
 """
 
 from aiohttp import web
@@ -21,7 +21,7 @@
 
 
 def build_application(emulated_services: EmulatedServices) -> web.Application:
-    """Return an application that serves all stand-ins."""
+    """Return an application that serves all emulated services."""
     application = web.Application(client_max_size=MAX_BODY_BYTES)
     EngineHandlers(emulated_services).add_routes(application.router)
     ToolHandlers(emulated_services).add_routes(application.router)
@@ -31,7 +31,7 @@
 
 
 class ControlHandlers:
-    """Handlers of the control side."""
+    """HTTP handlers of the control API."""
 
     def __init__(self, emulated_services: EmulatedServices) -> None:
         """Control `emulated_services`."""
@@ -46,7 +46,7 @@
         router.add_delete("/machines/{name}", self.remove_machine)
 
     async def read_faults(self, request: web.Request) -> web.Response:
-        """Tell the faults in force."""
+        """Return the active faults."""
         emulated_services = self._emulated_services
         faults = FaultSettings(
             store=emulated_services.store_gate.faults,
@@ -57,7 +57,7 @@
         return web.Response(text=faults.model_dump_json(), content_type="application/json")
 
     async def change_faults(self, request: web.Request) -> web.Response:
-        """Put the given faults in force; services that are not named keep theirs."""
+        """Activate the given faults; services that are not named keep theirs."""
         try:
             faults = FaultSettings.model_validate_json(await request.read())
         except ValidationError as error:
@@ -66,7 +66,7 @@
         return await self.read_faults(request)
 
     async def state(self, request: web.Request) -> web.Response:
-        """Tell what the services saw."""
+        """Return the requests, executions and seats that the services recorded."""
         emulated_services = self._emulated_services
         tools = emulated_services.tools
         engines = {
@@ -98,7 +98,7 @@
         return web.json_response(document)
 
     async def add_machine(self, request: web.Request) -> web.Response:
-        """Put a machine on the list, or change it."""
+        """Add a machine to the list, or replace it."""
         try:
             document = MachineDocument.model_validate_json(await request.read())
         except ValidationError as error:
@@ -117,7 +117,7 @@
         return web.Response(status=204)
 
     async def remove_machine(self, request: web.Request) -> web.Response:
-        """Take a machine off the list."""
+        """Remove a machine from the list."""
         name = request.match_info["name"]
         self._emulated_services.machines.remove(name, self._emulated_services.clock.monotonic())
         return web.Response(status=204)
--- a/src/foxwinch/emulator/settings.py
+++ b/src/foxwinch/emulator/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the stand-ins: what is served, and the faults in force."""
+"""Settings of the emulated services: what is served, and the active faults."""
 
 from typing import Annotated, Literal
 
@@ -9,12 +9,12 @@
 from foxwinch.settings.base import StrictModel
 from foxwinch.settings.cluster import ClusterConfiguration, Name
 
-EVERY_ENGINE = "*"
-"""Name under which faults of all engines are given."""
+ALL_ENGINES = "*"
+"""Key of faults that apply to all engines."""
 
 
 class EmulatedEngine(StrictModel):
-    """One stand-in engine, at `/workers/NAME`."""
+    """One emulated engine, at `/workers/NAME`."""
 
     name: Name
     models: tuple[Name, ...]
@@ -22,24 +22,24 @@
 
 
 class EmulatedToolWorker(StrictModel):
-    """One stand-in tool worker, at `/tools/NAME`."""
+    """One emulated tool worker, at `/tools/NAME`."""
 
     name: Name
     zone: Name = "zone"
 
 
 class FaultSettings(StrictModel):
-    """Faults of every service; a service that is not named keeps those it has."""
+    """Faults by service; a service that is not named keeps its present faults."""
 
     store: ServiceFaults | None = None
     machines: ServiceFaults | None = None
     tools: ToolFaults | None = None
     engines: dict[str, EngineFaults] = Field(default_factory=dict)
-    """By name of the engine, or `*` for all."""
+    """Faults by engine name, or under `*` for all engines."""
 
 
 class EmulatorSettings(StrictModel):
-    """All stand-ins of one process."""
+    """All emulated services of one process."""
 
     host: IpAddress = "127.0.0.1"
     port: Port = 0
@@ -47,9 +47,9 @@
     engines: tuple[EmulatedEngine, ...] = ()
     tool_workers: tuple[EmulatedToolWorker, ...] = ()
     tools: tuple[Name, ...] | None = None
-    """Tools that are served; without a list every name is."""
+    """Tools that are served; None serves every name."""
     pace: Literal["modelled", "instant"] = "modelled"
-    """`modelled`: tokens when a real engine would give them. `instant`: at once, for benches."""
+    """`modelled` times tokens as a real engine would; `instant` sends all at once, for benches."""
     maximum_answer_tokens: Annotated[int, Field(ge=1, le=100_000)] = 16
     faults: FaultSettings = FaultSettings()
 
@@ -57,7 +57,7 @@
 def settings_of_cluster(
     document: ClusterConfiguration, maximum_answer_tokens: int = 16
 ) -> EmulatorSettings:
-    """Return settings that serve every worker and tool of a cluster configuration."""
+    """Return settings that emulate every worker and tool of a cluster configuration."""
     pools = {pool.name: pool for pool in document.pools}
     engines = [w for w in document.workers if pools[w.pool].kind == "engine"]
     tool_workers = [w for w in document.workers if pools[w.pool].kind == "tool"]
--- a/src/foxwinch/emulator/tools.py
+++ b/src/foxwinch/emulator/tools.py
@@ -1,4 +1,4 @@
-"""In-memory model of tool services: every execution is recorded, seats are kept in a ledger."""
+"""In-memory model of tool services that records every execution and keeps a ledger of seats."""
 
 import json
 from collections import Counter
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ToolExecution:
-    """One run of a tool, as the tool itself saw it."""
+    """One run of a tool, as recorded by the tool service."""
 
     call_id: CallId
     program_id: ProgramId
@@ -24,38 +24,38 @@
 
 
 class SeatLedger:
-    """Who holds which seat of a train, with every violation that a double run would cause."""
+    """Holders of train seats, and the violations that a repeated tool run causes."""
 
     def __init__(self) -> None:
         """Start with all seats free."""
         self.holders: dict[str, str] = {}
-        """Program by `train/seat`, held or confirmed."""
+        """Program that holds or has confirmed a seat, by `train/seat`."""
         self.confirmed: set[str] = set()
         self.violations: list[str] = []
-        """Confirmations and releases of seats that the program did not hold."""
+        """Attempts to confirm or release seats that the program did not hold."""
 
     def hold(self, program: str, arguments: Mapping[str, Any]) -> str:
-        """Hold seats that are free; all of them or none."""
+        """Hold all requested seats, or none if one of them is held by another program."""
         seats = _seats(arguments)
-        taken = [seat for seat in seats if self.holders.get(seat, program) != program]
-        if taken:
-            return f"taken: {', '.join(taken)}"
+        unavailable = [seat for seat in seats if self.holders.get(seat, program) != program]
+        if unavailable:
+            return f"taken: {', '.join(unavailable)}"
         self.holders.update(dict.fromkeys(seats, program))
         return f"held: {', '.join(seats)}"
 
     def confirm(self, program: str, arguments: Mapping[str, Any]) -> str:
         """Confirm seats that the program holds."""
-        return self._each(program, arguments, "confirmed", self.confirmed.add)
+        return self._change_held(program, arguments, "confirmed", self.confirmed.add)
 
     def release(self, program: str, arguments: Mapping[str, Any]) -> str:
         """Free seats that the program holds."""
-        return self._each(program, arguments, "released", self._free)
+        return self._change_held(program, arguments, "released", self._free)
 
     def _free(self, seat: str) -> None:
         del self.holders[seat]
         self.confirmed.discard(seat)
 
-    def _each(
+    def _change_held(
         self,
         program: str,
         arguments: Mapping[str, Any],
@@ -63,10 +63,10 @@
         change: Callable[[str], None],
     ) -> str:
         seats = _seats(arguments)
-        foreign = [seat for seat in seats if self.holders.get(seat) != program]
-        if foreign:
-            self.violations.append(f"{done} {', '.join(foreign)} not held by {program}")
-            return f"not held: {', '.join(foreign)}"
+        not_held = [seat for seat in seats if self.holders.get(seat) != program]
+        if not_held:
+            self.violations.append(f"{done} {', '.join(not_held)} not held by {program}")
+            return f"not held: {', '.join(not_held)}"
         for seat in seats:
             change(seat)
         return f"{done}: {', '.join(seats)}"
@@ -80,34 +80,36 @@
         self._tools = None if tools is None else frozenset(tools)
         self.seats = SeatLedger()
         self.sessions: list[str] = []
-        """Session log: a line for each entry, by program."""
+        """Session log, with one line of program and text for each entry."""
         self.executions: list[ToolExecution] = []
 
     def executed(self) -> Counter[CallId]:
-        """Return how often each call ran."""
+        """Return the number of executions of each call."""
         return Counter(execution.call_id for execution in self.executions)
 
-    def run(self, order: ToolRequest, worker: str, now: float) -> ToolResult | Refused:
-        """Run a tool once; a call sent twice runs twice, as at a real service."""
-        if self._tools is not None and order.tool not in self._tools:
-            return not_run(Reason.NOT_FOUND, f"no tool {order.tool} here")
+    def run(self, request: ToolRequest, worker: str, now: float) -> ToolResult | Refused:
+        """Run a tool; a call that is sent twice runs twice, as at a real service."""
+        if self._tools is not None and request.tool not in self._tools:
+            return not_run(Reason.NOT_FOUND, f"no tool {request.tool} here")
         self.executions.append(
-            ToolExecution(order.call_id, order.program_id, order.tool, order.arguments, worker, now)
+            ToolExecution(
+                request.call_id, request.program_id, request.tool, request.arguments, worker, now
+            )
         )
-        arguments = order.arguments if isinstance(order.arguments, dict) else {}
-        return ToolResult(self._run(order, arguments))
-
-    def _run(self, order: ToolRequest, arguments: dict[str, Any]) -> str:
-        if order.tool == "hold-seats":
-            return self.seats.hold(order.program_id, arguments)
-        if order.tool == "confirm-seats":
-            return self.seats.confirm(order.program_id, arguments)
-        if order.tool == "release-seats":
-            return self.seats.release(order.program_id, arguments)
-        if order.tool == "session-log":
-            self.sessions.append(f"{order.program_id}: {arguments.get('entry', '')}")
+        arguments = request.arguments if isinstance(request.arguments, dict) else {}
+        return ToolResult(self._run(request, arguments))
+
+    def _run(self, request: ToolRequest, arguments: dict[str, Any]) -> str:
+        if request.tool == "hold-seats":
+            return self.seats.hold(request.program_id, arguments)
+        if request.tool == "confirm-seats":
+            return self.seats.confirm(request.program_id, arguments)
+        if request.tool == "release-seats":
+            return self.seats.release(request.program_id, arguments)
+        if request.tool == "session-log":
+            self.sessions.append(f"{request.program_id}: {arguments.get('entry', '')}")
             return f"logged entry {len(self.sessions)}"
-        return f"{order.tool}: {json.dumps(order.arguments, sort_keys=True)}"
+        return f"{request.tool}: {json.dumps(request.arguments, sort_keys=True)}"
 
 
 def _seats(arguments: Mapping[str, Any]) -> list[str]:
--- a/src/foxwinch/emulator/virtual_cluster.py
+++ b/src/foxwinch/emulator/virtual_cluster.py
@@ -1,6 +1,7 @@
-"""Whole nodes on one event loop: memory for network, platform and back ends, virtual time.
+"""A cluster of complete nodes on one event loop, with virtual time and in-memory ports.
 
-The nodes are those that a process runs (`build_node`); only their ports differ.
+The nodes are built by `build_node` as in a real process. Only their ports to the network, the
+platform and the backends differ.
 """
 
 from collections.abc import AsyncIterator, Iterable
@@ -30,19 +31,19 @@
 
 MAX_NODES = 256
 SEEDS = 3
-"""Nodes whose addresses a starting node is told."""
+"""Number of running nodes that a starting node gets as seeds."""
 DRAIN_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class VirtualNode:
-    """A node with what the outside can do to it."""
+    """A node with its clock, address and access to the shared store."""
 
     node: Node
     clock: VirtualClock
     address: PeerAddress
     records: InProcessRecords
-    """This node's way to the shared store; its faults may be changed."""
+    """This node's access to the shared store; its faults may be changed."""
 
     @property
     def identity(self) -> NodeId:
@@ -50,12 +51,12 @@
         return self.node.context.node
 
     def execute(self, request: ProgramRequest) -> AsyncIterator[ProgramEvent]:
-        """Carry a request out as for a caller at this node."""
+        """Execute a request as for a caller at this node."""
         return self.node.parts.programs.execute(request)
 
 
 class VirtualCluster:
-    """Nodes of one deployment over shared stand-ins."""
+    """Nodes of one deployment over shared emulated services."""
 
     def __init__(self, document: ClusterConfiguration, seed: int = 0) -> None:
         """Serve the workers and tools of `document`; nodes are added one by one."""
@@ -74,7 +75,7 @@
         self._count = 0
 
     async def add(self, count: int = 1) -> list[VirtualNode]:
-        """Start so many nodes, over the zones in turn."""
+        """Start `count` nodes, assigned to the zones in turn."""
         started = []
         for _ in range(count):
             virtual = self._build()
@@ -84,36 +85,36 @@
         return started
 
     async def drain(self, virtual: VirtualNode) -> bool:
-        """Stop a node as planned; False when work was cut."""
-        whole = await virtual.node.drain()
+        """Drain and stop a node; return False if work was interrupted."""
+        completed = await virtual.node.drain()
         await self._stop(virtual)
-        return whole
+        return completed
 
     async def kill(self, virtual: VirtualNode) -> None:
-        """End a node at once: nothing that it does afterwards reaches anybody."""
+        """Kill a node, so that nothing it does afterwards has any effect outside."""
         self.network.kill(virtual.address)
         gate = virtual.records.gate
         gate.faults = gate.faults.model_copy(update={"down": True})
         await self._stop(virtual)
 
     def pause(self, virtual: VirtualNode) -> None:
-        """Freeze a node as SIGSTOP does."""
+        """Pause a node as SIGSTOP does."""
         virtual.clock.pause()
         self.network.pause(virtual.address)
 
     def resume(self, virtual: VirtualNode) -> None:
-        """Let a frozen node go on."""
+        """Resume a paused node as SIGCONT does."""
         virtual.clock.resume()
         self.network.resume(virtual.address)
 
     def partition(self, one_side: Iterable[VirtualNode]) -> None:
-        """Cut some nodes off from the others; `network.heal` mends it."""
+        """Isolate some nodes from the others until `network.heal`."""
         inside = [virtual.address for virtual in one_side]
         outside = [v.address for v in self.nodes.values() if v.address not in inside]
         self.network.partition(inside, outside)
 
     async def stop(self) -> None:
-        """Stop every node and stand-in."""
+        """Stop every node."""
         for virtual in list(self.nodes.values()):
             self.resume(virtual)
             await self._stop(virtual)
--- a/src/foxwinch/emulator/weight_store.py
+++ b/src/foxwinch/emulator/weight_store.py
@@ -1,8 +1,8 @@
-"""The rate-limited weight store, shared by all modelled engines: one load after another."""
+"""The rate-limited weight store that all modelled engines share."""
 
 
 class WeightStore:
-    """Serves weights at a bounded rate, first come first served."""
+    """Serves reads one after another, in order of arrival, at a bounded rate."""
 
     def __init__(self, bytes_per_second: float) -> None:
         """Start idle."""
@@ -10,7 +10,7 @@
         self._free_at_seconds = 0.0
 
     def read(self, size_bytes: float, now: float) -> float:
-        """Return when a read of `size_bytes` asked for at `now` is done."""
+        """Return the time in seconds when a read of `size_bytes` requested at `now` completes."""
         start = max(now, self._free_at_seconds)
         self._free_at_seconds = start + size_bytes / self._bytes_per_second
         return self._free_at_seconds
--- a/tests/coordinator_cluster.py
+++ b/tests/coordinator_cluster.py
@@ -198,7 +198,7 @@
 
     def held_memory(self):
         """Programs of which some engine still holds cache."""
-        return {p for engine in self.engines.values() for p in engine._prefixes}
+        return {p for engine in self.engines.values() for p in engine._cached_prefixes}
 
 
 async def until(condition, seconds=60.0):
--- a/tests/test_backends_http.py
+++ b/tests/test_backends_http.py
@@ -25,7 +25,7 @@
 from foxwinch.backends.tools_http import HttpTools
 from foxwinch.clock import SystemClock
 from foxwinch.emulator.emulated_services import EmulatedServices
-from foxwinch.emulator.engine_answers import history_marker
+from foxwinch.emulator.engine_responses import history_marker
 from foxwinch.emulator.faults import EngineFaults, ServiceFaults, ToolFaults
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import EmulatedEngine, EmulatedToolWorker, EmulatorSettings
--- a/tests/test_cache_evacuation.py
+++ b/tests/test_cache_evacuation.py
@@ -7,7 +7,7 @@
 from foxwinch.emulator.engine_worker import EngineWorker, EngineWorkerSettings
 from foxwinch.emulator.in_process_engine import InProcessEngine
 from foxwinch.workers.cache_evacuation import CacheEvacuation
-from test_in_process_engine import LONG_TEXT, order
+from test_in_process_engine import LONG_TEXT, make_request
 from virtual_clock import VirtualClock
 
 pytestmark = [pytest.mark.looptime]
@@ -26,13 +26,13 @@
 
 
 async def cached_tokens(engine, worker, program):
-    generate = order(f"again-{program}", program, text=f"{program}: {LONG_TEXT}")
+    generate = make_request(f"again-{program}", program, text=f"{program}: {LONG_TEXT}")
     return [event async for event in engine.generate(worker, generate)][-1].cached_tokens
 
 
 async def fill(engine, programs):
     for program in programs:
-        generate = order(program, program, text=f"{program}: {LONG_TEXT}")
+        generate = make_request(program, program, text=f"{program}: {LONG_TEXT}")
         assert [event async for event in engine.generate("leaving", generate)]
 
 
--- a/tests/test_emulator_process.py
+++ b/tests/test_emulator_process.py
@@ -1,4 +1,4 @@
-"""`foxwinch emulator` as a real process."""
+"""`foxwinch emulator` run as a separate process."""
 
 import json
 import os
@@ -11,10 +11,10 @@
 import pytest
 
 ROOT = Path(__file__).parents[1]
-SECONDS = 60
+TIMEOUT_SECONDS = 60
 
 
-def emulator(*arguments):
+def start_emulator(*arguments):
     return subprocess.Popen(
         [sys.executable, "-m", "foxwinch", "emulator", *arguments],
         stdout=subprocess.PIPE,
@@ -25,42 +25,44 @@
 
 
 def test_serves_the_example_and_stops_on_sigterm():
-    process = emulator("--settings", str(ROOT / "examples" / "emulator.toml"), "--port", "0")
+    process = start_emulator("--settings", str(ROOT / "examples" / "emulator.toml"), "--port", "0")
     try:
         printed = dict(process.stdout.readline().strip().split("=", 1) for _ in range(5))
-        with urllib.request.urlopen(printed["machines_url"] + "/machines", timeout=SECONDS) as got:
-            machines = json.load(got)["machines"]
+        with urllib.request.urlopen(
+            printed["machines_url"] + "/machines", timeout=TIMEOUT_SECONDS
+        ) as response:
+            machines = json.load(response)["machines"]
         assert [machine["name"] for machine in machines] == ["llm-1", "llm-2", "booking-1"]
         assert printed["emulator_url"].endswith(machines[0]["address"])
         process.send_signal(signal.SIGTERM)
-        assert process.wait(SECONDS) == 0
+        assert process.wait(TIMEOUT_SECONDS) == 0
     finally:
         process.kill()
-        process.communicate(timeout=SECONDS)
+        process.communicate(timeout=TIMEOUT_SECONDS)
 
 
-def test_lost_answer_breaks_the_connection():
-    process = emulator("--settings", str(ROOT / "examples" / "emulator.toml"), "--port", "0")
+def test_lost_response_aborts_the_connection():
+    process = start_emulator("--settings", str(ROOT / "examples" / "emulator.toml"), "--port", "0")
     try:
         printed = dict(process.stdout.readline().strip().split("=", 1) for _ in range(5))
         faults = b'{"machines": {"lose_answers": 1}}'
         request = urllib.request.Request(
             printed["emulator_url"] + "/faults", faults, {"Content-Type": "application/json"}
         )
-        with urllib.request.urlopen(request, timeout=SECONDS) as taken:
-            assert taken.status == 200
+        with urllib.request.urlopen(request, timeout=TIMEOUT_SECONDS) as response:
+            assert response.status == 200
         with pytest.raises(ConnectionError):
-            urllib.request.urlopen(printed["machines_url"] + "/machines", timeout=SECONDS)
+            urllib.request.urlopen(printed["machines_url"] + "/machines", timeout=TIMEOUT_SECONDS)
     finally:
         process.kill()
-        process.communicate(timeout=SECONDS)
+        process.communicate(timeout=TIMEOUT_SECONDS)
 
 
-def test_wrong_settings_are_refused_naming_the_field(tmp_path):
+def test_invalid_settings_are_rejected_with_the_field_name(tmp_path):
     file = tmp_path / "emulator.toml"
     file.write_text("[faults.store]\nlose_answer = 1\n")
-    process = emulator("--settings", str(file))
-    _, errors = process.communicate(timeout=SECONDS)
+    process = start_emulator("--settings", str(file))
+    _, errors = process.communicate(timeout=TIMEOUT_SECONDS)
     assert process.returncode == 2
     assert "faults.store.lose_answer: unknown field" in errors
     assert "lose_answers" in errors
--- a/tests/test_engine_silence.py
+++ b/tests/test_engine_silence.py
@@ -14,7 +14,7 @@
 from foxwinch.core.program.call_events import CallFinished
 from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.emulator.emulated_services import EmulatedServices
-from foxwinch.emulator.engine_answers import plan_answer
+from foxwinch.emulator.engine_responses import plan_response
 from foxwinch.emulator.faults import EngineFaults
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import EmulatedEngine, EmulatorSettings
@@ -26,7 +26,7 @@
 ORDER = GenerateRequest(
     "any", scoped_program_id(TENANT, "p"), "rail-chat", (Message("user", "hello"),), TOKENS, 0, 1
 )
-PLAN = plan_answer(ORDER, TOKENS).tokens
+PLAN = plan_response(ORDER, TOKENS).tokens
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
--- a/tests/test_in_process_engine.py
+++ b/tests/test_in_process_engine.py
@@ -1,4 +1,4 @@
-"""The in-process engine: marked answers, resume, cancel, fences, counts and faults."""
+"""The in-process engine: marked responses, resume, cancellation, fencing, counters and faults."""
 
 from contextlib import aclosing
 from dataclasses import replace
@@ -14,8 +14,8 @@
     TokenChunk,
 )
 from foxwinch.core.prompt import BLOCK_TOKENS
-from foxwinch.emulator.engine_answers import history_marker
 from foxwinch.emulator.engine_parameters import load_engine_parameters
+from foxwinch.emulator.engine_responses import history_marker
 from foxwinch.emulator.engine_worker import EngineWorker, EngineWorkerSettings
 from foxwinch.emulator.faults import EngineFaults
 from foxwinch.emulator.in_process_engine import InProcessEngine
@@ -26,9 +26,9 @@
 LONG_TEXT = "From Carmarthen to Wrecsam with two children. " * 40
 
 
-def order(call="c1", program="p1", text="Hello", epoch=1, **changes):
-    whole = GenerateRequest(call, program, "m", (Message("user", text),), 8, 0, epoch)
-    return replace(whole, **changes)
+def make_request(call="c1", program="p1", text="Hello", epoch=1, **changes):
+    request = GenerateRequest(call, program, "m", (Message("user", text),), 8, 0, epoch)
+    return replace(request, **changes)
 
 
 @pytest.fixture
@@ -39,70 +39,70 @@
     worker.stop()
 
 
-async def events(engine, generate):
-    return [event async for event in engine.generate("w", generate)]
+async def generate_events(engine, request):
+    return [event async for event in engine.generate("w", request)]
 
 
-def text_of(given):
-    return "".join(event.text for event in given if isinstance(event, TokenChunk))
+def text_of(events):
+    return "".join(event.text for event in events if isinstance(event, TokenChunk))
 
 
-def test_blocks_of_prompts_are_blocks_of_engines():
+def test_prompt_blocks_have_the_size_of_engine_blocks():
     assert load_engine_parameters().block_tokens == BLOCK_TOKENS
 
 
-async def test_answer_bears_the_marker_of_its_history(engine):
-    given = await events(engine, order())
-    assert len(given) == 9
-    assert text_of(given).startswith(history_marker("p1", order().messages))
-    assert given[-1].completion_tokens == 8
-    other = await events(engine, order("c2", "p2"))
-    assert text_of(other) != text_of(given)
+async def test_response_starts_with_the_marker_of_its_history(engine):
+    received = await generate_events(engine, make_request())
+    assert len(received) == 9
+    assert text_of(received).startswith(history_marker("p1", make_request().messages))
+    assert received[-1].completion_tokens == 8
+    other = await generate_events(engine, make_request("c2", "p2"))
+    assert text_of(other) != text_of(received)
 
 
-async def test_resumed_answer_is_the_rest_of_the_first(engine):
-    whole = await events(engine, order())
-    rest = await events(engine, order(resume_offset=3))
-    assert text_of(rest) == text_of(whole[3:])
+async def test_resumed_response_is_the_rest_of_the_first(engine):
+    complete = await generate_events(engine, make_request())
+    rest = await generate_events(engine, make_request(resume_offset=3))
+    assert text_of(rest) == text_of(complete[3:])
     assert engine.workers["w"].executions == {"c1": 1}
     assert engine.workers["w"].resumes == {"c1": 1}
 
 
 async def test_second_turn_finds_its_prefix_cached(engine):
-    first = order(text=LONG_TEXT)
-    answer = text_of(await events(engine, first))
-    messages = (*first.messages, Message("assistant", answer), Message("user", "And back?"))
-    finished = (await events(engine, order("c2", messages=messages)))[-1]
+    first = make_request(text=LONG_TEXT)
+    response = text_of(await generate_events(engine, first))
+    messages = (*first.messages, Message("assistant", response), Message("user", "And back?"))
+    finished = (await generate_events(engine, make_request("c2", messages=messages)))[-1]
     assert finished.cached_tokens >= BLOCK_TOKENS * 7
     await engine.release("w", "p1")
-    finished = (await events(engine, order("c3", messages=messages)))[-1]
+    finished = (await generate_events(engine, make_request("c3", messages=messages)))[-1]
     assert finished.cached_tokens == 0
 
 
 async def test_older_epoch_is_fenced_and_does_not_run(engine):
-    await events(engine, order(epoch=5))
-    [refused] = await events(engine, order("c2", epoch=4))
+    await generate_events(engine, make_request(epoch=5))
+    [refused] = await generate_events(engine, make_request("c2", epoch=4))
     assert (refused.reason, refused.run_state) == (Reason.FENCED, RunState.NOT_RUN)
     fenced = await engine.apply_order("w", ModelOrder("t", 4, "load", "other"))
     assert fenced.reason is Reason.FENCED
     assert engine.workers["w"].executions == {"c1": 1}
 
 
-async def test_order_loads_a_model_once_even_when_sent_again(engine):
+async def test_order_loads_a_model_once_even_when_retried(engine):
     load = ModelOrder("t", 1, "load", "other")
     assert await engine.apply_order("w", load) == Completed()
     assert await engine.apply_order("w", load) == Completed()
-    given = await events(engine, order(model="other"))
-    assert isinstance(given[-1], GenerateFinished)
-    [refused] = await events(engine, order("c2", model="third"))
+    received = await generate_events(engine, make_request(model="other"))
+    assert isinstance(received[-1], GenerateFinished)
+    [refused] = await generate_events(engine, make_request("c2", model="third"))
     assert refused.run_state is RunState.NOT_RUN
 
 
 async def test_closing_the_stream_or_cancelling_frees_the_engine(engine):
     clock = VirtualClock()
-    async with aclosing(engine.generate("w", order(maximum_tokens=100))) as stream:
+    async with aclosing(engine.generate("w", make_request(maximum_tokens=100))) as stream:
         assert isinstance(await anext(stream), TokenChunk)
-    stream = engine.generate("w", order("c2", maximum_tokens=100))
+    stream = engine.generate("w", make_request("c2", maximum_tokens=100))
     await anext(stream)
     await engine.cancel("w", "c2")
     *_, last = [event async for event in stream]
@@ -114,13 +114,15 @@
 async def test_cache_moves_between_engines(engine):
     other = EngineWorker(EngineWorkerSettings("v", ("m",)), VirtualClock())
     engine.workers["v"] = other
-    await events(engine, order(text=LONG_TEXT))
+    await generate_events(engine, make_request(text=LONG_TEXT))
     data = await engine.export_cache("w", "p1")
     assert await engine.import_cache("v", "p1", data) == Completed()
-    moved = [e async for e in engine.generate("v", order("c2", text=LONG_TEXT))]
-    assert moved[-1].cached_tokens >= BLOCK_TOKENS * 7
-    bad = await engine.import_cache("v", "p1", b"not an export")
-    assert bad.reason is Reason.INVALID_REQUEST
+    events_after_import = [
+        e async for e in engine.generate("v", make_request("c2", text=LONG_TEXT))
+    ]
+    assert events_after_import[-1].cached_tokens >= BLOCK_TOKENS * 7
+    rejected = await engine.import_cache("v", "p1", b"not an export")
+    assert rejected.reason is Reason.INVALID_REQUEST
     other.stop()
 
 
@@ -134,21 +136,21 @@
         (EngineFaults(cut_stream_probability=1.0), RunState.UNKNOWN),
     ],
 )
-async def test_faults_tell_the_truth_about_running(engine, faults, run_state):
+async def test_faults_report_whether_the_call_ran(engine, faults, run_state):
     worker = engine.workers["w"]
     worker.gate.faults = faults
-    last = (await events(engine, order()))[-1]
+    last = (await generate_events(engine, make_request()))[-1]
     assert isinstance(last, Refused)
     assert last.run_state is run_state
     if run_state is RunState.NOT_RUN:
         assert worker.executions == {}
 
 
-async def test_lost_cache_events_show_as_a_gap(engine):
+async def test_lost_cache_events_are_reported_as_a_gap(engine):
     worker = engine.workers["w"]
     after = (await engine.cache_events("w", 0)).next_sequence
-    await events(engine, order("c0", text="first " + LONG_TEXT))
-    await events(engine, order(text=LONG_TEXT))
+    await generate_events(engine, make_request("c0", text="first " + LONG_TEXT))
+    await generate_events(engine, make_request(text=LONG_TEXT))
     await VirtualClock().sleep(1.0)
     first = 1 if after == 0 else after
     assert (await engine.cache_events("w", first)).events
--- a/tests/test_in_process_platform.py
+++ b/tests/test_in_process_platform.py
@@ -1,4 +1,4 @@
-"""Each fault of the in-process platform and tools shows as the ports promise."""
+"""Each fault of the in-process platform and tools has the outcome that the ports specify."""
 
 import pytest
 
@@ -51,7 +51,7 @@
     assert [row.row.key for row in read.rows] == ["p/1", "p/2", "p/3"]
 
 
-async def test_a_lost_answer_is_told_as_unknown_and_found_by_reading_back():
+async def test_a_lost_response_is_reported_as_unknown_and_found_by_reading_back():
     records = records_of(faults=ServiceFaults(lose_answers=1))
     first = await put(records)
     assert isinstance(first, Refused)
@@ -60,13 +60,13 @@
     assert records.model.calls.commits == 1
 
 
-async def test_doubled_transaction_takes_effect_once():
+async def test_duplicated_transaction_takes_effect_once():
     records = records_of(faults=ServiceFaults(duplicate_probability=1.0))
     await put(records)
     assert records.model.calls.commits == 1
 
 
-async def test_effect_may_come_after_the_client_gave_up():
+async def test_effect_may_take_place_after_the_client_timed_out():
     clock = VirtualClock()
     records = records_of(clock, ServiceFaults(delay_seconds=60))
     refused = await put(records)
@@ -76,7 +76,7 @@
     assert records.model.value(KEY) == b"1"
 
 
-async def test_down_service_refuses_without_effect_and_comes_back():
+async def test_down_service_refuses_without_effect_and_recovers():
     records = records_of(faults=ServiceFaults(down=True))
     refused = await put(records)
     assert (refused.reason, refused.run_state) == (Reason.STORE_UNAVAILABLE, RunState.NOT_RUN)
@@ -84,14 +84,14 @@
     assert (await put(records)).version == 1
 
 
-async def test_silent_service_never_acts():
+async def test_unresponsive_service_has_no_effect():
     records = records_of(faults=ServiceFaults(silent=True))
     assert (await put(records)).run_state is RunState.UNKNOWN
     await records.service.stop()
     assert records.model.calls.commits == 0
 
 
-async def test_rate_limit_tells_when_to_come_back():
+async def test_rate_limit_returns_the_time_to_retry():
     clock = VirtualClock()
     faults = ServiceFaults(requests_per_second=2.0, burst=1.0)
     records = records_of(clock, faults)
@@ -112,22 +112,22 @@
     assert (await machines.machines())[0].leaving
 
 
-def hold(call_id, tool="hold-seats"):
+def seat_request(call_id, tool="hold-seats"):
     return ToolRequest(call_id, "family", tool, {"train": "T1", "seats": ["1"]}, 2.0)
 
 
-async def test_hung_tool_ran_but_the_caller_is_told_unknown():
+async def test_hung_tool_ran_but_the_caller_gets_unknown():
     faults = ToolFaults(hung_tools=("hold-seats",))
     tools = InProcessTools(ToolModel(), VirtualClock(), faults)
-    refused = await tools.call(hold("c1"))
+    refused = await tools.call(seat_request("c1"))
     assert (refused.reason, refused.run_state) == (Reason.TOOL_TIMEOUT, RunState.UNKNOWN)
     assert tools.model.executed() == {"c1": 1}
 
 
-async def test_ledger_tells_a_double_release():
+async def test_seat_ledger_records_a_double_release():
     tools = InProcessTools(ToolModel(), VirtualClock())
-    assert await tools.call(hold("c1")) == ToolResult("held: T1/1")
-    await tools.call(hold("c2", "release-seats"))
-    await tools.call(hold("c2", "release-seats"))
+    assert await tools.call(seat_request("c1")) == ToolResult("held: T1/1")
+    await tools.call(seat_request("c2", "release-seats"))
+    await tools.call(seat_request("c2", "release-seats"))
     assert tools.model.executed() == {"c1": 1, "c2": 2}
     assert len(tools.model.seats.violations) == 1
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -291,7 +291,7 @@
 @pytest.mark.looptime
 async def test_datagrams_are_lost_doubled_and_reordered_the_same_way_for_one_seed() -> None:
     async def run() -> list[bytes]:
-        network = MemoryNetwork(5, LinkFaults(loss=0.2, doubling=0.2, reordering=0.3))
+        network = MemoryNetwork(5, LinkFaults(loss=0.2, duplication=0.2, reordering=0.3))
         one, other = addresses(2)
         port = network.join(NodeId("one"), one)
         received: list[bytes] = []
--- a/tests/test_steward_service.py
+++ b/tests/test_steward_service.py
@@ -257,12 +257,12 @@
     async with CoordinatorCluster(workers=2) as cluster:
         first, second = cluster.nodes["n0"], cluster.nodes["n1"]
         await run_call(cluster, first, "c1", "p1")
-        (used,) = [n for n, engine in cluster.engines.items() if engine.holds("p1")]
+        (used,) = [n for n, engine in cluster.engines.items() if engine.has_cache_of("p1")]
         away = cluster.engines.pop(used)
         await asyncio.sleep(8.0)
         await run_call(cluster, second, "c2", "p1")
         cluster.engines[used] = away
-        assert all(engine.holds("p1") for engine in cluster.engines.values())
+        assert all(engine.has_cache_of("p1") for engine in cluster.engines.values())
         second.grants.adopt("p1")
         second.grants.finish("p1")
         await until(lambda: cluster.held_memory() == set())
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -11,7 +11,7 @@
 from foxwinch.clock import SystemClock
 from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.emulator.emulated_services import EmulatedServices
-from foxwinch.emulator.engine_answers import plan_answer
+from foxwinch.emulator.engine_responses import plan_response
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import settings_of_cluster
 from foxwinch.gateway.authentication import hash_key
@@ -71,7 +71,7 @@
     program = scoped_program_id("seat-reservations", response.headers["X-Foxwinch-Program"])
     messages = (Message("user", "To Wrecsam, please."),)
     order = GenerateRequest("any", program, "rail-chat", messages, 3, 0, 1)
-    expected = "".join(plan_answer(order, 3).tokens)
+    expected = "".join(plan_response(order, 3).tokens)
     assert document["choices"][0]["message"]["content"] == expected
     assert document["usage"]["completion_tokens"] == 3
 
