--- a/src/foxwinch/configuration/service.py
+++ b/src/foxwinch/configuration/service.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this node: polling, gossip, fetching, and operators' changes."""
+"""Configuration service of a node: polling, gossip, fetching and operators' changes."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
     StoredHead,
 )
 from foxwinch.core.configuration.change import Change, ChangeAccepted, decode
-from foxwinch.core.configuration.document import Unreadable
+from foxwinch.core.configuration.document import InvalidDocument
 from foxwinch.core.configuration.pollers import Candidate, is_poller
 from foxwinch.core.configuration.replica import ConfigurationReplica, HeldConfiguration
 from foxwinch.core.limits.backoff import Backoff
@@ -46,20 +46,21 @@
 from foxwinch.settings.cluster import ClusterConfiguration
 
 FETCH_METHOD = "configuration.fetch"
-FETCH_SECONDS = 2.0
+FETCH_TIMEOUT_SECONDS = 2.0
 POLL_SECONDS = 2.0
-"""A change accepted elsewhere is seen by each zone within this, gossip or no gossip: under half of
-the 5 s within which it must be in force."""
+"""Time within which each zone sees an accepted change even without gossip. It is under half of the
+5 s within which a change must be active."""
 START_PEERS = 3
-"""Fellow nodes that a starting node asks for the newest revision while the table is down."""
+"""Peers that a starting node queries for the newest revision while the table is unavailable."""
 START_WAIT_SECONDS = 3.0
-"""The parts that start later find a configuration, unless table and fellow nodes are all away."""
+"""Bound on the wait for a configuration at the start, which services that start later need. It is
+reached only if neither the table nor any peer is available."""
 RETRY_BACKOFF = Backoff(base_seconds=0.1, cap_seconds=2.0)
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationServicePorts:
-    """What the service needs of the node."""
+    """Dependencies of the service."""
 
     clock: Clock
     records: RecordStore
@@ -69,7 +70,7 @@
 
 
 class ConfigurationService:
-    """See `foxwinch.configuration.ports.ConfigurationView`; started before anything is served."""
+    """Implements `foxwinch.configuration.ports.ConfigurationView`; starts before other services."""
 
     def __init__(
         self,
@@ -77,7 +78,7 @@
         registry: CollectorRegistry,
         initial: ClusterConfiguration | None = None,
     ) -> None:
-        """Use `ports`; `initial` is proposed when the table holds no configuration yet."""
+        """Create the service; `initial` is proposed if the table holds no configuration."""
         self._ports = ports
         self._initial = initial
         self._store = ConfigurationStore(ports.records)
@@ -85,14 +86,14 @@
         self._listeners: list[Callable[[ConfigurationSnapshot], None]] = []
         self._snapshot: ConfigurationSnapshot | None = None
         self._tasks = ServiceTasks("configuration")
-        self._wanted = asyncio.Event()
-        self._ready = asyncio.Event()
+        self._fetch_event = asyncio.Event()
+        self._ready_event = asyncio.Event()
         self._log = EventLog("configuration")
         self._metrics = ConfigurationMetrics(registry)
         self._encoder = ChangeEncoder()
 
     async def start(self) -> None:
-        """Look for the newest revision; returns when it is held, or after a bound without it."""
+        """Start to follow the configuration; return once it is served or the wait has expired."""
         self._ports.peer.handle(FETCH_METHOD, self._serve_fetch)
         self._ports.peer.handle(STATUS_METHOD, self._serve_status)
         self._ports.gossip.subscribe(GossipKind.CONFIGURATION, self._on_gossip)
@@ -102,14 +103,14 @@
         self._tasks.start(self._fetch_loop())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(START_WAIT_SECONDS):
-                await self._ready.wait()
+                await self._ready_event.wait()
 
     async def stop(self) -> None:
-        """Stop looking; what is held stays served until the process ends."""
+        """Stop following the configuration; the held revision is still served."""
         await self._tasks.stop()
 
     def current(self) -> ConfigurationSnapshot | Refused:
-        """Return the newest snapshot, or `STALE_CONFIGURATION` when a newer one is known."""
+        """Return the snapshot, or `STALE_CONFIGURATION` if a newer revision is known."""
         held = self._replica.serve()
         if isinstance(held, Refused):
             self._metrics.refusals.inc()
@@ -118,13 +119,13 @@
         return self._snapshot
 
     def subscribe(self, listener: Callable[[ConfigurationSnapshot], None]) -> None:
-        """Call `listener` with every newer snapshot, and at once with the one held."""
+        """Call `listener` with the held snapshot, if any, and with every newer one."""
         self._listeners.append(listener)
         if self._snapshot is not None:
             listener(self._snapshot)
 
     async def apply(self, command: ApplyConfiguration) -> ChangeAccepted | Refused:
-        """Carry out an operator's change; see `foxwinch.commands.apply_configuration`."""
+        """Apply an operator's change; see `foxwinch.commands.apply_configuration`."""
         ports = ApplyPorts(self._ports.clock, self._store, self._load)
         outcome = await apply_configuration(ports, command)
         if isinstance(outcome, Refused):
@@ -132,14 +133,14 @@
             return outcome
         accepted, change = outcome
         self._log.info("change_accepted", revision=accepted.revision, token=command.token)
-        self._replica.hear(accepted.revision, authority=True)
+        self._replica.record_revision(accepted.revision, authority=True)
         if change is not None and change.revision == accepted.revision:
             self._receive(change)
-        self._wanted.set()
+        self._fetch_event.set()
         return accepted
 
     def status(self) -> ConfigurationStatus:
-        """Return the revisions held and heard of at this node."""
+        """Return the held and the highest known revision of this node."""
         return ConfigurationStatus(
             held_revision=self._replica.held_revision,
             heard_revision=self._replica.heard_revision,
@@ -147,7 +148,7 @@
         )
 
     async def revisions_at_nodes(self) -> Sequence[NodeRevision]:
-        """Ask every member which revision it holds."""
+        """Query every member for the revision that it holds."""
         return await revisions_at_nodes(self._ports.membership, self._ports.peer, self.status())
 
     # --- reading ---------------------------------------------------------------------------
@@ -158,7 +159,7 @@
             settled = not isinstance(self._replica.serve(), Refused)
             if not settled or self._is_poller():
                 settled = await self._poll()
-            self._note_ready()
+            self._update_ready_event()
             if settled:
                 attempt = 0
                 wait = POLL_SECONDS * (0.5 + 0.5 * self._ports.clock.uniform())
@@ -168,43 +169,43 @@
             await self._ports.clock.sleep(max(wait, 0.02))
 
     async def _poll(self) -> bool:
-        """Read the head, or ask fellow nodes while the table is down; False: try again soon."""
+        """Read the head, or query peers if the table is unavailable; return False to retry soon."""
         head = await self._store.head()
         if isinstance(head, Refused):
             self._metrics.table_failures.inc()
-            if not self._replica.is_started:
-                await self._ask_fellow_nodes()
+            if not self._replica.is_confirmed:
+                await self._query_peers()
         elif head.revision == 0:
             await self._propose_initial()
         else:
             await self._catch_up(head)
-        return self._replica.is_started and self._replica.held is not None
+        return self._replica.is_confirmed and self._replica.held is not None
 
     async def _catch_up(self, head: StoredHead) -> None:
-        """Read a difference from the table, but a whole document rather from a fellow node."""
-        self._replica.hear(head.revision, authority=True)
+        """Read missing deltas from the table; a full document is fetched from a peer instead."""
+        self._replica.record_revision(head.revision, authority=True)
         if self._replica.held is not None:
             await self._load(head)
         if self._replica.is_behind:
-            self._wanted.set()
+            self._fetch_event.set()
 
     async def _propose_initial(self) -> None:
         if self._initial is not None:
             token = f"initial-{self._ports.clock.identifier()}"
             await self.apply(ApplyConfiguration(token, Revision(0), self._initial))
 
-    async def _ask_fellow_nodes(self) -> None:
-        """Learn the newest revision from fellow nodes, as an authority in the table's place."""
+    async def _query_peers(self) -> None:
+        """Learn the newest revision from peers, the authority while the table is unavailable."""
         members = self._choose_members(START_PEERS)
         answers = await asyncio.gather(*(self._fetch_from(member) for member in members))
         if any(answers) and self._replica.heard_revision > 0:
-            self._replica.hear(self._replica.heard_revision, authority=True)
+            self._replica.record_revision(self._replica.heard_revision, authority=True)
 
     async def _fetch_loop(self) -> None:
         attempt = 0
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
+            await self._fetch_event.wait()
+            self._fetch_event.clear()
             while self._replica.is_behind:
                 await self._fetch(attempt)
                 attempt += 1
@@ -212,14 +213,14 @@
                     wait = RETRY_BACKOFF.wait_seconds(attempt, self._ports.clock.uniform())
                     await self._ports.clock.sleep(max(wait, 0.02))
             attempt = 0
-            self._note_ready()
+            self._update_ready_event()
 
-    def _note_ready(self) -> None:
+    def _update_ready_event(self) -> None:
         if not isinstance(self._replica.serve(), Refused):
-            self._ready.set()
+            self._ready_event.set()
 
     async def _fetch(self, attempt: int) -> None:
-        """Try one fellow node, then the table; the table only now and then, it is rate-limited."""
+        """Fetch from one peer, and on every second attempt from the rate-limited table."""
         members = self._choose_members(1)
         for member in members:
             await self._fetch_from(member)
@@ -229,7 +230,7 @@
                 await self._load(head)
 
     async def _load(self, head: StoredHead) -> HeldConfiguration | Refused | None:
-        self._replica.hear(head.revision, authority=True)
+        self._replica.record_revision(head.revision, authority=True)
         if head.revision > self._replica.held_revision:
             changes = await self._store.changes_after(self._replica.held_revision, head)
             if isinstance(changes, Refused):
@@ -240,10 +241,10 @@
         return self._replica.held
 
     async def _fetch_from(self, member: Member) -> bool:
-        """Ask one fellow node for what is missing here; True when it answered."""
+        """Fetch missing changes from one peer; return whether it responded."""
         request = FetchConfigurationRequest(held_revision=self._replica.held_revision)
         answer = await self._ports.peer.call(
-            member.address, FETCH_METHOD, request.SerializeToString(), FETCH_SECONDS
+            member.address, FETCH_METHOD, request.SerializeToString(), FETCH_TIMEOUT_SECONDS
         )
         if isinstance(answer, Refused):
             return False
@@ -251,13 +252,13 @@
             response = FetchConfigurationResponse.FromString(answer)
         except DecodeError:
             return False
-        self._replica.hear(Revision(response.heard_revision))
+        self._replica.record_revision(Revision(response.heard_revision))
         for message in response.changes:
             self._receive_message(message)
         return True
 
     def _choose_members(self, count: int) -> list[Member]:
-        """Choose live fellow nodes at random, those of this zone first."""
+        """Choose live peers at random, preferring those in this zone."""
         this = self._ports.membership.this_member()
         usable = (MemberState.ALIVE, MemberState.LEAVING)
         ranked = sorted(
@@ -281,7 +282,7 @@
         )
         return is_poller(Candidate(this.node, this.zone), alive)
 
-    # --- receiving and spreading ------------------------------------------------------------
+    # --- receiving and gossiping ------------------------------------------------------------
 
     def _on_gossip(self, entry: GossipEntry) -> None:
         try:
@@ -289,15 +290,15 @@
         except DecodeError:
             self._log.warning("gossip_unreadable", key=entry.key)
             return
-        self._replica.hear(Revision(message.revision))
+        self._replica.record_revision(Revision(message.revision))
         if message.body:
             self._receive_message(message)
         if self._replica.is_behind:
-            self._wanted.set()
+            self._fetch_event.set()
 
     def _receive_message(self, message: ConfigurationChange) -> None:
         change = decode(message)
-        if isinstance(change, Unreadable):
+        if isinstance(change, InvalidDocument):
             self._log.error("change_unreadable", revision=message.revision, detail=change.problem)
         else:
             self._receive(change)
@@ -311,9 +312,9 @@
         held = self._replica.held
         if held is not None and held.revision > before:
             self._publish(before)
-            self._adopted(held)
+            self._notify_held(held)
 
-    def _adopted(self, held: HeldConfiguration) -> None:
+    def _notify_held(self, held: HeldConfiguration) -> None:
         self._metrics.held.set(held.revision)
         self._log.info("revision_held", revision=held.revision)
         self._snapshot = ConfigurationSnapshot(held.revision, held.state.document)
@@ -323,7 +324,7 @@
             self._tasks.start(self._prune(held.revision))
 
     def _publish(self, before: Revision) -> None:
-        """Spread what is new here; entries that the gossip has already are ignored there."""
+        """Gossip the newly held changes; entries that gossip already holds are ignored."""
         for change in self._replica.changes_after(before)[-GOSSIP_SLOTS:]:
             self._ports.gossip.publish(gossip_entry(change))
 
@@ -332,18 +333,18 @@
         if outcome is not None:
             self._log.warning("prune_failed", detail=outcome.detail)
 
-    # --- fellow nodes -----------------------------------------------------------------------
+    # --- requests from peers ----------------------------------------------------------------
 
     async def _serve_fetch(self, context: PeerContext, payload: bytes) -> bytes | Refused:
         try:
             request = FetchConfigurationRequest.FromString(payload)
         except DecodeError:
-            return not_run(Reason.INVALID_REQUEST, "unreadable request")
-        asked = Revision(request.held_revision)
-        self._replica.hear(asked)
+            return not_run(Reason.INVALID_REQUEST, "malformed FetchConfigurationRequest")
+        peer_revision = Revision(request.held_revision)
+        self._replica.record_revision(peer_revision)
         if self._replica.is_behind:
-            self._wanted.set()
-        changes = [self._encoder.encode(c) for c in self._replica.changes_after(asked)]
+            self._fetch_event.set()
+        changes = [self._encoder.encode(c) for c in self._replica.changes_after(peer_revision)]
         return FetchConfigurationResponse(
             heard_revision=self._replica.heard_revision, changes=changes
         ).SerializeToString()
--- a/src/foxwinch/core/coordinator/reasons.py
+++ b/src/foxwinch/core/coordinator/reasons.py
@@ -1,4 +1,4 @@
-"""Sentences for `programs show`: why a call waited and why it went where it did."""
+"""Explanations of placements for `programs show`."""
 
 from foxwinch.core.coordinator.placement import Placement
 from foxwinch.core.coordinator.waiting import WaitingCall
@@ -7,14 +7,14 @@
 def placement_reason(
     waiting: WaitingCall, placement: Placement, cached_tokens: int, now: float
 ) -> str:
-    """Explain a placement; holds no content."""
+    """Return the explanation of a placement, which contains no prompt content."""
     waited = now - waiting.arrived_at_seconds
     worker = placement.worker
-    how = f"{cached_tokens} of {waiting.call.prompt_tokens} prompt tokens cached"
+    details = f"{cached_tokens} of {waiting.call.prompt_tokens} prompt tokens cached"
     if placement.source is not None:
         source = placement.source.description.worker
-        how += f", {placement.copied_blocks} blocks copied from {source}"
+        details += f", {placement.copied_blocks} blocks copied from {source}"
     return (
-        f"waited {waited:.2f} s for a place; {worker.description.worker} had the least predicted"
-        f" cost {placement.cost_seconds:.2f} s: {how}, {len(worker.placed)} calls beside it"
+        f"waited {waited:.2f} s for a slot; {worker.description.worker} had the lowest predicted"
+        f" cost {placement.cost_seconds:.2f} s: {details}, {len(worker.placed)} other calls on it"
     )
--- a/src/foxwinch/emulator/memory_port.py
+++ b/src/foxwinch/emulator/memory_port.py
@@ -8,7 +8,12 @@
 from foxwinch.identifiers import NodeId
 from foxwinch.outcomes import Reason, Refused, not_run, outcome_unknown
 from foxwinch.peer.handlers import HandlerTable
-from foxwinch.peer.limits import CONNECT_SECONDS, DATAGRAM_BYTES, SILENCE_SECONDS, STREAM_CREDIT
+from foxwinch.peer.limits import (
+    CONNECT_TIMEOUT_SECONDS,
+    MAX_DATAGRAM_BYTES,
+    SILENCE_TIMEOUT_SECONDS,
+    STREAM_CREDIT,
+)
 from foxwinch.peer.ports import (
     DatagramHandler,
     PeerAddress,
@@ -78,8 +83,8 @@
 
     def send_datagram(self, address: PeerAddress, payload: bytes) -> None:
         """Send a datagram; raise `ValueError` above the size limit, as the UDP port does."""
-        if len(payload) > DATAGRAM_BYTES:
-            raise ValueError(f"datagram of {len(payload)} bytes; allowed: {DATAGRAM_BYTES}")
+        if len(payload) > MAX_DATAGRAM_BYTES:
+            raise ValueError(f"datagram of {len(payload)} bytes; allowed: {MAX_DATAGRAM_BYTES}")
         if self.open:
             self._network.send_datagram(self.address, address, payload)
 
@@ -139,7 +144,7 @@
         if known is not None and known.open:
             return known
         try:
-            async with asyncio.timeout(min(CONNECT_SECONDS, deadline_seconds)):
+            async with asyncio.timeout(min(CONNECT_TIMEOUT_SECONDS, deadline_seconds)):
                 await self._transfer_once(self.address, address)
                 await self._transfer_once(address, self.address)
         except TimeoutError:
@@ -208,7 +213,7 @@
         deadline_at: float,
     ) -> bytes | Refused | None:
         loop = asyncio.get_running_loop()
-        silence_deadline_at = loop.time() + SILENCE_SECONDS
+        silence_deadline_at = loop.time() + SILENCE_TIMEOUT_SECONDS
         while not next_response.done():
             until = min(deadline_at, silence_deadline_at)
             await asyncio.wait(
@@ -228,7 +233,7 @@
                 if self._is_unresponsive(target):
                     self._connections.pop(target.address, None)
                     return CONNECTION_LOST
-                silence_deadline_at = loop.time() + SILENCE_SECONDS
+                silence_deadline_at = loop.time() + SILENCE_TIMEOUT_SECONDS
         response: bytes | Refused | None = next_response.result()
         return response
 
--- a/src/foxwinch/limits/service.py
+++ b/src/foxwinch/limits/service.py
@@ -1,4 +1,4 @@
-"""Limits of tenants and classes across all nodes, without a call on the way of a request."""
+"""Cluster-wide rate limits of tenants and classes, enforced without a remote call per request."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -22,22 +22,22 @@
 
 UPDATE_SECONDS = 1.0
 DIGEST_BYTES_PER_SECOND = 1_500.0
-"""Usage digests of all nodes of a region together, as each node receives them: a quarter of the
-6 KB/s that a node has for control. The interval between digests grows with the nodes."""
+"""Rate at which a node receives the usage digests of its region: a quarter of the 6 KB/s that a
+node has for control traffic. The interval between digests grows with the number of nodes."""
 DIGEST_BYTES = 400
-"""A full digest with its gossip entry."""
+"""Size of a full digest including its gossip entry."""
 REFRESH_SECONDS = 60.0
-"""An unchanged digest is told again after so long, for nodes that joined since."""
+"""Interval at which an unchanged digest is republished for nodes that have joined since."""
 CLASS_BURST_SECONDS = 5.0
 UNLIMITED = 1e12
-"""Rate of the part of a class limit that is not set."""
+"""Rate used for an unset request or token limit of a class."""
 RETRY_JITTER = 0.5
-"""Refused callers are told to come back spread over this part of the wait."""
+"""Fraction of the wait over which the retry times of refused callers are spread."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitsPorts:
-    """What the service needs of the node."""
+    """Dependencies of the service."""
 
     clock: Clock
     gossip: GossipView
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Subjects:
+class _LimitSettings:
     """Tenants and classes of the configuration by name."""
 
     tenants: Mapping[str, TenantSettings]
@@ -54,15 +54,15 @@
 
 
 class LimitsService:
-    """See `foxwinch.limits.ports.LimitView`."""
+    """Implements `foxwinch.limits.ports.LimitView`."""
 
     def __init__(self, ports: LimitsPorts, registry: CollectorRegistry) -> None:
-        """Use `ports`; nothing is admitted before `start`."""
+        """Create the service; it admits requests only after `start`."""
         self._ports = ports
         self._node = ports.membership.this_member().node
-        self._subjects = _Subjects({}, {})
+        self._settings = _LimitSettings({}, {})
         self._digest = UsageDigest()
-        self._told_at = float("-inf")
+        self._published_at = float("-inf")
         self._version = 0
         self._tasks = ServiceTasks("limits")
         self._log = EventLog("limits")
@@ -72,14 +72,14 @@
             ["kind"],
             registry=registry,
         )
-        self._cut_off = Gauge(
+        self._cut_off_gauge = Gauge(
             "foxwinch_limit_shares_frozen",
             "1 while this node sees no majority and its shares may not rise",
             registry=registry,
         )
 
     async def start(self) -> None:
-        """Listen to the other nodes' demand and begin to tell this node's own."""
+        """Start to receive the demand of other nodes and to publish this node's own."""
         now = self._ports.clock.monotonic()
         self._table = ShareTable(self._node, now)
         self._meter = DemandMeter(now)
@@ -90,25 +90,25 @@
         for entry in self._ports.gossip.entries(GossipKind.USAGE).values():
             self._on_gossip(entry)
         self._update()
-        self._tasks.start(self._run())
+        self._tasks.start(self._update_loop())
 
     async def stop(self) -> None:
-        """Stop telling; the others keep this node's share for the time of its lease."""
+        """Stop publishing; the other nodes reserve this node's share until its lease expires."""
         await self._tasks.stop()
 
     def admit(
         self, tenant: TenantName, class_name: ClassName, estimated_tokens: int
     ) -> Admitted | Refused:
-        """Take one request and its estimated tokens from the share, or refuse at once."""
+        """Charge one request and its estimated tokens to this node's shares, or refuse it."""
         snapshot = self._ports.configuration.current()
         if isinstance(snapshot, Refused):
             return snapshot
         limits = self._limits(tenant, class_name)
         if isinstance(limits, Refused):
             return limits
-        rank = self._subjects.classes[class_name].rank
+        rank = self._settings.classes[class_name].rank
         for limit in limits:
-            self._count(limit, estimated_tokens)
+            self._record_demand(limit, estimated_tokens)
         now = self._ports.clock.monotonic()
         outcome = self._limiter.admit(limits, rank, estimated_tokens, now)
         if isinstance(outcome, Limited):
@@ -119,16 +119,16 @@
         return Admitted(tenant, estimated_tokens)
 
     def settle(self, admitted: Admitted, used_tokens: int) -> None:
-        """Correct the tenant's estimate by what was used; classes keep the estimate."""
-        tenant = self._subjects.tenants.get(admitted.tenant)
+        """Correct the tenant's estimate by the actual usage; classes keep the estimate."""
+        tenant = self._settings.tenants.get(admitted.tenant)
         if tenant is not None:
             now = self._ports.clock.monotonic()
             limits = (_tenant_limit(tenant),)
             self._limiter.settle(limits, admitted.estimated_tokens, used_tokens, now)
 
     def _limits(self, tenant: TenantName, class_name: ClassName) -> tuple[Limit, ...] | Refused:
-        tenant_settings = self._subjects.tenants.get(tenant)
-        class_settings = self._subjects.classes.get(class_name)
+        tenant_settings = self._settings.tenants.get(tenant)
+        class_settings = self._settings.classes.get(class_name)
         if tenant_settings is None or class_settings is None:
             return not_run(Reason.INVALID_REQUEST, "unknown tenant or class")
         if tenant_settings.classes and class_name not in tenant_settings.classes:
@@ -137,14 +137,14 @@
         tenant_limit = _tenant_limit(tenant_settings)
         return (tenant_limit,) if class_limit is None else (tenant_limit, class_limit)
 
-    def _count(self, limit: Limit, tokens: int) -> None:
-        """Count offered work as the time that it takes at the whole limit."""
+    def _record_demand(self, limit: Limit, tokens: int) -> None:
+        """Record offered load as the seconds that it takes at the full limit."""
         seconds = max(1.0 / limit.requests_per_second, tokens / limit.tokens_per_second)
         self._meter.add(limit.key, seconds)
 
     # --- shares ----------------------------------------------------------------------------
 
-    async def _run(self) -> None:
+    async def _update_loop(self) -> None:
         while True:
             await self._ports.clock.sleep(UPDATE_SECONDS)
             self._update()
@@ -152,24 +152,24 @@
     def _update(self) -> None:
         now = self._ports.clock.monotonic()
         alive = [m.node for m in self._ports.membership.members() if _is_counted(m)]
-        was_cut_off = self._table.is_cut_off
+        was_isolated = self._table.is_isolated
         if self._table.update(alive, now):
-            self._limiter.restart(now)
-            self._told_at = float("-inf")
-        if self._table.is_cut_off != was_cut_off:
-            self._cut_off.set(self._table.is_cut_off)
-            self._log.warning("majority_changed", cut_off=self._table.is_cut_off)
+            self._limiter.reset(now)
+            self._published_at = float("-inf")
+        if self._table.is_isolated != was_isolated:
+            self._cut_off_gauge.set(self._table.is_isolated)
+            self._log.warning("majority_changed", cut_off=self._table.is_isolated)
         self._meter.advance(now)
         interval = self._table.node_count * DIGEST_BYTES / DIGEST_BYTES_PER_SECOND
         digest = self._meter.digest()
-        due = now - self._told_at
-        if due >= REFRESH_SECONDS or (digest != self._digest and due >= interval):
-            self._tell(digest, now)
+        elapsed = now - self._published_at
+        if elapsed >= REFRESH_SECONDS or (digest != self._digest and elapsed >= interval):
+            self._publish_digest(digest, now)
 
-    def _tell(self, digest: UsageDigest, now: float) -> None:
+    def _publish_digest(self, digest: UsageDigest, now: float) -> None:
         self._version += 1
-        self._digest, self._told_at = digest, now
-        self._table.tell_own(digest, now)
+        self._digest, self._published_at = digest, now
+        self._table.record_own_digest(digest, now)
         payload = encode(digest)
         self._ports.gossip.publish(
             GossipEntry(GossipKind.USAGE, self._node, self._version, payload)
@@ -178,7 +178,7 @@
     def _on_gossip(self, entry: GossipEntry) -> None:
         digest = decode(entry.payload)
         if digest is not None and entry.key != self._node:
-            self._table.tell(NodeId(entry.key), digest, self._ports.clock.monotonic())
+            self._table.record_digest(NodeId(entry.key), digest, self._ports.clock.monotonic())
 
     def _on_member(self, member: Member) -> None:
         if member.state is MemberState.LEFT:
@@ -190,7 +190,7 @@
 
     def _on_configuration(self, snapshot: ConfigurationSnapshot) -> None:
         document = snapshot.document
-        self._subjects = _Subjects(
+        self._settings = _LimitSettings(
             {tenant.name: tenant for tenant in document.tenants},
             {entry.name: entry for entry in document.classes},
         )
--- a/src/foxwinch/workers/coordinator_facts.py
+++ b/src/foxwinch/workers/coordinator_facts.py
@@ -1,4 +1,4 @@
-"""The workers of a coordinator as operators see them, and their order to drain one."""
+"""Worker status and worker drains for operators."""
 
 from collections.abc import Sequence
 
@@ -14,15 +14,14 @@
 
 
 class CoordinatorFacts:
-    """Implements `foxwinch.queries.facts.WorkerFacts`."""
+    """Implementation of `foxwinch.queries.facts.WorkerFacts`."""
 
     def __init__(self, node: NodeId, coordinator: CoordinatorService) -> None:
-        """Report what `coordinator` holds."""
         self._node = node
         self._coordinator = coordinator
 
     def workers(self) -> Sequence[WorkerStatus]:
-        """Return a status for each worker that this node is coordinator of."""
+        """Return the status of each worker held by this node."""
         held = self._coordinator.pools.held()
         return [self._status(worker, entry) for worker, entry in held.items()]
 
@@ -44,15 +43,14 @@
 
 
 class GossipedDrains:
-    """Implements `foxwinch.commands.operator.WorkerDrains`."""
+    """Implementation of `foxwinch.commands.operator.WorkerDrains` by gossip."""
 
     def __init__(self, configuration: ConfigurationView, gossip: GossipView) -> None:
-        """Check against `configuration`, spread by `gossip`."""
         self._configuration = configuration
         self._gossip = gossip
 
     async def drain_worker(self, worker: WorkerId) -> Accepted | Refused:
-        """Give the worker no new work from any node of the region."""
+        """Stop all nodes of the region from sending new calls to the worker."""
         outcome = drain_worker(self._configuration, self._gossip, DrainWorker(worker))
         return outcome if isinstance(outcome, Refused) else Accepted()
 
--- a/src/foxwinch/workers/worker_link.py
+++ b/src/foxwinch/workers/worker_link.py
@@ -1,4 +1,4 @@
-"""What a coordinator reads from one worker: its lagging load and its late, gapped cache events."""
+"""Polling of one worker by its coordinator: load reports and cache events."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,27 +11,27 @@
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, outcome_unknown
 from foxwinch.service_tasks import ServiceTasks
-from foxwinch.workers.waiting import wait_for_event
+from foxwinch.workers.event_wait import wait_for_event
 
-POLL_SECONDS = 1.0
-"""Period of reading load and cache events: an engine's report lags by about as much, and a
-worker that says it is leaving must be heard within 3 s."""
-ANSWER_SECONDS = 1.0
-"""A poll without an answer for so long has failed."""
-GONE_SECONDS = 4.0
-"""Without an answer for so long a worker counts as gone: its places are void."""
+POLL_INTERVAL_SECONDS = 1.0
+"""Polling period for load and cache events. Engine reports lag by about as much, and a worker that
+reports leaving must be detected within 3 s."""
+POLL_TIMEOUT_SECONDS = 1.0
+"""Timeout of a poll."""
+UNREACHABLE_SECONDS = 4.0
+"""Time without a response after which a worker counts as unreachable and its slots are dropped."""
 
 log = EventLog("worker")
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerLinkEvents:
-    """What the coordinator is told."""
+    """Callbacks of a worker link."""
 
     reported: Callable[[WorkerId, LoadReport], None]
     cache_changed: Callable[[CacheChanged], None]
-    gone: Callable[[WorkerId], None]
-    """Not reachable for too long; `reported` follows when it is back."""
+    unreachable: Callable[[WorkerId], None]
+    """Called when the worker is unreachable; `reported` follows when it is reachable again."""
 
 
 class WorkerLink:
@@ -40,7 +40,6 @@
     def __init__(
         self, worker: WorkerId, engine: EnginePort, clock: Clock, events: WorkerLinkEvents
     ) -> None:
-        """Start nothing yet."""
         self.worker = worker
         self.report: LoadReport | None = None
         self.reported_at: float | None = None
@@ -48,56 +47,58 @@
         self._clock = clock
         self._events = events
         self._cache_sequence = 0
-        self._wake = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._tasks = ServiceTasks("worker_link")
 
     def start(self) -> None:
         """Start polling."""
-        self._tasks.start(self._poll_for_ever())
+        self._tasks.start(self._poll_loop())
 
     def poll_now(self) -> None:
-        """Read without waiting for the period: the worker has refused something."""
-        self._wake.set()
+        """Poll immediately, for example after the worker has refused a call."""
+        self._wake_event.set()
 
     def resync_cache(self) -> None:
-        """Read the whole list of cached blocks with the next poll."""
+        """Read the complete list of cached blocks in an immediate poll."""
         self._cache_sequence = 0
-        self._wake.set()
+        self._wake_event.set()
 
     async def stop(self) -> None:
         """Stop polling."""
         await self._tasks.stop()
 
-    async def _poll_for_ever(self) -> None:
-        silent_since = self._clock.monotonic()
-        gone = False
+    async def _poll_loop(self) -> None:
+        last_answer_at = self._clock.monotonic()
+        unreachable = False
         while True:
-            self._wake.clear()
+            self._wake_event.clear()
             report = await self._read_load()
             now = self._clock.monotonic()
             if not isinstance(report, Refused):
                 self.report, self.reported_at = report, now
-                silent_since, gone = now, False
+                last_answer_at, unreachable = now, False
                 self._events.reported(self.worker, report)
                 await self._read_cache()
-            elif not gone and now - silent_since >= GONE_SECONDS:
-                gone = True
+            elif not unreachable and now - last_answer_at >= UNREACHABLE_SECONDS:
+                unreachable = True
                 log.warning("worker_gone", worker=self.worker, reason=report.reason)
                 self._cache_sequence = 0
-                self._events.gone(self.worker)
-            await wait_for_event(self._clock, self._wake, POLL_SECONDS)
+                self._events.unreachable(self.worker)
+            await wait_for_event(self._clock, self._wake_event, POLL_INTERVAL_SECONDS)
 
     async def _read_load(self) -> LoadReport | Refused:
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(POLL_TIMEOUT_SECONDS):
                 return await self._engine.load(self.worker)
         except TimeoutError:
-            return outcome_unknown(Reason.BACKEND_UNAVAILABLE, "the worker did not answer in time")
+            return outcome_unknown(
+                Reason.BACKEND_UNAVAILABLE, "the worker did not respond to the load request in time"
+            )
 
     async def _read_cache(self) -> None:
         after = self._cache_sequence
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(POLL_TIMEOUT_SECONDS):
                 page = await self._engine.cache_events(self.worker, after)
         except TimeoutError:
             return
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration spreads to every node, never goes back, and no change is applied twice."""
+"""A configuration reaches every node, never reverts, and no change is applied twice."""
 
 import asyncio
 
@@ -12,12 +12,17 @@
 from foxwinch.commands.apply_configuration import ApplyConfiguration
 from foxwinch.configuration.store import ConfigurationStore
 from foxwinch.core.configuration.change import Change, ChangeAccepted
-from foxwinch.core.configuration.document import Delta, difference, entries_of, state_of
+from foxwinch.core.configuration.document import (
+    Delta,
+    build_document_state,
+    compute_delta,
+    split_entries,
+)
 from foxwinch.core.configuration.replica import ConfigurationReplica
 from foxwinch.emulator.faults import ServiceFaults
 from foxwinch.outcomes import Reason, Refused, RunState, not_run, outcome_unknown
 
-IN_FORCE_SECONDS = 5.0
+ACTIVATION_SECONDS = 5.0
 
 
 @pytest.fixture
@@ -39,22 +44,22 @@
     )  # fmt: skip
 
 
-def test_change_is_in_force_everywhere_in_time(cluster):
+def test_change_is_active_at_every_node_in_time(cluster):
     nodes = [cluster.start_node() for _ in range(7)]
     assert apply(cluster, nodes[0], "change-one", 1, document_with(7)) == ChangeAccepted(2)
-    cluster.run(asyncio.sleep(IN_FORCE_SECONDS))
+    cluster.run(asyncio.sleep(ACTIVATION_SECONDS))
     assert [rate_at(node) for node in nodes] == [(2, 7.0)] * 7
 
 
-def test_change_crosses_a_cut_by_the_table(cluster):
+def test_change_reaches_partitioned_nodes_through_the_table(cluster):
     nodes = [cluster.start_node() for _ in range(4)]
     cluster.cut = {3, 4}
     apply(cluster, nodes[0], "change-one", 1, document_with(7))
-    cluster.run(asyncio.sleep(IN_FORCE_SECONDS))
+    cluster.run(asyncio.sleep(ACTIVATION_SECONDS))
     assert rate_at(nodes[3]) == (2, 7.0)
 
 
-def test_race_names_the_newer_revision(cluster):
+def test_conflicting_change_reports_the_newer_revision(cluster):
     nodes = [cluster.start_node() for _ in range(2)]
     changes = [
         node.service.apply(ApplyConfiguration(f"racing-{rate}", 1, document_with(rate)))
@@ -72,8 +77,8 @@
     assert "revision 2 is in force" in refused[0].detail
 
 
-class LosesAnswers:
-    """A store whose next transactions take effect without an answer."""
+class ResponseLosingStore:
+    """A store whose next transactions take effect but lose their responses."""
 
     def __init__(self, records, losses):
         self.records, self.losses = records, losses
@@ -83,29 +88,29 @@
         outcome = await self.records.transact(*transaction)
         self.losses -= 1
         if self.losses >= 0:
-            return outcome_unknown(Reason.STORE_UNAVAILABLE, "the answer was lost")
+            return outcome_unknown(Reason.STORE_UNAVAILABLE, "answer lost")
         return outcome
 
     async def unreadable(self, *_):
         return not_run(Reason.STORE_UNAVAILABLE, "down")
 
 
-def test_lost_answer_is_settled_by_reading_back(cluster):
+def test_lost_response_is_resolved_by_reading_back(cluster):
     node = cluster.start_node()
-    node.service._store = ConfigurationStore(LosesAnswers(node.records, 1))
+    node.service._store = ConfigurationStore(ResponseLosingStore(node.records, 1))
     assert apply(cluster, node, "change-one", 1, document_with(7)) == ChangeAccepted(2)
     assert apply(cluster, node, "change-one", 1, document_with(7)) == ChangeAccepted(2)
     assert apply(cluster, node, "change-two", 1, document_with(8)).reason is Reason.CONFLICT
     assert rate_at(node) == (2, 7.0)
 
 
-def test_change_whose_fate_cannot_be_read_is_unknown(cluster):
+def test_change_with_undeterminable_outcome_is_reported_unknown(cluster):
     node = cluster.start_node()
-    records = LosesAnswers(node.records, 1)
+    records = ResponseLosingStore(node.records, 1)
 
     async def lose_then_fail(*transaction):
         records.read = records.unreadable
-        return await LosesAnswers.transact(records, *transaction)
+        return await ResponseLosingStore.transact(records, *transaction)
 
     records.transact = lose_then_fail
     node.service._store = ConfigurationStore(records)
@@ -117,7 +122,7 @@
     assert cluster.run(node.service.apply(again)) == ChangeAccepted(2)
 
 
-def test_unchecked_document_is_refused(cluster):
+def test_invalid_document_is_refused(cluster):
     node = cluster.start_node()
     broken = DOCUMENT.model_copy(update={"default_template": "absent"})
     outcome = apply(cluster, node, "change-one", 1, broken)
@@ -125,7 +130,7 @@
     assert "default_template" in outcome.detail
 
 
-def test_node_that_cannot_fetch_refuses_to_serve_older(cluster):
+def test_node_refuses_to_serve_a_stale_revision(cluster):
     nodes = [cluster.start_node() for _ in range(2)]
     nodes[1].records.gate.faults = ServiceFaults(down=True)
     apply(cluster, nodes[0], "change-one", 1, document_with(7))
@@ -137,18 +142,18 @@
     assert (outcome.reason, outcome.run_state) == (Reason.STALE_CONFIGURATION, RunState.NOT_RUN)
 
 
-def test_starting_node_learns_from_fellow_nodes_while_the_table_is_down(cluster):
+def test_starting_node_learns_from_peers_while_the_table_is_down(cluster):
     nodes = [cluster.start_node() for _ in range(2)]
     apply(cluster, nodes[0], "change-one", 1, document_with(7))
-    cluster.run(asyncio.sleep(IN_FORCE_SECONDS))
+    cluster.run(asyncio.sleep(ACTIVATION_SECONDS))
     late = cluster.start_node(down=True)
     assert rate_at(late) == (2, 7.0)
     cluster.cut = {4}
-    lonely = cluster.start_node(down=True)
-    assert lonely.service.current().reason is Reason.STALE_CONFIGURATION
+    isolated = cluster.start_node(down=True)
+    assert isolated.service.current().reason is Reason.STALE_CONFIGURATION
 
 
-def test_change_that_conflicts_with_its_own_repeat_is_not_called_not_run(cluster):
+def test_change_that_conflicts_with_its_own_retry_is_not_reported_as_not_run(cluster):
     node = cluster.start_node()
     transact = node.records.transact
 
@@ -173,7 +178,7 @@
     assert {row.node: row.held for row in rows} == {"node-1": 1, "node-2": 1, "node-3": None}
 
 
-def test_large_documents_travel_in_chunks_and_small_changes_small(cluster):
+def test_large_documents_are_chunked_and_small_changes_stay_small(cluster):
     template = DOCUMENT.tenants[0]
     tenants = tuple(
         template.model_copy(update={"name": f"tenant-{i}", "key_hashes": (f"{i * 7919:064x}",)})
@@ -193,27 +198,27 @@
     assert max(map(len, cluster.model.rows_of("configuration").values())) <= 33 * 1024
 
 
-def test_late_older_document_is_not_taken():
+def test_older_document_arriving_late_is_ignored():
     replica = ConfigurationReplica()
     for revision, rate in ((2, 7), (1, 3)):
-        state = state_of(entries_of(document_with(rate)))
+        state = build_document_state(split_entries(document_with(rate)))
         whole = Change(revision, 0, "token", state.digest, Delta(state.entries))
         replica.receive(whole)
     assert replica.held_revision == 2
     assert replica.held.state.document.tenants[0].requests_per_second == 7.0
 
 
-def test_field_of_a_newer_version_is_left_out():
-    entries = entries_of(DOCUMENT)
+def test_unknown_field_of_a_newer_version_is_ignored():
+    entries = split_entries(DOCUMENT)
     entries["tenants/seat-reservations"] = '{"name":"seat-reservations","colour":"red"}'
-    state = state_of(entries)
+    state = build_document_state(entries)
     assert state.document.tenants[0].name == "seat-reservations"
-    delta = difference(entries, entries_of(DOCUMENT))
-    assert state.apply(delta).digest == state_of(entries_of(DOCUMENT)).digest
+    delta = compute_delta(entries, split_entries(DOCUMENT))
+    assert state.apply(delta).digest == build_document_state(split_entries(DOCUMENT)).digest
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Oracle: accepted revisions map to the one document accepted under them."""
+    """Oracle: each accepted revision stands for exactly one document."""
 
     def __init__(self):
         super().__init__()
@@ -254,18 +259,18 @@
             if row.key.startswith("revision/")
         }
 
-    def none_of_those_reported_as_not_run_took_effect(self):
-        """A change that is sent again may take effect then: so look before it is."""
+    def check_not_run_changes_had_no_effect(self):
+        """Check before a change is sent again, since it may take effect then."""
         not_run = {token for token, sent in self.sent.items() if sent[2] is RunState.NOT_RUN}
         assert not not_run & self.tokens_in_store(), "a change reported as not run took effect"
 
     def send(self, node, token, expected, rate):
-        self.none_of_those_reported_as_not_run_took_effect()
+        self.check_not_run_changes_had_no_effect()
         command = ApplyConfiguration(token, expected, document_with(rate), token in self.sent)
         outcome = self.cluster.run(node.service.apply(command))
         if isinstance(outcome, ChangeAccepted):
             same = self.accepted.setdefault(outcome.revision, float(rate))
-            assert same == rate, "two documents accepted under one revision"
+            assert same == rate, "two documents accepted as one revision"
         state = RunState.RAN if isinstance(outcome, ChangeAccepted) else outcome.run_state
         self.sent[token] = (expected, rate, state)
 
@@ -298,7 +303,7 @@
         self.cluster.run(asyncio.sleep(seconds))
 
     @invariant()
-    def never_back_and_never_below_what_was_heard(self):
+    def revision_never_decreases_or_lags_the_known_one(self):
         for node in self.cluster.nodes.values():
             served = rate_at(node)
             if isinstance(served, Refused):
@@ -306,7 +311,7 @@
                 continue
             revision, rate = served
             assert revision >= self.served.get(node.number, 0)
-            assert revision >= node.highest_heard
+            assert revision >= node.highest_received
             assert self.accepted.setdefault(revision, rate) == rate
             self.served[node.number] = revision
 
@@ -315,12 +320,12 @@
         cluster.loss, cluster.cut = 0.0, set()
         for node in cluster.nodes.values():
             node.records.gate.faults = ServiceFaults()
-        cluster.run(asyncio.sleep(2 * IN_FORCE_SECONDS))
+        cluster.run(asyncio.sleep(2 * ACTIVATION_SECONDS))
         views = {rate_at(node) for node in cluster.nodes.values()}
-        self.none_of_those_reported_as_not_run_took_effect()
+        self.check_not_run_changes_had_no_effect()
         cluster.close()
         assert cluster.failures == []
-        assert len(views) <= 1, "the nodes do not agree after the faults"
+        assert len(views) <= 1, "nodes hold different configurations after the faults ended"
         assert not any(isinstance(view, Refused) for view in views)
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits hold over all nodes within the stated bound; repeats, circuits and waits are bounded."""
+"""Rate limits across nodes, retry budgets, circuit breakers and backoff."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 from foxwinch.bench.retry_storm import Policy, Scenario, run_policy
 from foxwinch.core.limits.backoff import Backoff
-from foxwinch.core.limits.circuit import Circuit, CircuitState
+from foxwinch.core.limits.circuit_breaker import CircuitBreaker, CircuitState
 from foxwinch.core.limits.limiter import Limit, Limited, Limiter, Passed
 from foxwinch.core.limits.retry_budget import RetryBudget, RetryKey
 from foxwinch.core.limits.shares import LEASE_SECONDS, ShareTable
@@ -30,9 +30,9 @@
 GOSSIP_SECONDS = 3.0
 DETECTION_SECONDS = 2.0
 SEEN_SECONDS = 1.25
-"""One update and one step."""
+"""Delay of one update and one step."""
 SHIFT_SECONDS = GOSSIP_SECONDS + SEEN_SECONDS + 1.0
-"""After which a node that was away knows the demand of all others."""
+"""Time after which a node that was unreachable knows the demand of all others."""
 
 
 class ModelNode:
@@ -60,10 +60,10 @@
     def update(self, now):
         self.last_update = now
         if self.table.update(self.fleet.seen_by(self), now):
-            self.limiter.restart(now)
+            self.limiter.reset(now)
         self.meter.advance(now)
         digest = self.meter.digest()
-        self.table.tell_own(digest, now)
+        self.table.record_own_digest(digest, now)
         for other in self.fleet.nodes:
             if other is not self:
                 delay = self.fleet.random.uniform(0.0, GOSSIP_SECONDS)
@@ -71,7 +71,7 @@
 
 
 class Fleet:
-    """Nodes, gossip with delays up to a bound, and detection of who is there with a delay."""
+    """Nodes with gossip delayed up to a bound and delayed failure detection."""
 
     def __init__(self, seed):
         self.random, self.now = random.Random(seed), 0.0
@@ -111,14 +111,14 @@
                 continue
             if told_at > self.newest.get((sender, receiver), -1.0):
                 self.newest[sender, receiver] = told_at
-                receiver.table.tell(sender.name, digest, self.now)
+                receiver.table.record_digest(sender.name, digest, self.now)
         return sum(node.step(self.now) for node in list(self.nodes))
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Oracle: a leaky bucket over all nodes, and the sum of the shares; see docs/design/limits.md.
+    """Oracle: a leaky bucket over all nodes and the sum of the shares; see docs/design/limits.md.
 
-    A node that starts or wakes learns the demand of the others within `SHIFT_SECONDS`.
+    A node that starts or resumes learns the demand of the others within `SHIFT_SECONDS`.
     """
 
     @initialize(nodes=st.integers(1, 6), seed=st.integers(0, 999))
@@ -136,7 +136,7 @@
         self.allow_start()
 
     def allow_start(self):
-        """One request, and an equal share until the node knows the others' demand."""
+        """Allow one request, and an equal share until the node knows the demand of the others."""
         equal = LIMIT.requests_per_second / len(self.fleet.nodes)
         self.allowance += 1.0 + equal * SHIFT_SECONDS
         self.shifting_until = self.fleet.now + SHIFT_SECONDS
@@ -176,7 +176,7 @@
         fleet.set_cut({node.name for node in minority})
         self.advance(seconds)
         fleet.set_cut(set())
-        # What the smaller side saved, and an equal share until both sides see each other.
+        # Tokens accumulated by the minority, and an equal share until both sides see each other.
         self.allowance += self.cut_share * LIMIT.requests_per_second * LIMIT.burst_seconds
         for _ in minority:
             self.allow_start()
@@ -230,19 +230,19 @@
     assert 0.9 * 40.0 * 20.0 <= sum(last_seconds) <= 40.0 * 20.0 * 1.05
 
 
-def test_idle_tenant_passes_at_any_node_at_once():
+def test_idle_tenant_is_admitted_at_any_node_immediately():
     fleet, _ = run_fleet([0.0] * 6, 10.0)
     for node in fleet.nodes:
         assert node.limiter.admit((LIMIT,), 9, 1.0, fleet.now) == Passed()
 
 
-def test_share_of_a_dead_node_returns_and_a_lone_node_may_not_rise():
+def test_lost_share_is_redistributed_and_an_isolated_node_may_not_grow():
     fleet, _ = run_fleet([400.0, 400.0, 400.0], 30.0)
     before = fleet.nodes[0].table.share(NAME, fleet.now)
     fleet.set_cut({fleet.nodes[0].name})
     for _ in range(int(40 / STEP_SECONDS)):
         fleet.step()
-    assert fleet.nodes[0].table.is_cut_off
+    assert fleet.nodes[0].table.is_isolated
     assert fleet.nodes[0].table.share(NAME, fleet.now) <= before + 1e-9
     majority = sum(node.table.share(NAME, fleet.now) for node in fleet.nodes[1:])
     assert majority == pytest.approx(1.0)
@@ -250,7 +250,7 @@
 
 def test_share_stays_with_a_silent_node_for_its_lease():
     table = ShareTable("a", 0.0)
-    table.tell("b", UsageDigest({NAME: 1.0}), 0.0)
+    table.record_digest("b", UsageDigest({NAME: 1.0}), 0.0)
     table.update(["b", "c"], 0.0)
     while_alive = table.share(NAME, 0.0)
     table.update(["c"], LEASE_SECONDS - 1.0)
@@ -281,13 +281,13 @@
     assert limiter.admit((LIMIT,), 0, 1.0, later) == Passed()
 
 
-def test_node_that_has_just_started_has_saved_nothing():
+def test_new_node_has_no_accumulated_tokens():
     limiter = Limiter(lambda key, at: 1.0, 100.0)
     assert limiter.admit((LIMIT,), 0, 1.0, 100.0) == Passed()
     assert isinstance(limiter.admit((LIMIT,), 0, 1.0, 100.0), Limited)
 
 
-def test_no_storm_after_the_back_end_returns():
+def test_no_retry_storm_after_the_backend_recovers():
     small = Scenario(calls_per_second=16.0, served_per_second=20.0, end=130.0, clients=3)
     fixed, budget = (run_policy(small, policy, 3) for policy in (Policy.FIXED, Policy.BUDGET))
     assert budget.attempts_per_call_after_return <= 1.11
@@ -295,7 +295,7 @@
     assert budget.seconds_to_recover <= 5.0
 
 
-def test_tokens_are_settled_by_what_was_used():
+def test_tokens_are_settled_by_actual_usage():
     limit = Limit("tenant:one", 100.0, 1_000.0, 5.0)
     limiter = Limiter(lambda key, at: 1.0, 0.0)
     assert limiter.admit((limit,), 0, 50_000.0, 100.0) == Passed()
@@ -315,12 +315,12 @@
         assert value <= min(1.0, demand[key]) <= value * 1.1
 
 
-def test_repeats_are_a_part_of_first_attempts():
+def test_retries_are_a_fraction_of_first_attempts():
     budget, key = RetryBudget(ratio=0.1, burst=5.0), RetryKey("tenant", "worker")
     repeats = 0
     for _ in range(1_000):
-        budget.first_attempt(key)
-        repeats += budget.try_repeat(key)
+        budget.record_first_attempt(key)
+        repeats += budget.try_retry(key)
     assert 100 <= repeats <= 105
 
 
@@ -330,30 +330,30 @@
     assert 0.0 <= wait <= min(2.0, 0.1 * 2.0**attempt)
 
 
-def test_circuit_opens_tries_once_and_closes():
-    circuit = Circuit()
+def test_circuit_breaker_opens_admits_one_trial_and_closes():
+    circuit = CircuitBreaker()
     for second in range(5):
         assert circuit.try_call(float(second))
-        circuit.failed(float(second), 0.5)
+        circuit.record_failure(float(second), 0.5)
     assert circuit.state(4.0) is CircuitState.OPEN
     assert not circuit.try_call(4.1)
     again = 4.0 + circuit.wait_seconds(4.0)
     assert circuit.try_call(again)
     assert not circuit.try_call(again)
-    circuit.failed(again, 0.999)
+    circuit.record_failure(again, 0.999)
     assert circuit.wait_seconds(again) > 2.0
     later = again + circuit.wait_seconds(again)
     assert circuit.try_call(later)
-    circuit.succeeded(later)
+    circuit.record_success(later)
     assert circuit.state(later) is CircuitState.CLOSED
     assert circuit.try_call(later)
 
 
-def test_single_failures_leave_the_circuit_closed():
-    circuit = Circuit()
+def test_isolated_failures_leave_the_circuit_breaker_closed():
+    circuit = CircuitBreaker()
     for second in range(100):
         if second % 3:
-            circuit.succeeded(float(second))
+            circuit.record_success(float(second))
         else:
-            circuit.failed(float(second), 0.5)
+            circuit.record_failure(float(second), 0.5)
     assert circuit.state(100.0) is CircuitState.CLOSED
