--- a/src/foxwinch/emulator/engine_model.py
+++ b/src/foxwinch/emulator/engine_model.py
@@ -320,7 +320,10 @@
         return self._total_blocks(call) - len(hits) <= self.cache.available_blocks(hits)
 
     def _hits(self, call: EngineCall) -> tuple[int, ...]:
-        """Return the leading blocks found in the cache; the last context token is never cached."""
+        """Return the leading cached blocks, without the one of the last context token.
+
+        The last context token is always computed, because its output gives the next token.
+        """
         full_blocks = (call.context_tokens - 1) // self._parameters.block_tokens
         hashes = call.request.block_hashes[:full_blocks]
         return hashes[: self.cache.cached_prefix(hashes)]
--- a/src/foxwinch/emulator/engine_worker.py
+++ b/src/foxwinch/emulator/engine_worker.py
@@ -104,7 +104,7 @@
 
     async def generate(self, request: GenerateRequest) -> AsyncGenerator[EngineEvent, None]:
         """Stream a response; the last event is `GenerateFinished` or `Refused`."""
-        refused = self._check(request)
+        refused = self._check_request(request)
         if refused is not None:
             yield refused
             return
@@ -120,7 +120,7 @@
                     sent += 1
                 yield event
 
-    def _check(self, request: GenerateRequest) -> Refused | None:
+    def _check_request(self, request: GenerateRequest) -> Refused | None:
         refused = self._check_epoch(request.epoch)
         if refused is None and self.faults.leaving:
             detail = f"worker {self.settings.name} is leaving"
--- a/src/foxwinch/emulator/http_platform.py
+++ b/src/foxwinch/emulator/http_platform.py
@@ -79,14 +79,12 @@
         query = request.query
         wait_seconds = min(float(query["wait"]), MAX_WAIT_SECONDS)
         after = int(query["after"])
-        changes_read = await self._emulated_services.store.changes(
-            query["table"], after, wait_seconds
-        )
-        if isinstance(changes_read, HistoryLost):
+        outcome = await self._emulated_services.store.changes(query["table"], after, wait_seconds)
+        if isinstance(outcome, HistoryLost):
             return await respond(request, gate, _json("{}", 410))
-        if isinstance(changes_read, Refused):
-            return refusal_response(changes_read)
-        return await respond(request, gate, _rows(changes_read))
+        if isinstance(outcome, Refused):
+            return refusal_response(outcome)
+        return await respond(request, gate, _rows(outcome))
 
     async def machines(self, request: web.Request) -> web.StreamResponse:
         """Return the machine list, delayed by the faults' lag."""
--- a/src/foxwinch/emulator/memory_port.py
+++ b/src/foxwinch/emulator/memory_port.py
@@ -140,9 +140,9 @@
         self, address: PeerAddress, deadline_seconds: float
     ) -> "MemoryPeerPort | Refused":
         """Return an open connection, or a refusal that states that nothing was sent."""
-        known = self._connections.get(address)
-        if known is not None and known.open:
-            return known
+        existing = self._connections.get(address)
+        if existing is not None and existing.open:
+            return existing
         try:
             async with asyncio.timeout(min(CONNECT_TIMEOUT_SECONDS, deadline_seconds)):
                 await self._transfer_once(self.address, address)
--- a/src/foxwinch/emulator/virtual_cluster.py
+++ b/src/foxwinch/emulator/virtual_cluster.py
@@ -30,7 +30,7 @@
 from foxwinch.storage.ports import Machine
 
 MAX_NODES = 256
-SEEDS = 3
+MAX_SEEDS = 3
 """Number of running nodes that a starting node gets as seeds."""
 DRAIN_SECONDS = 60.0
 
@@ -78,52 +78,52 @@
         """Start `count` nodes, assigned to the zones in turn."""
         started = []
         for _ in range(count):
-            virtual = self._build()
-            self.nodes[virtual.identity] = virtual
-            await virtual.node.start()
-            started.append(virtual)
+            virtual_node = self._build()
+            self.nodes[virtual_node.identity] = virtual_node
+            await virtual_node.node.start()
+            started.append(virtual_node)
         return started
 
-    async def drain(self, virtual: VirtualNode) -> bool:
+    async def drain(self, virtual_node: VirtualNode) -> bool:
         """Drain and stop a node; return False if work was interrupted."""
-        completed = await virtual.node.drain()
-        await self._stop(virtual)
+        completed = await virtual_node.node.drain()
+        await self._stop(virtual_node)
         return completed
 
-    async def kill(self, virtual: VirtualNode) -> None:
+    async def kill(self, virtual_node: VirtualNode) -> None:
         """Kill a node, so that nothing it does afterwards has any effect outside."""
-        self.network.kill(virtual.address)
-        gate = virtual.records.gate
+        self.network.kill(virtual_node.address)
+        gate = virtual_node.records.gate
         gate.faults = gate.faults.model_copy(update={"down": True})
-        await self._stop(virtual)
+        await self._stop(virtual_node)
 
-    def pause(self, virtual: VirtualNode) -> None:
+    def pause(self, virtual_node: VirtualNode) -> None:
         """Pause a node as SIGSTOP does."""
-        virtual.clock.pause()
-        self.network.pause(virtual.address)
+        virtual_node.clock.pause()
+        self.network.pause(virtual_node.address)
 
-    def resume(self, virtual: VirtualNode) -> None:
+    def resume(self, virtual_node: VirtualNode) -> None:
         """Resume a paused node as SIGCONT does."""
-        virtual.clock.resume()
-        self.network.resume(virtual.address)
+        virtual_node.clock.resume()
+        self.network.resume(virtual_node.address)
 
     def partition(self, one_side: Iterable[VirtualNode]) -> None:
         """Isolate some nodes from the others until `network.heal`."""
-        inside = [virtual.address for virtual in one_side]
+        inside = [virtual_node.address for virtual_node in one_side]
         outside = [v.address for v in self.nodes.values() if v.address not in inside]
         self.network.partition(inside, outside)
 
     async def stop(self) -> None:
         """Stop every node."""
-        for virtual in list(self.nodes.values()):
-            self.resume(virtual)
-            await self._stop(virtual)
+        for virtual_node in list(self.nodes.values()):
+            self.resume(virtual_node)
+            await self._stop(virtual_node)
 
-    async def _stop(self, virtual: VirtualNode) -> None:
-        self.nodes.pop(virtual.identity, None)
-        await virtual.node.stop()
-        await virtual.records.service.stop()
-        self.network.kill(virtual.address)
+    async def _stop(self, virtual_node: VirtualNode) -> None:
+        self.nodes.pop(virtual_node.identity, None)
+        await virtual_node.node.stop()
+        await virtual_node.records.service.stop()
+        self.network.kill(virtual_node.address)
 
     def _build(self) -> VirtualNode:
         number = self._count
@@ -131,7 +131,7 @@
         clock = VirtualClock(self._seed * MAX_NODES + number + 1)
         address = next(self._addresses)
         identity = NodeId(f"node-{number}-{clock.identifier()[:8]}")
-        seeds = [str(virtual.address) for virtual in self.nodes.values()][:SEEDS]
+        seeds = [str(virtual_node.address) for virtual_node in self.nodes.values()][:MAX_SEEDS]
         settings = NodeSettings(
             name=f"node-{number}",
             region=self.document.region,
