--- a/src/foxwinch/emulator/virtual_cluster.py
+++ b/src/foxwinch/emulator/virtual_cluster.py
@@ -1,6 +1,7 @@
-"""Whole nodes on one event loop: memory for network, platform and back ends, virtual time.
+"""A cluster of complete nodes on one event loop, with virtual time and in-memory ports.
 
-The nodes are those that a process runs (`build_node`); only their ports differ.
+The nodes are built by `build_node` as in a real process. Only their ports to the network, the
+platform and the backends differ.
 """
 
 from collections.abc import AsyncIterator, Iterable
@@ -29,20 +30,20 @@
 from foxwinch.storage.ports import Machine
 
 MAX_NODES = 256
-SEEDS = 3
-"""Nodes whose addresses a starting node is told."""
+MAX_SEEDS = 3
+"""Number of running nodes that a starting node gets as seeds."""
 DRAIN_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class VirtualNode:
-    """A node with what the outside can do to it."""
+    """A node with its clock, address and access to the shared store."""
 
     node: Node
     clock: VirtualClock
     address: PeerAddress
     records: InProcessRecords
-    """This node's way to the shared store; its faults may be changed."""
+    """This node's access to the shared store; its faults may be changed."""
 
     @property
     def identity(self) -> NodeId:
@@ -50,12 +51,12 @@
         return self.node.context.node
 
     def execute(self, request: ProgramRequest) -> AsyncIterator[ProgramEvent]:
-        """Carry a request out as for a caller at this node."""
+        """Execute a request as for a caller at this node."""
         return self.node.parts.programs.execute(request)
 
 
 class VirtualCluster:
-    """Nodes of one deployment over shared stand-ins."""
+    """Nodes of one deployment over shared emulated services."""
 
     def __init__(self, document: ClusterConfiguration, seed: int = 0) -> None:
         """Serve the workers and tools of `document`; nodes are added one by one."""
@@ -74,55 +75,55 @@
         self._count = 0
 
     async def add(self, count: int = 1) -> list[VirtualNode]:
-        """Start so many nodes, over the zones in turn."""
+        """Start `count` nodes, assigned to the zones in turn."""
         started = []
         for _ in range(count):
-            virtual = self._build()
-            self.nodes[virtual.identity] = virtual
-            await virtual.node.start()
-            started.append(virtual)
+            virtual_node = self._build()
+            self.nodes[virtual_node.identity] = virtual_node
+            await virtual_node.node.start()
+            started.append(virtual_node)
         return started
 
-    async def drain(self, virtual: VirtualNode) -> bool:
-        """Stop a node as planned; False when work was cut."""
-        whole = await virtual.node.drain()
-        await self._stop(virtual)
-        return whole
+    async def drain(self, virtual_node: VirtualNode) -> bool:
+        """Drain and stop a node; return False if work was interrupted."""
+        completed = await virtual_node.node.drain()
+        await self._stop(virtual_node)
+        return completed
 
-    async def kill(self, virtual: VirtualNode) -> None:
-        """End a node at once: nothing that it does afterwards reaches anybody."""
-        self.network.kill(virtual.address)
-        gate = virtual.records.gate
+    async def kill(self, virtual_node: VirtualNode) -> None:
+        """Kill a node, so that nothing it does afterwards has any effect outside."""
+        self.network.kill(virtual_node.address)
+        gate = virtual_node.records.gate
         gate.faults = gate.faults.model_copy(update={"down": True})
-        await self._stop(virtual)
+        await self._stop(virtual_node)
 
-    def pause(self, virtual: VirtualNode) -> None:
-        """Freeze a node as SIGSTOP does."""
-        virtual.clock.pause()
-        self.network.pause(virtual.address)
+    def pause(self, virtual_node: VirtualNode) -> None:
+        """Pause a node as SIGSTOP does."""
+        virtual_node.clock.pause()
+        self.network.pause(virtual_node.address)
 
-    def resume(self, virtual: VirtualNode) -> None:
-        """Let a frozen node go on."""
-        virtual.clock.resume()
-        self.network.resume(virtual.address)
+    def resume(self, virtual_node: VirtualNode) -> None:
+        """Resume a paused node as SIGCONT does."""
+        virtual_node.clock.resume()
+        self.network.resume(virtual_node.address)
 
     def partition(self, one_side: Iterable[VirtualNode]) -> None:
-        """Cut some nodes off from the others; `network.heal` mends it."""
-        inside = [virtual.address for virtual in one_side]
+        """Isolate some nodes from the others until `network.heal`."""
+        inside = [virtual_node.address for virtual_node in one_side]
         outside = [v.address for v in self.nodes.values() if v.address not in inside]
         self.network.partition(inside, outside)
 
     async def stop(self) -> None:
-        """Stop every node and stand-in."""
-        for virtual in list(self.nodes.values()):
-            self.resume(virtual)
-            await self._stop(virtual)
+        """Stop every node."""
+        for virtual_node in list(self.nodes.values()):
+            self.resume(virtual_node)
+            await self._stop(virtual_node)
 
-    async def _stop(self, virtual: VirtualNode) -> None:
-        self.nodes.pop(virtual.identity, None)
-        await virtual.node.stop()
-        await virtual.records.service.stop()
-        self.network.kill(virtual.address)
+    async def _stop(self, virtual_node: VirtualNode) -> None:
+        self.nodes.pop(virtual_node.identity, None)
+        await virtual_node.node.stop()
+        await virtual_node.records.service.stop()
+        self.network.kill(virtual_node.address)
 
     def _build(self) -> VirtualNode:
         number = self._count
@@ -130,7 +131,7 @@
         clock = VirtualClock(self._seed * MAX_NODES + number + 1)
         address = next(self._addresses)
         identity = NodeId(f"node-{number}-{clock.identifier()[:8]}")
-        seeds = [str(virtual.address) for virtual in self.nodes.values()][:SEEDS]
+        seeds = [str(virtual_node.address) for virtual_node in self.nodes.values()][:MAX_SEEDS]
         settings = NodeSettings(
             name=f"node-{number}",
             region=self.document.region,
--- a/tests/coordinator_cluster.py
+++ b/tests/coordinator_cluster.py
@@ -198,7 +198,7 @@
 
     def cached_programs(self):
         """Return the programs with cache on any engine."""
-        return {p for engine in self.engines.values() for p in engine._prefixes}
+        return {p for engine in self.engines.values() for p in engine._cached_prefixes}
 
 
 async def until(condition, seconds=60.0):
--- a/tests/test_backends_http.py
+++ b/tests/test_backends_http.py
@@ -25,7 +25,7 @@
 from foxwinch.backends.tools_http import HttpTools
 from foxwinch.clock import SystemClock
 from foxwinch.emulator.emulated_services import EmulatedServices
-from foxwinch.emulator.engine_answers import history_marker
+from foxwinch.emulator.engine_responses import history_marker
 from foxwinch.emulator.faults import EngineFaults, ServiceFaults, ToolFaults
 from foxwinch.emulator.server import build_application
 from foxwinch.emulator.settings import EmulatedEngine, EmulatedToolWorker, EmulatorSettings
@@ -186,7 +186,7 @@
     assert [row.row.key for row in (await records.read_table("list", 5.0)).rows] == ["w"]
     heard = await records.changes("list", 1, 5.0)
     assert [(row.row.key, row.version) for row in heard.rows] == [("w", 2)]
-    harness.emulated_services.store.forget_history()
+    harness.emulated_services.store.drop_history()
     assert await records.changes("list", 1, 5.0) == HistoryLost()
     removed = await records.transact((RowCondition(ROW, 1),), (RowWrite(ROW, None),), 5.0)
     assert removed.version == 3
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -291,7 +291,7 @@
 @pytest.mark.looptime
 async def test_datagram_faults_are_reproducible_for_a_seed() -> None:
     async def run() -> list[bytes]:
-        network = MemoryNetwork(5, LinkFaults(loss=0.2, doubling=0.2, reordering=0.3))
+        network = MemoryNetwork(5, LinkFaults(loss=0.2, duplication=0.2, reordering=0.3))
         one, other = addresses(2)
         port = network.join(NodeId("one"), one)
         received: list[bytes] = []
--- a/tests/test_platform_node.py
+++ b/tests/test_platform_node.py
@@ -17,7 +17,7 @@
 )
 from fake_worker import FakeResponse, FakeWorker, events, raw_response
 from foxwinch.core.records.budget import BudgetRecord
-from foxwinch.emulator.record_store import Mood
+from foxwinch.emulator.record_store import StoreFault
 from foxwinch.records.budgets import BUDGETS_TABLE
 from foxwinch.records.turns import TURNS_TABLE
 
@@ -290,18 +290,20 @@
 async def test_a_stale_read_does_not_prove_that_a_turn_is_missing():
     async with platform_with(FakeWorker(STREAM_RESPONSE)) as platform:
         first, second = await platform.start_node(), await platform.start_node()
-        platform.model.hold_reads()
+        platform.model.serve_stale_reads()
         await platform.request_turn(first, "t1", path=RETAINED)
         reply = await platform.request_turn(second, "t2", path=RETAINED, Previous_Turn="t1")
         assert reply.status == 503
 
 
-@pytest.mark.parametrize("mood", [Mood.BUSY, Mood.LIMITED, Mood.SILENT])
-async def test_during_a_store_outage_a_turn_is_unavailable_rather_than_not_found(mood):
+@pytest.mark.parametrize(
+    "fault", [StoreFault.BUSY, StoreFault.RATE_LIMITED, StoreFault.UNRESPONSIVE]
+)
+async def test_during_a_store_outage_a_turn_is_unavailable_rather_than_not_found(fault):
     async with platform_with(FakeWorker(STREAM_RESPONSE)) as platform:
         first, second = await platform.start_node(), await platform.start_node()
         await platform.request_turn(first, "t1", path=RETAINED)
-        platform.model.moods.mood = mood
+        platform.model.store_faults.fault = fault
         reply = await platform.request_turn(second, "t2", path=RETAINED, Previous_Turn="t1")
         assert reply.status == 503
         assert "Retry-After" in reply.headers
@@ -311,8 +313,10 @@
     async with platform_with(FakeWorker(STREAM_RESPONSE)) as platform:
         node = await platform.start_node()
         await platform.request_turn(node, "t1", path=RETAINED)
-        platform.model.moods.mood = Mood.BUSY
-        asyncio.get_running_loop().call_later(0.5, setattr, platform.model.moods, "mood", Mood.WELL)
+        platform.model.store_faults.fault = StoreFault.BUSY
+        asyncio.get_running_loop().call_later(
+            0.5, setattr, platform.model.store_faults, "fault", StoreFault.NONE
+        )
         reply = await platform.request_turn(node, "t2", path=RETAINED, Previous_Turn="t1")
         assert reply.is_complete
         assert any(row.key == "t2" for row in platform.model.rows_of(TURNS_TABLE))
@@ -385,7 +389,7 @@
     async with platform_with(FakeWorker(FakeResponse())) as platform:
         node = await platform.start_node()
         platform.model.put("op", "config", configuration(version=5))
-        platform.model.forget_history()
+        platform.model.drop_history()
 
         async def version():
             return node.node.routing.configuration.version
@@ -432,22 +436,22 @@
         await stopping
 
 
-@pytest.mark.parametrize("mood", [Mood.BUSY, Mood.SILENT])
-async def test_a_node_without_a_responsive_store_sends_its_callers_elsewhere(platform, mood):
+@pytest.mark.parametrize("fault", [StoreFault.BUSY, StoreFault.UNRESPONSIVE])
+async def test_a_node_without_a_responsive_store_sends_its_callers_elsewhere(platform, fault):
     node = await platform.start_node()
-    platform.model.moods.mood = mood
+    platform.model.store_faults.fault = fault
     await wait_until(lambda: platform.ready(node), 503)
     reply = await platform.request(node, SAFE, "r1")
     assert reply.status == 200
     assert reply.headers["Connection"].lower() == "close"
-    platform.model.moods.mood = Mood.WELL
+    platform.model.store_faults.fault = StoreFault.NONE
     await wait_until(lambda: platform.ready(node), 200)
 
 
 async def test_a_node_stays_ready_during_a_partial_store_outage(platform):
     node = await platform.start_node(notice_ms=30_000)
-    platform.model.moods.partitions = frozenset(f"{number:02x}" for number in range(256))
-    platform.model.moods.mood = Mood.BUSY
+    platform.model.store_faults.partitions = frozenset(f"{number:02x}" for number in range(256))
+    platform.model.store_faults.fault = StoreFault.BUSY
     for number in range(3):
         assert (await platform.request_turn(node, f"r{number}")).status == 503
         assert await platform.ready(node) == 200
