--- a/src/foxwinch/core/program/__init__.py
+++ b/src/foxwinch/core/program/__init__.py
@@ -1,1 +1,1 @@
-"""Programs and their calls: states, order, budgets, idempotency; pure."""
+"""Pure state machine of programs and their calls: order, budgets and idempotency."""
--- a/src/foxwinch/core/program/admission.py
+++ b/src/foxwinch/core/program/admission.py
@@ -1,4 +1,4 @@
-"""Whether a call may start now: order, history, loop guard, wall time and budget."""
+"""Admission checks of a call: order, history, loop guard, wall time and budget."""
 
 from foxwinch._generated.journal_pb2 import CallAdmitted, HistoryMessage
 from foxwinch.core.program.budget import Amount, Shortage, reserve
@@ -12,9 +12,9 @@
 def start_call(program: Program, intent: CallIntent, now_seconds: float) -> Started | Refused:
     """Start the call at the head of a program's queue; `now_seconds` is wall time.
 
-    On success the budget is reserved and the call is the program's active one, until an outcome is
-    applied or the call is withdrawn. On refusal the call stays in the queue for the driver to
-    withdraw.
+    On success the budget is reserved and the call is the program's active one until an outcome is
+    applied or the call is withdrawn. On refusal the call stays in the queue, and the driver must
+    withdraw it.
     """
     if program.finished is not None:
         return not_run(Reason.PROGRAM_FINISHED, "the program has finished or was abandoned")
@@ -24,7 +24,7 @@
     if size_bytes(program.history) + size_bytes(appended) > intent.history_limit_bytes:
         return not_run(
             Reason.INVALID_REQUEST,
-            f"the history would be longer than {intent.history_limit_bytes} bytes",
+            f"the history would exceed {intent.history_limit_bytes} bytes",
         )
     expired = _wall_time_exhausted(program, now_seconds)
     if expired is not None:
@@ -33,7 +33,7 @@
     budget = program.created.budget
     in_a_row = program.repeats if call_signature(admitted) == program.last_signature else 0
     if in_a_row >= budget.repeated_calls:
-        return not_run(Reason.LOOP_DETECTED, f"{in_a_row} identical calls in a row")
+        return not_run(Reason.LOOP_DETECTED, f"{in_a_row} identical consecutive calls")
     reserved = Amount.from_record(admitted.reserved)
     shortage = reserve(program.ledgers(), reserved)
     if shortage is not None:
@@ -45,7 +45,7 @@
 
 
 def remaining_wall_seconds(program: Program, now_seconds: float) -> float:
-    """Return how long the program and its ancestors may still run."""
+    """Return the remaining wall time of the program, limited by that of its ancestors."""
     return min(
         p.created.created_at_seconds + p.created.budget.wall_seconds - now_seconds
         for p in program.lineage()
@@ -53,13 +53,13 @@
 
 
 def depth_shortage(program: Program) -> Refused | None:
-    """Tell whether a child program would lie deeper than an ancestor's budget allows."""
+    """Return a refusal if a child program would exceed the depth limit of an ancestor."""
     depth = program.created.depth + 1
     for ancestor in program.lineage():
         allowed = ancestor.created.budget.depth
         if depth - ancestor.created.depth > allowed:
             return not_run(
-                Reason.BUDGET_EXHAUSTED, f"budget: depth of sub-agents is at most {allowed}"
+                Reason.BUDGET_EXHAUSTED, f"budget: the depth of sub-agents is limited to {allowed}"
             )
     return None
 
@@ -72,8 +72,8 @@
         return not_run(
             Reason.CONFLICT,
             f"messages differ from the program's history at index {index} "
-            f"(the history has {len(program.history)} messages); repeat the whole history, "
-            "or send only new messages with X-Foxwinch-Append: true",
+            f"(the history has {len(program.history)} messages); send the full history, "
+            "or only new messages with X-Foxwinch-Append: true",
         )
     return list(intent.messages[len(program.history) :])
 
@@ -106,7 +106,7 @@
 
 
 def _reservation(program: Program, intent: CallIntent, appended: list[HistoryMessage]) -> Amount:
-    """Return the most that the call can spend."""
+    """Return the maximum that the call can spend."""
     tokens = 0
     if intent.kind == CallAdmitted.MODEL:
         tokens = program.history_tokens + token_bound(appended) + intent.maximum_tokens
@@ -117,5 +117,5 @@
     return not_run(
         Reason.BUDGET_EXHAUSTED,
         f"budget: the call may need {shortage.asked:g} {shortage.field}, "
-        f"{shortage.available:g} are left",
+        f"{shortage.available:g} available",
     )
--- a/src/foxwinch/core/program/budget.py
+++ b/src/foxwinch/core/program/budget.py
@@ -1,7 +1,7 @@
-"""Budgets of programs: amounts are reserved before a call and settled after it.
+"""Program budgets: amounts are reserved before a call and settled after it.
 
-A ledger belongs to one program and counts its child programs too: a child's call is reserved in
-its own ledger and in every ancestor's, all or none.
+A program's ledger includes its child programs: a child's call is reserved in the child's ledger and
+in those of all ancestors, all or none.
 """
 
 from collections.abc import Sequence
@@ -23,7 +23,7 @@
         return Amount(self.tokens + other.tokens, self.calls + other.calls, self.cost + other.cost)
 
     def minus(self, other: "Amount") -> "Amount":
-        """Return the difference, never below zero."""
+        """Return the difference, clamped at zero."""
         return Amount(
             max(0, self.tokens - other.tokens),
             max(0, self.calls - other.calls),
@@ -31,18 +31,18 @@
         )
 
     def to_record(self) -> Spending:
-        """Return the journal's form."""
+        """Return the journal representation."""
         return Spending(tokens=self.tokens, calls=self.calls, cost=self.cost)
 
     @staticmethod
     def from_record(spending: Spending) -> "Amount":
-        """Read the journal's form."""
+        """Create an amount from its journal representation."""
         return Amount(spending.tokens, spending.calls, spending.cost)
 
 
 @dataclass(frozen=True, slots=True)
 class Shortage:
-    """What a reservation lacks."""
+    """The resource that a reservation exceeds."""
 
     field: str
     """`tokens`, `calls` or `cost`."""
@@ -52,14 +52,14 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """What one program may spend, has reserved and has spent."""
+    """Budget, reservations and spending of one program."""
 
     budget: ProgramBudget
     spent: Amount = Amount()
     reserved: Amount = Amount()
 
     def shortage(self, amount: Amount) -> Shortage | None:
-        """Return what is missing for a reservation, or None when it fits."""
+        """Return the first resource that a reservation exceeds, or None if it fits."""
         held = self.spent.plus(self.reserved)
         checks: tuple[tuple[str, float, float], ...] = (
             ("calls", amount.calls, self.budget.calls - held.calls),
@@ -73,7 +73,7 @@
 
 
 def reserve(ledgers: Sequence[Ledger], amount: Amount) -> Shortage | None:
-    """Reserve in all ledgers, or in none when one of them lacks something."""
+    """Reserve in all ledgers, or in none and return the shortage if one is exceeded."""
     for ledger in ledgers:
         shortage = ledger.shortage(amount)
         if shortage is not None:
@@ -83,13 +83,13 @@
 
 
 def force_reserve(ledgers: Sequence[Ledger], amount: Amount) -> None:
-    """Reserve an amount that a committed intent already holds."""
+    """Reserve an amount without checks, for an intent that is already committed."""
     for ledger in ledgers:
         ledger.reserved = ledger.reserved.plus(amount)
 
 
 def settle(ledgers: Sequence[Ledger], reserved: Amount, spent: Amount) -> None:
-    """Give a reservation back and count what was spent."""
+    """Release a reservation and add what was spent."""
     for ledger in ledgers:
         ledger.reserved = ledger.reserved.minus(reserved)
         ledger.spent = ledger.spent.plus(spent)
--- a/src/foxwinch/core/program/call_events.py
+++ b/src/foxwinch/core/program/call_events.py
@@ -1,4 +1,4 @@
-"""What a caller sees of a request, in order; the last event is an end or a refusal."""
+"""Events of a request as delivered to its caller; the last one is a final event or a refusal."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
     waited_seconds: float
     reason: str
     target: str = ""
-    """Model or tool."""
+    """Name of the model or tool."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,16 +32,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallChunks:
-    """Pieces of the answer that are ready together."""
+    """Pieces of the answer that are available together."""
 
     chunks: Sequence[CallChunk]
     more: bool = False
-    """True when the next event is ready too, so that both can be sent together."""
+    """Whether the next event is available too, so that both can be sent together."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallFinished:
-    """The outcome is committed; the answer is whole."""
+    """The outcome is committed and the answer is complete."""
 
     finish_reason: str
     prompt_tokens: int
@@ -55,12 +55,12 @@
 
     call_id: CallId
     message: HistoryMessage
-    """The message that now ends the program's history."""
+    """The message appended to the program's history."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProgramDetails:
-    """A program as its own tenant sees it."""
+    """A program as shown to its tenant."""
 
     program_id: ProgramId
     template: str
--- a/src/foxwinch/core/program/history.py
+++ b/src/foxwinch/core/program/history.py
@@ -1,4 +1,4 @@
-"""Histories: messages in one canonical form, so that equal messages compare equal."""
+"""Message histories in a canonical form, in which equal messages compare equal."""
 
 import json
 from collections.abc import Sequence
@@ -7,13 +7,13 @@
 from foxwinch._generated.journal_pb2 import HistoryMessage
 
 MESSAGE_OVERHEAD_TOKENS = 8
-"""Upper bound of the tokens that a chat template adds to each message."""
+"""Upper bound on the tokens that a chat template adds to each message."""
 
 
 def to_history(message: dict[str, Any]) -> HistoryMessage:
-    """Return the canonical form of a message in the chat-completions shape.
+    """Return the canonical form of a message in the chat-completions format.
 
-    Null fields count as absent; content that is not a string is kept among the further fields.
+    Null fields count as absent; content that is not a string is stored with the extra fields.
     """
     content = message.get("content")
     extra = {
@@ -31,7 +31,7 @@
 
 
 def from_history(message: HistoryMessage) -> dict[str, Any]:
-    """Return a message in the chat-completions shape."""
+    """Return a message in the chat-completions format."""
     document: dict[str, Any] = {"role": message.role, "content": message.content}
     if message.extra_json:
         document.update(json.loads(message.extra_json))
@@ -39,14 +39,17 @@
 
 
 def canonical_json(value: object) -> str:
-    """Return JSON with sorted names and no spaces."""
+    """Return JSON with sorted keys and without whitespace."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
 
 
 def first_difference(
     history: Sequence[HistoryMessage], messages: Sequence[HistoryMessage]
 ) -> int | None:
-    """Return where `messages` stops repeating `history`, or None when it begins with all of it."""
+    """Return the first index at which `messages` differs from `history`.
+
+    Return None if `history` is a prefix of `messages`.
+    """
     for index, held in enumerate(history):
         if index >= len(messages) or held != messages[index]:
             return index
@@ -54,7 +57,7 @@
 
 
 def token_bound(messages: Sequence[HistoryMessage]) -> int:
-    """Return an upper bound of the tokens of messages: a token has at least one byte."""
+    """Return an upper bound on the tokens of messages; a token has at least one byte."""
     return sum(
         len(message.content.encode()) + len(message.extra_json.encode()) + MESSAGE_OVERHEAD_TOKENS
         for message in messages
@@ -62,5 +65,5 @@
 
 
 def size_bytes(messages: Sequence[HistoryMessage]) -> int:
-    """Return the size of messages as the journal holds them."""
+    """Return the size of messages as stored in the journal, in bytes."""
     return sum(len(m.content.encode()) + len(m.extra_json.encode()) for m in messages)
--- a/src/foxwinch/core/program/identity.py
+++ b/src/foxwinch/core/program/identity.py
@@ -1,8 +1,8 @@
-"""How program identifiers are built.
+"""Format of program identifiers.
 
-`<tenant>/<name>` for a program, `<tenant>/<name>~<suffix>` for a child program. The tenant in front
-keeps equal names of two tenants apart. A whole family is found by its root, so that
-a child always lives with the parent whose budget it spends.
+A program is `<tenant>/<name>`, a child program `<tenant>/<name>~<suffix>`. The tenant prefix
+separates equal names of different tenants. A family is located by its root, so a child is always on
+the same node as the parent whose budget it spends.
 """
 
 import hashlib
@@ -13,12 +13,12 @@
 TENANT_SEPARATOR = "/"
 CHILD_SEPARATOR = "~"
 NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$")
-"""What callers may choose as a program's name."""
+"""Valid names for new programs."""
 GIVEN_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:~-]{0,511}$")
-"""What callers may send as the name of a program that exists, child programs included."""
+"""Valid names in references to existing programs, including child programs."""
 NAME_RULE = "1 to 128 letters, digits, and . _ : - after a letter or digit"
 SINGLE_CALL_PREFIX = "once-"
-"""Names of programs of one call; callers may not choose such names."""
+"""Name prefix of single-call programs, reserved for generated names."""
 
 
 def scoped(tenant: TenantName, name: str) -> ProgramId:
@@ -27,12 +27,12 @@
 
 
 def name_of(program_id: ProgramId) -> str:
-    """Return the name by which the tenant knows the program."""
+    """Return the program's name within its tenant."""
     return program_id.partition(TENANT_SEPARATOR)[2]
 
 
 def root_of(program_id: ProgramId) -> ProgramId:
-    """Return the root of the program's family: the identifier that it is found by."""
+    """Return the id of the family's root program, by which the family is located."""
     return ProgramId(program_id.partition(CHILD_SEPARATOR)[0])
 
 
@@ -42,20 +42,20 @@
 
 
 def keyed_name(idempotency_key: str) -> str:
-    """Return the name of the single-call program of a key, so that a repeat finds the first."""
+    """Return the single-call program name for an idempotency key, so that a retry finds it."""
     return SINGLE_CALL_PREFIX + hashlib.sha256(idempotency_key.encode()).hexdigest()[:40]
 
 
 def named_by_key(idempotency_key: str) -> str:
-    """Return the name of a program created without one under a key."""
+    """Return the name of a program created with an idempotency key but without a name."""
     return "key-" + hashlib.sha256(idempotency_key.encode()).hexdigest()[:40]
 
 
 def unkeyed_name(identifier: str) -> str:
-    """Return the name of a single-call program without an idempotency key."""
+    """Return the name of a single-call program that has no idempotency key."""
     return SINGLE_CALL_PREFIX + identifier
 
 
 def is_single_call(program_id: ProgramId) -> bool:
-    """Tell whether the program was made for one call."""
+    """Return whether the program was created for a single call."""
     return name_of(program_id).startswith(SINGLE_CALL_PREFIX)
--- a/src/foxwinch/core/program/lifetime.py
+++ b/src/foxwinch/core/program/lifetime.py
@@ -1,4 +1,4 @@
-"""When a program ends by itself: idle for too long, wall time over, or its parent has ended."""
+"""Automatic abandonment of programs: idle timeout, wall time limit or end of the parent."""
 
 from foxwinch.core.program.admission import remaining_wall_seconds
 from foxwinch.core.program.state import Program
@@ -9,7 +9,7 @@
 
 
 def cause_of_abandonment(program: Program, now_seconds: float) -> str | None:
-    """Return why a live program counts as abandoned at this wall time, or None."""
+    """Return why a live program counts as abandoned at `now_seconds` (wall time), or None."""
     if program.finished is not None:
         return None
     if program.parent is not None and program.parent.finished is not None:
--- a/src/foxwinch/core/program/recovery.py
+++ b/src/foxwinch/core/program/recovery.py
@@ -1,4 +1,4 @@
-"""What becomes of calls that an earlier owner admitted and left without an outcome."""
+"""Recovery of calls that an earlier owner admitted and left without an outcome."""
 
 from enum import StrEnum
 
@@ -7,21 +7,21 @@
 from foxwinch.outcomes import Reason
 
 RERUN_LIMIT_SECONDS = 600.0
-"""Age of an intent after which nobody waits for its answer any more; also bounds the number of
-times that one call is run again when owners keep failing."""
+"""Age of an intent after which no caller still waits for its answer. It also limits how often a
+call is rerun when owners fail repeatedly."""
 
 
 class Recovery(StrEnum):
-    """How such a call ends."""
+    """Recovery action for a call without an outcome."""
 
     RUN_AGAIN = "run_again"
-    """Repeatable, and its caller can come back for the answer by its idempotency key."""
+    """The call is repeatable, and its caller can fetch the answer by the idempotency key."""
     UNKNOWN = "unknown"
-    """May have run; it is never run again and never called `not_run`."""
+    """The call may have run; it is never rerun and never reported as `not_run`."""
 
 
 def decide(call: Call, now_seconds: float) -> Recovery:
-    """Decide what becomes of a call; `now_seconds` is wall time."""
+    """Return the recovery action for a call; `now_seconds` is wall time."""
     admitted = call.admitted
     young = now_seconds - admitted.admitted_at_seconds <= RERUN_LIMIT_SECONDS
     rerun_kind = admitted.kind in (CallAdmitted.MODEL, CallAdmitted.TOOL)
@@ -31,7 +31,7 @@
 
 
 def unknown_outcome(program: Program, call: Call, now_seconds: float) -> CallOutcome:
-    """Return the outcome of a call that may have run; its whole reservation counts as spent."""
+    """Return the outcome of a call that may have run; its full reservation counts as spent."""
     return CallOutcome(
         program_id=program.program_id,
         call_id=call.call_id,
--- a/src/foxwinch/core/program/requests.py
+++ b/src/foxwinch/core/program/requests.py
@@ -1,4 +1,4 @@
-"""What is asked of the table of programs, and what it answers."""
+"""Requests to the program table and their results."""
 
 from dataclasses import dataclass
 
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallIntent:
-    """A call as its caller asked for it."""
+    """A call as requested by its caller."""
 
     program_id: ProgramId
     call_id: CallId
     kind: "CallAdmitted.Kind.ValueType"
     target: str
-    """Model, tool or child program."""
+    """Name of the model, tool or child program."""
     repeatable: bool
     messages: tuple[HistoryMessage, ...]
-    """The whole history with the new messages at its end, or only the new ones: see `append`."""
+    """Only the new messages if `append` is set, otherwise the full history including them."""
     append: bool
     parameters_json: str
     maximum_tokens: int
@@ -33,26 +33,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """The call waits for its turn in the program."""
+    """The call waits in the program's queue."""
 
 
 @dataclass(frozen=True, slots=True)
 class Attached:
-    """The same request is waiting or running already, under this call."""
+    """The same request is already queued or running as the given call."""
 
     call_id: CallId
 
 
 @dataclass(frozen=True, slots=True)
 class Repeated:
-    """The same request has ended already; its outcome is the answer."""
+    """The same request has already ended; the answer is the outcome of the given call."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """It is the call's turn and its budget is reserved; `admitted` is to be committed."""
+    """The call is active and its budget is reserved; `admitted` must be committed next."""
 
     admitted: CallAdmitted
     reserved: Amount
@@ -65,6 +65,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """The record was late, doubled or of an unknown call, and changed nothing."""
+    """The record was late, duplicated or invalid and had no effect."""
 
     cause: str
--- a/src/foxwinch/core/program/snapshot.py
+++ b/src/foxwinch/core/program/snapshot.py
@@ -1,4 +1,4 @@
-"""The least records that rebuild programs, for the truncation of journals."""
+"""Snapshots of programs for journal compaction."""
 
 from collections.abc import Iterable
 
@@ -7,12 +7,12 @@
 
 
 def snapshot_records(programs: Iterable[Program]) -> list[JournalRecord]:
-    """Return one record a program, parents before their children."""
+    """Return one snapshot record per program, parents before their children."""
     return [JournalRecord(program_snapshot=_snapshot(program)) for program in programs]
 
 
 def _snapshot(program: Program) -> ProgramSnapshot:
-    """Return the committed state; calls whose intent is not committed are left out."""
+    """Return the committed state, without calls whose intent is not committed."""
     return ProgramSnapshot(
         created=program.created,
         history=program.history,
--- a/src/foxwinch/core/program/state.py
+++ b/src/foxwinch/core/program/state.py
@@ -1,4 +1,4 @@
-"""The state of one program and of its calls."""
+"""State of a program and its calls."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -15,24 +15,24 @@
 
 
 class CallState(StrEnum):
-    """Where a call stands."""
+    """State of a call."""
 
     WAITING = "waiting"
-    """Behind earlier calls of the same program; nothing of it is in the journal."""
+    """Queued behind earlier calls of the program; not yet in the journal."""
     ADMITTED = "admitted"
-    """Its budget is reserved and its intent is being committed, or it waits for a worker."""
+    """The budget is reserved; the intent is being committed or the call waits for a worker."""
     GRANTED = "granted"
     """A steward has granted a worker."""
     RUNNING = "running"
-    """Dispatched to a back end."""
+    """The call is dispatched to a backend."""
     COMMITTING = "committing"
-    """The back end has answered; the outcome is being committed."""
+    """The backend has answered; the outcome is being committed."""
     FINISHED = "finished"
-    """Succeeded; the answer is committed."""
+    """The call succeeded and its answer is committed."""
     REFUSED = "refused"
-    """Ended without an answer; `CallOutcome.result` says whether it ran."""
+    """The call ended without an answer; `CallOutcome.result` states whether it ran."""
     OUTCOME_UNKNOWN = "outcome_unknown"
-    """May have run; never run again."""
+    """The call may have run and is never rerun."""
 
 
 ENDED_STATES = frozenset({CallState.FINISHED, CallState.REFUSED, CallState.OUTCOME_UNKNOWN})
@@ -43,7 +43,8 @@
     CallState.RUNNING: frozenset({CallState.ADMITTED, CallState.COMMITTING}),
     CallState.COMMITTING: frozenset({CallState.COMMITTING}),
 }
-"""Steps that a driver reports; a retry goes back to ADMITTED. Ends come from journal records."""
+"""State transitions reported by call drivers. A retry returns to ADMITTED; end states are set by
+journal records only."""
 
 RESULT_STATES: dict[int, CallState] = {
     CallOutcome.SUCCEEDED: CallState.FINISHED,
@@ -55,27 +56,27 @@
 
 @dataclass(slots=True)
 class Call:
-    """One call whose intent is committed or being committed."""
+    """A call whose intent is committed or being committed."""
 
     admitted: CallAdmitted
     state: CallState
     outcome: CallOutcome | None = None
     committed: bool = False
-    """True once the journal holds the intent."""
+    """Whether the intent is in the journal."""
 
     @property
     def call_id(self) -> CallId:
-        """Return the call's identifier."""
+        """Return the call id."""
         return CallId(self.admitted.call_id)
 
     @property
     def reserved(self) -> Amount:
-        """Return what the call has reserved."""
+        """Return the call's budget reservation."""
         return Amount.from_record(self.admitted.reserved)
 
     @property
     def may_run_again(self) -> bool:
-        """Tell whether the same request may be run anew although this call has ended."""
+        """Whether the same request may be rerun after this call has ended."""
         if self.outcome is None or self.outcome.result == CallOutcome.SUCCEEDED:
             return False
         return self.admitted.repeatable or self.outcome.result == CallOutcome.FAILED_NOT_RUN
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingCall:
-    """A call that waits for its turn."""
+    """A call in its program's queue."""
 
     call_id: CallId
     idempotency_key: str
@@ -92,7 +93,7 @@
 
 @dataclass(slots=True)
 class Program:
-    """One program: its history, budget, calls and place in a family."""
+    """A program with its history, budget, calls and family relations."""
 
     created: ProgramCreated
     ledger: Ledger
@@ -100,39 +101,39 @@
     children: list[ProgramId] = field(default_factory=list)
     history: list[HistoryMessage] = field(default_factory=list)
     history_tokens: int = 0
-    """Upper bound of the tokens of the history; exact where an engine has counted it."""
+    """Upper bound on the tokens of the history; exact if an engine has counted them."""
     calls: dict[CallId, Call] = field(default_factory=dict)
     keys: dict[str, CallId] = field(default_factory=dict)
     waiting: dict[CallId, WaitingCall] = field(default_factory=dict)
-    """In order of arrival."""
+    """Queued calls in order of arrival."""
     active: CallId | None = None
-    """The one call whose intent is committed or being committed and whose outcome is not."""
+    """The single call that is admitted or being admitted and has no outcome yet."""
     last_signature: bytes = b""
     repeats: int = 0
-    """How many calls in a row had `last_signature`."""
+    """Number of consecutive calls with `last_signature`."""
     last_active_seconds: float = 0.0
     """Wall time of the latest record."""
     service_seconds: float = 0.0
-    """Engine service received under the present owner."""
+    """Engine service time received under the current owner."""
     finished: ProgramFinished | None = None
 
     @property
     def program_id(self) -> ProgramId:
-        """Return the program's identifier."""
+        """Return the program id."""
         return ProgramId(self.created.program_id)
 
     @property
     def tenant(self) -> TenantName:
-        """Return the tenant that the program belongs to."""
+        """Return the program's tenant."""
         return TenantName(self.created.tenant)
 
     def lineage(self) -> list["Program"]:
-        """Return the program and its ancestors, nearest first."""
+        """Return the program and its ancestors, closest first."""
         found = [self]
         while found[-1].parent is not None:
             found.append(found[-1].parent)
         return found
 
     def ledgers(self) -> list[Ledger]:
-        """Return the ledgers that a call of this program spends from."""
+        """Return the ledgers that the program's calls are charged to."""
         return [program.ledger for program in self.lineage()]
--- a/src/foxwinch/core/program/table.py
+++ b/src/foxwinch/core/program/table.py
@@ -1,8 +1,8 @@
-"""The programs of one family: applies journal records and decides on calls.
+"""The programs of one family: application of journal records and the call queues.
 
-`apply` is the only way by which calls end and histories grow, both live and in recovery. Between
-the records live only the waiting calls, the reservation of a call whose intent is being committed,
-and the step that a running call is at.
+Calls end and histories grow only through `apply`, both in normal operation and in recovery. State
+that is not in the journal is limited to the queued calls, the reservation of a call whose intent is
+being committed, and the state of a running call.
 """
 
 import hashlib
@@ -35,7 +35,7 @@
     """All programs of one family."""
 
     def __init__(self, records: Iterable[JournalRecord] = ()) -> None:
-        """Rebuild the programs from the records of their journal."""
+        """Rebuild the programs from journal records."""
         self._programs: dict[ProgramId, Program] = {}
         for record in records:
             self.apply(record)
@@ -45,11 +45,11 @@
         return iter(self._programs.values())
 
     def __len__(self) -> int:
-        """Return the number of programs held, finished ones included."""
+        """Return the number of programs, including finished ones."""
         return len(self._programs)
 
     def find(self, program_id: ProgramId) -> Program | None:
-        """Return a program."""
+        """Return a program, or None if it is not known."""
         return self._programs.get(program_id)
 
     def apply(self, record: JournalRecord) -> Applied | Dropped:
@@ -65,12 +65,12 @@
             return self._finish(record.program_finished)
         if kind == "program_snapshot":
             return self._restore(record.program_snapshot)
-        return Dropped("record of an unknown kind")
+        return Dropped("the record type is unknown")
 
     def submit(
         self, program: Program, call_id: CallId, key: str, request_hash: bytes
     ) -> Queued | Attached | Repeated | Refused:
-        """Put a call at the end of its program's queue, or find it under its idempotency key."""
+        """Append a call to its program's queue, or find the call with its idempotency key."""
         if key and key in program.keys:
             known = self._find_by_key(program, key, request_hash)
             if known is not None:
@@ -83,7 +83,7 @@
         return Queued()
 
     def withdraw(self, program: Program, call_id: CallId) -> None:
-        """Take a call out whose intent was never committed, and give its reservation back."""
+        """Remove a call whose intent was not committed and release its reservation."""
         waiting = program.waiting.pop(call_id, None)
         if waiting is not None:
             _forget_key(program, waiting.idempotency_key, call_id)
@@ -96,13 +96,13 @@
                 program.active = None
 
     def next_waiting(self, program: Program) -> CallId | None:
-        """Return the call whose turn it is, or None while another one is active."""
+        """Return the first call in the queue, or None while another call is active."""
         if program.active is not None:
             return None
         return next(iter(program.waiting), None)
 
     def step(self, program: Program, call_id: CallId, state: CallState) -> bool:
-        """Note a step of a running call; False when the call is not in a state to take it."""
+        """Change the state of a running call; return False if the transition is not allowed."""
         call = program.calls.get(call_id)
         if call is None or state not in ALLOWED_STEPS.get(call.state, ()):
             return False
@@ -146,10 +146,10 @@
     def _create(self, created: ProgramCreated) -> Applied | Dropped:
         program_id = ProgramId(created.program_id)
         if program_id in self._programs:
-            return Dropped("the program exists")
+            return Dropped("the program already exists")
         parent = self._programs.get(ProgramId(created.parent_program_id))
         if created.parent_program_id and parent is None:
-            return Dropped("the parent is not known")
+            return Dropped("the parent program is unknown")
         program = Program(created, Ledger(created.budget), parent)
         program.last_active_seconds = created.created_at_seconds
         self._programs[program_id] = program
@@ -160,11 +160,11 @@
     def _admit(self, admitted: CallAdmitted) -> Applied | Dropped:
         program = self._programs.get(ProgramId(admitted.program_id))
         if program is None:
-            return Dropped("the program is not known")
+            return Dropped("the program is unknown")
         call_id = CallId(admitted.call_id)
         call = program.calls.get(call_id)
         if call is not None and (call.committed or call.outcome is not None):
-            return Dropped("the call is known already")
+            return Dropped("the call was already admitted")
         if call is None:
             call = admit(program, admitted)
         call.committed = True
@@ -178,9 +178,9 @@
         program = self._programs.get(ProgramId(outcome.program_id))
         call = program.calls.get(CallId(outcome.call_id)) if program is not None else None
         if program is None or call is None:
-            return Dropped("the call is not known")
+            return Dropped("the call is unknown")
         if call.outcome is not None:
-            return Dropped("the call has ended already")
+            return Dropped("the call has already ended")
         spent = Amount.from_record(outcome.spent)
         settle(program.ledgers(), call.reserved, spent)
         call.outcome = outcome
@@ -196,7 +196,7 @@
     def _finish(self, finished: ProgramFinished) -> Applied | Dropped:
         program = self._programs.get(ProgramId(finished.program_id))
         if program is None or program.finished is not None:
-            return Dropped("the program is not known or has finished already")
+            return Dropped("the program is unknown or has already finished")
         program.finished = finished
         return Applied()
 
@@ -227,7 +227,7 @@
 
 
 def admit(program: Program, admitted: CallAdmitted) -> Call:
-    """Make a call the program's active one, its reservation held."""
+    """Make a call the active one of its program and reserve its budget."""
     call = Call(CallAdmitted(), CallState.ADMITTED)
     call.admitted.CopyFrom(admitted)
     force_reserve(program.ledgers(), call.reserved)
@@ -240,7 +240,7 @@
 
 
 def call_signature(admitted: CallAdmitted) -> bytes:
-    """Return what makes two calls identical for the loop guard."""
+    """Return a digest that is equal for calls that the loop guard treats as identical."""
     digest = hashlib.blake2b(digest_size=16)
     digest.update(f"{admitted.kind}:{admitted.target}:{admitted.maximum_tokens}:".encode())
     digest.update(admitted.parameters_json.encode())
@@ -259,7 +259,7 @@
 
 
 def _forget_key(program: Program, key: str, call_id: CallId) -> None:
-    """Let a key name the call again that it named before `call_id`, as after a recovery."""
+    """Map a key back to the call that it referred to before `call_id`, as a recovery would."""
     if not key or program.keys.get(key) != call_id:
         return
     earlier = [c for c in program.calls.values() if c.admitted.idempotency_key == key]
--- a/src/foxwinch/core/prompt.py
+++ b/src/foxwinch/core/prompt.py
@@ -1,7 +1,8 @@
-"""How a history becomes prompt bytes, tokens and block hashes: the same for nodes and engines.
+"""Prompt rendering, token counting and prefix block hashes, shared by nodes and emulated engines.
 
-Nodes estimate with it and name cached prefixes by it (`GrantRequest.prefix_hashes`); the stand-in
-engines use it as their tokenizer. An engine with another tokenizer needs another module here.
+Nodes estimate token counts with it and identify cached prefixes by it
+(`GrantRequest.prefix_hashes`); the emulated engines use it as their tokenizer. An engine with a
+different tokenizer needs a separate module.
 """
 
 from collections.abc import Iterable
@@ -10,15 +11,15 @@
 import xxhash
 
 TOKEN_BYTES = 4
-"""Mean length of a token of European text in UTF-8, as tokenizers of today have it."""
+"""Mean token length of current tokenizers for European text in UTF-8."""
 BLOCK_TOKENS = 64
-"""Tokens of one cache block; equals `block_tokens` of the engines."""
+"""Tokens per cache block; must equal `block_tokens` of the engines."""
 BLOCK_BYTES = TOKEN_BYTES * BLOCK_TOKENS
 
 
 @dataclass(frozen=True, slots=True)
 class PromptMessage:
-    """A message as far as the prompt is concerned."""
+    """The parts of a message that appear in the prompt."""
 
     role: str
     content: str
@@ -30,17 +31,17 @@
 
 
 def render_prompt(messages: Iterable[PromptMessage]) -> bytes:
-    """Return the prompt of a history; a longer history's prompt starts with a shorter one's."""
+    """Return the prompt of a history; the prompt of a history's prefix is a prefix of it."""
     return b"".join(map(render_message, messages))
 
 
 def count_tokens(data: bytes) -> int:
-    """Return the number of tokens, the last one perhaps in part."""
+    """Return the number of tokens, rounded up."""
     return -(-len(data) // TOKEN_BYTES)
 
 
 def block_hashes(data: bytes) -> tuple[int, ...]:
-    """Return the chained hash of each whole block, first block first."""
+    """Return the chained hashes of all complete blocks, in order."""
     hashes = []
     previous = 0
     for start in range(0, len(data) - BLOCK_BYTES + 1, BLOCK_BYTES):
--- a/src/foxwinch/core/streams.py
+++ b/src/foxwinch/core/streams.py
@@ -1,7 +1,7 @@
-"""Server-sent events of a worker's stream, cut into whole events.
+"""Framing of server-sent events in a worker's stream.
 
-An event may arrive in pieces and may be cut off in the middle. Only whole events are passed on, so
-that a stream can go on at another worker after the last one.
+An event may arrive in pieces and may be truncated. Only complete events are forwarded, so that a
+stream can be resumed at another worker after the last one.
 """
 
 from dataclasses import dataclass
@@ -14,29 +14,29 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event."""
+    """One complete event."""
 
     raw: bytes
-    """As the worker sent it, with the empty line at its end."""
+    """The bytes as sent by the worker, including the terminating empty line."""
     event_id: int | None
     data: bytes
     """The data lines, joined by line feeds."""
 
 
 class EventFramer:
-    """Cuts bytes into whole events; `pending` tells whether part of one is left."""
+    """An incremental parser that splits bytes into complete events."""
 
     def __init__(self) -> None:
-        """Start before the first event."""
+        """Start with an empty buffer."""
         self._rest = b""
 
     @property
     def pending(self) -> bool:
-        """Whether the bytes so far end inside an event."""
+        """Whether the buffer contains an incomplete event."""
         return bool(self._rest)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes and return the events that are whole now."""
+        """Add bytes and return the events that are now complete."""
         whole, separator, self._rest = (self._rest + data).rpartition(EVENT_END)
         if not separator:
             return []
--- a/src/foxwinch/records/__init__.py
+++ b/src/foxwinch/records/__init__.py
@@ -1,1 +1,1 @@
-"""Records in the shared store: budgets of programs and turns of conversations."""
+"""Access to the shared store: budgets, conversation turns and program journals."""
--- a/src/foxwinch/records/budgets.py
+++ b/src/foxwinch/records/budgets.py
@@ -1,8 +1,8 @@
-"""Budgets of programs: leased from the shared store for some turns ahead, spent without asking.
+"""Program budgets, leased from the shared store for several turns at a time.
 
-Each program has one row, changed under its version. A turn whose tokens the node holds already
-begins at once; otherwise it waits for a change of the row. When the program is quiet for a while,
-what was used is told and the rest is given back. `core.records.account` holds the rules.
+Each program has one row, which is changed on condition of its version. A turn whose tokens the node
+has already leased starts at once; any other turn waits for a change of the row. After an idle
+period the node reports the used tokens and returns the rest. `core.records.account` has the rules.
 """
 
 import asyncio
@@ -33,32 +33,32 @@
 
 BUDGETS_TABLE = "budgets"
 QUIET_SECONDS = 1.2
-"""Without a turn of a program for so long, its lease is given back; most pauses are shorter."""
+"""Idle time of a program after which its lease is returned; most pauses are shorter."""
 TROUBLED_QUIET_SECONDS = 1.5
-"""How much longer a lease is kept while the store is troubled."""
+"""Additional idle time while the store is degraded."""
 WRITE_BACKOFF = Backoff(base_seconds=0.05, cap_seconds=0.4)
 SHORTEST_WAIT_SECONDS = 0.001
 PROBE_SECONDS = 0.4
-"""While the store is troubled a node sends one change that no turn waits for in so long."""
+"""Minimum interval between a node's background changes while the store is degraded."""
 OPEN_TURN_SECONDS = 0.05
-"""Between looks at a program whose turn is still under way."""
+"""Poll interval for an idle program with an open turn."""
 BEHIND_BACKOFF = Backoff(base_seconds=0.2, cap_seconds=1.6)
-"""For changes that no turn waits for: a store that is down is not asked often."""
+"""Backoff of background changes, slower than `WRITE_BACKOFF` to spare a store that is down."""
 BLOCKED_SECONDS = 0.15
-"""Before a turn that waits for other nodes' leases asks again."""
+"""Retry interval of a turn that waits for other nodes to return their leases."""
 BLOCKED_RETRY_SECONDS = 0.5
 SPENT_REMEMBERED = 20_000
-"""Programs whose spent tokens are remembered after they are quiet, the last used ones."""
+"""Number of programs whose spent tokens stay cached, least recently used ones evicted first."""
 log = EventLog("budgets")
 
 
 @dataclass(frozen=True, slots=True)
 class Reserved:
-    """The tokens are the request's until it settles."""
+    """The tokens are reserved for the request until it is settled."""
 
     waited_seconds: float
     leased: bool
-    """Whether the node held them already."""
+    """Whether the node had already leased the tokens."""
 
 
 @dataclass(slots=True, eq=False)
@@ -71,26 +71,26 @@
 
 @dataclass(slots=True, eq=False)
 class _Program:
-    """One program that this node serves."""
+    """State of one program with a lease or unreported tokens at this node."""
 
     row: RowKey
     account: Account
     waiting: list[_Waiting] = field(default_factory=list)
     wanted: Ahead | None = None
-    """What its last turn asked for."""
+    """Lease parameters of its last turn."""
     low: bool = False
-    """Whether the lease does not hold another turn."""
+    """Whether the lease is too small for another turn."""
     touched_at: float = 0.0
     wake: asyncio.Event = field(default_factory=asyncio.Event)
     hurried: bool = False
-    """Whether to give the lease back without waiting for quiet."""
+    """Whether to return the lease without waiting for an idle period."""
 
 
 class BudgetLedger:
-    """Reserves and settles tokens of programs."""
+    """Reserves and settles tokens of program budgets."""
 
     def __init__(self, store: ObservedStore, clock: Clock, tasks: ServiceTasks, node: str) -> None:
-        """Keep budgets in `store`; `node` names this life of this process."""
+        """Create a ledger; `node` must be unique to this run of the process."""
         self._store = store
         self._clock = clock
         self._tasks = tasks
@@ -102,16 +102,16 @@
 
     @property
     def programs(self) -> int:
-        """Return how many programs hold a lease or owe the store something."""
+        """Return the number of programs with a lease or unreported tokens."""
         return len(self._programs)
 
     async def reserve(
         self, program_id: str, reserve: Reserve, give_up_at: float, end_at: float
     ) -> Reserved | Exhausted | Refused:
-        """Take tokens for a turn that is over by `end_at`; a refusal: it must not run.
+        """Reserve tokens for a turn that ends by `end_at`; the turn may run only if `Reserved`.
 
-        What the store counts as spent only grows, so a budget that it exceeds needs no call: a
-        program that loops without end asks again and again.
+        Spent tokens in the store only grow, so a budget that they already exceed is rejected
+        without a store call. This protects the store from programs that retry in endless loops.
         """
         spent = self._spent.get(program_id, 0)
         if spent + reserve.tokens > reserve.budget:
@@ -134,7 +134,7 @@
             async with asyncio.timeout(max(0.0, give_up_at - now)):
                 return await done
         except TimeoutError:
-            return not_run(Reason.STORE_UNAVAILABLE, "no answer of the store in time")
+            return not_run(Reason.STORE_UNAVAILABLE, "the store did not answer in time")
         finally:
             if waiting in program.waiting:
                 program.waiting.remove(waiting)
@@ -161,7 +161,7 @@
         return program
 
     async def _keep(self, program_id: str, program: _Program) -> None:
-        """Write whatever a program needs until it is quiet and owes nothing."""
+        """Send a program's changes until it is idle and has nothing left to report."""
         attempt = 0
         while True:
             work = await self._wait_for_work(program)
@@ -187,9 +187,9 @@
         del self._programs[program_id]
 
     def _may_write_behind(self) -> bool:
-        """Tell whether a change that no turn waits for may be sent now.
+        """Return whether a background change may be sent now.
 
-        While the store is troubled, one such change at a time finds out whether it is back.
+        While the store is degraded, one background change per interval probes whether it is back.
         """
         now = self._clock.monotonic()
         if self._store.troubled() and now < self._probe_at:
@@ -202,7 +202,7 @@
         return backoff.wait_seconds(attempt, 0.5 + 0.5 * self._clock.uniform())
 
     async def _sleep_unless_waiting(self, program: _Program, wait: float) -> None:
-        """Wait before the next try; a turn that comes meanwhile has its try at once."""
+        """Wait before the next attempt; a new turn ends a background wait early."""
         if program.waiting:
             await self._clock.sleep(wait)
             return
@@ -216,7 +216,7 @@
             return
 
     async def _wait_for_work(self, program: _Program) -> bool:
-        """Wait for a turn that needs the store, or for quiet; tells whether it is a turn."""
+        """Wait until turns need the store or the program is idle; return True for turns."""
         while True:
             if program.waiting or program.low:
                 return True
@@ -235,12 +235,12 @@
         return quiet_at + TROUBLED_QUIET_SECONDS if self._store.troubled() else quiet_at
 
     async def _write(self, program: _Program, give_back: bool) -> Refused | None:
-        """Send one change; None when the store answered."""
+        """Send one change; return None if the store answered."""
         account = program.account
         now = self._clock.monotonic()
         clock = self._store.store_clock
         if not clock.known:
-            return not_run(Reason.STORE_UNAVAILABLE, "the store has not told its clock")
+            return not_run(Reason.STORE_UNAVAILABLE, "the store's clock is not known yet")
         earliest_ms = clock.earliest_ms(now)
         times = Times(earliest_ms, clock.reached_at(earliest_ms + LEASE_MS))
         ahead = None if give_back else program.wanted
@@ -270,7 +270,7 @@
         self._spent[program.row.key] = max(spent, self._spent.get(program.row.key, 0))
 
     def _take_over(self, program: _Program, conflict: Conflict) -> None:
-        """Go on from the row as it stands."""
+        """Adopt the stored row after a conflict."""
         record, version = BudgetRecord(), 0
         for row in conflict.rows:
             if row.row.key == program.row.key and row.value is not None:
@@ -291,12 +291,14 @@
             log.info(
                 "budget_blocked", program=program.row.key, held_elsewhere=blocked.held_elsewhere
             )
-            cause = not_run(Reason.OVERLOADED, "other nodes hold the budget", BLOCKED_RETRY_SECONDS)
+            cause = not_run(
+                Reason.OVERLOADED, "other nodes hold leases on the budget", BLOCKED_RETRY_SECONDS
+            )
             self._refuse_late(program, cause, BLOCKED_SECONDS)
             await self._clock.sleep(BLOCKED_SECONDS)
 
     def _grant(self, program: _Program, change: Change) -> None:
-        """Give their tokens to the turns that still wait; the others' stay in the lease."""
+        """Grant the reservations of turns that still wait; other tokens stay in the lease."""
         granted = {reserve.request_id for reserve in change.granted}
         now = self._clock.monotonic()
         for entry in list(program.waiting):
@@ -305,7 +307,7 @@
                 self._resolve(program, entry, Reserved(now - entry.since, leased=False))
 
     def _refuse_late(self, program: _Program, cause: Refused, wait_seconds: float) -> None:
-        """Refuse those whose time is over before the next try."""
+        """Refuse the turns whose deadline is before the next attempt."""
         then = self._clock.monotonic() + wait_seconds
         for entry in [entry for entry in program.waiting if entry.give_up_at <= then]:
             refused = not_run(cause.reason, cause.detail, cause.retry_after_seconds)
--- a/src/foxwinch/records/families.py
+++ b/src/foxwinch/records/families.py
@@ -1,7 +1,8 @@
-"""Journals of program families: what a node asks of whoever keeps them.
+"""Port to the journals of program families.
 
-A family is a program with all its sub-agents, named by its root. One node at a time serves it; a
-node that cannot reach that one takes the family over, and the former node's next append fails.
+A family is a program with all its sub-agents, identified by its root program. One node at a time
+serves it. A node that cannot reach that one takes the family over, and the former node's next
+append fails.
 """
 
 from abc import ABC, abstractmethod
@@ -13,7 +14,7 @@
 from foxwinch.outcomes import Refused
 
 Applied = Callable[[Sequence[JournalRecord]], None]
-"""Told of records that turn out to be in the journal after their append was given up."""
+"""Callback for records whose append took effect after it was given up."""
 
 
 class ServedElsewhere(NamedTuple):
@@ -21,67 +22,67 @@
 
     node: NodeId
     address: str
-    """`ip:port` of its peer side."""
+    """`ip:port` of its peer endpoint."""
 
 
 class FamilyHead(NamedTuple):
-    """A family's row as it stands."""
+    """The stored head of a family."""
 
     version: int
-    """The row's version; 0 when there is no row."""
+    """The row's version; 0 if there is no row."""
     batches: int
     node: NodeId
     address: str
     token: str
     first: int = 0
-    """Batches before this one are gone, or about to be."""
+    """The first valid batch; earlier ones are deleted or about to be."""
 
 
 class FamilyJournal(ABC):
-    """The journal of one family, as the node that serves it appends to it."""
+    """The journal of one family, held by the node that serves it."""
 
     @property
     @abstractmethod
     def batches(self) -> int:
-        """How many times the journal has been appended to."""
+        """Return the number of batches appended to the journal."""
 
     @abstractmethod
     def on_applied(self, applied: Applied) -> None:
-        """Tell `applied` of records whose append was given up and took effect all the same."""
+        """Set the callback for records whose append took effect after it was given up."""
 
     @abstractmethod
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
-        """Append records, all or none; None when they are there for good.
+        """Append records, all or none; return None once they are committed.
 
-        `FENCED`: another node has taken the family over. A refusal with run state `unknown` may
-        take effect, also later, as long as nothing else is appended.
+        Reason `FENCED` means that another node has taken over the family. An append refused with
+        run state `unknown` may still take effect until another one is committed.
         """
 
     @abstractmethod
     async def confirm(self) -> Refused | None:
-        """Prove that no other node has taken the family over; returns why that was not possible."""
+        """Verify that no other node has taken over the family; return a refusal if it fails."""
 
     @abstractmethod
     async def remove(self) -> Refused | None:
-        """Remove the journal of a family that is over."""
+        """Remove the journal of a finished family."""
 
 
 class OpenedFamily(NamedTuple):
-    """A family that this node serves from now on."""
+    """A family that this node now serves."""
 
     journal: FamilyJournal
     records: Sequence[JournalRecord]
-    """All that was appended so far, oldest first."""
+    """All records appended so far, oldest first."""
 
 
 class Families(ABC):
-    """The families of all programs."""
+    """Access to the families of all programs."""
 
     @abstractmethod
     async def open(
         self, root: ProgramId, over: NodeId | None = None
     ) -> OpenedFamily | ServedElsewhere | Refused:
-        """Begin to serve a family that no other node serves, or that `over` serves."""
+        """Start serving a family that no other node serves, or take it over from node `over`."""
 
     @abstractmethod
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
--- a/src/foxwinch/records/family_journal.py
+++ b/src/foxwinch/records/family_journal.py
@@ -1,8 +1,8 @@
 """The journal of one family in the shared store.
 
-Each append is one transaction: the rows of a batch and the family's head, under the version of the
-head. When the answer is lost, the same append is sent again: at the same version only one of all
-that were sent can take effect, and the token in the head tells which.
+Each append is one transaction that writes the rows of a batch and the family's head, on condition
+of the head's version. When the answer is lost, the same append is retried: only one of the appends
+sent at a version can take effect, and the token in the head identifies it.
 """
 
 import asyncio
@@ -27,16 +27,18 @@
 from foxwinch.records.repeat import CALL_SECONDS
 
 APPEND_SECONDS = 2.0
-"""For which an append is sent again before its outcome is told as unknown."""
+"""Time for which an append is retried before its outcome is reported as unknown."""
 APPEND_BACKOFF = Backoff(base_seconds=0.05, cap_seconds=0.4)
 ROWS_IN_TRANSACTION = 90
-TAKEN_OVER = "another node has taken the family over"
-TOO_LARGE = not_run(Reason.INVALID_REQUEST, "the call is larger than the store takes at once")
+TAKEN_OVER = "another node has taken over the program family"
+TOO_LARGE = not_run(
+    Reason.INVALID_REQUEST, "the call's journal record exceeds the store's transaction limit"
+)
 log = EventLog("families")
 
 
 class StoredJournal(FamilyJournal):
-    """One family's journal; appends go one after another."""
+    """The journal of one family in the shared store; appends are serialized."""
 
     def __init__(
         self,
@@ -46,7 +48,7 @@
         head: FamilyHead,
         new_token: Callable[[], str],
     ) -> None:
-        """Append after `head`; `new_token` returns what no other change has."""
+        """Append after `head`; `new_token` returns a new unique token for each change."""
         self._store = store
         self._clock = clock
         self._root = root
@@ -59,25 +61,25 @@
 
     @property
     def batches(self) -> int:
-        """How many times the journal has been appended to."""
+        """Return the number of batches appended to the journal."""
         return self._head.batches
 
     def on_applied(self, applied: Applied) -> None:
-        """Tell `applied` of records whose append was given up and took effect all the same."""
+        """Set the callback for records whose append took effect after it was given up."""
         self._applied = applied
 
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
-        """Append records, all or none; None when they are there for good."""
+        """Append records, all or none; return None once they are committed."""
         async with self._lock:
             return await self._append(tuple(records))
 
     async def confirm(self) -> Refused | None:
-        """Prove that no other node has taken the family over."""
+        """Verify that no other node has taken over the family; return a refusal if it fails."""
         async with self._lock:
             return await self._confirm()
 
     async def remove(self) -> Refused | None:
-        """Remove the journal: first it is marked as empty, then its rows go, the head last."""
+        """Remove the journal: mark it as empty, then delete its rows, the head last."""
         async with self._lock:
             if not self._head.version:
                 return None
@@ -102,7 +104,7 @@
     async def _change(
         self, wanted: FamilyHead, rows: list[RowWrite], records: tuple[JournalRecord, ...]
     ) -> Refused | None:
-        """Put a head and rows; a refusal after which the head has moved on may be tried anew."""
+        """Write a head and rows; a refusal may be retried if the head has changed meanwhile."""
         if self._lost:
             return not_run(Reason.FENCED, TAKEN_OVER)
         writes = (head_write(self._root, wanted), *rows)
@@ -146,7 +148,7 @@
     def _conflict(
         self, conflict: Conflict, wanted: FamilyHead, may_have_run: bool
     ) -> Refused | None:
-        """Find out who has changed the head: this very change, an earlier one, or another node."""
+        """Resolve a conflict: this change, an earlier one or another node has written the head."""
         found = head_of(conflict.rows[0])
         if found is not None and found.version and found.token == wanted.token:
             self._settled(found)
@@ -156,7 +158,7 @@
             log.info("late_append_found", family=self._root, records=len(earlier))
             self._settled(found)
             self._applied(earlier)
-            return not_run(Reason.CONFLICT, "an earlier append has just taken effect")
+            return not_run(Reason.CONFLICT, "an earlier append took effect late")
         self._lost = True
         node = found.node if found is not None else ""
         log.info("family_lost", family=self._root, to_node=node, version=self._head.version)
@@ -164,7 +166,7 @@
         return Refused(Reason.FENCED, run_state, TAKEN_OVER)
 
     def _settled(self, head: FamilyHead) -> None:
-        """Take a head that is in force: nothing that was sent before can take effect any more."""
+        """Adopt the stored head; appends that were sent before can no longer take effect."""
         self._head = head
         self._doubtful.clear()
 
--- a/src/foxwinch/records/family_rows.py
+++ b/src/foxwinch/records/family_rows.py
@@ -1,4 +1,4 @@
-"""The rows of a family in the shared store: one head, and the batches of its journal."""
+"""Row format of a family in the shared store: one head row and the batches of its journal."""
 
 from collections.abc import Sequence
 
@@ -16,30 +16,31 @@
 HEADS_TABLE = "families"
 JOURNALS_TABLE = "journals"
 PIECES_MAXIMUM = 12
-"""Rows of one batch: some 720 kB in base64, below the 1 MB of a transaction."""
+"""Maximum number of rows of a batch: about 720 kB in base64, below the store's limit of 1 MB per
+transaction."""
 SEPARATOR = "/"
 AFTER_SEPARATOR = "0"
-"""The character after the separator, which ends the range of a family's batches."""
+"""The character after the separator, which ends the key range of a family's batches."""
 BATCH_DIGITS = 8
 
 
 def head_row(root: ProgramId) -> RowKey:
-    """Return where a family's head lies."""
+    """Return the row key of a family's head."""
     return RowKey(HEADS_TABLE, partition_of(root), root)
 
 
 def first_batch(root: ProgramId) -> RowKey:
-    """Return where the range of a family's batches begins."""
+    """Return the start of the key range of a family's batches."""
     return RowKey(JOURNALS_TABLE, partition_of(root), root + SEPARATOR)
 
 
 def after_batches(root: ProgramId) -> str:
-    """Return the key that ends the range of a family's batches."""
+    """Return the end of the key range of a family's batches, exclusive."""
     return root + AFTER_SEPARATOR
 
 
 def head_of(stored: StoredRow) -> FamilyHead | None:
-    """Read a head; None for one that cannot be read."""
+    """Decode a head row; return None if it is malformed."""
     if stored.value is None:
         return FamilyHead(0, 0, NodeId(""), "", "")
     try:
@@ -57,7 +58,7 @@
 
 
 def head_write(root: ProgramId, head: FamilyHead) -> RowWrite:
-    """Return the write that puts a head; its version is the store's to give."""
+    """Return the write of a head row; the store assigns its version."""
     message = FamilyHeadMessage(
         batches=head.batches,
         node=head.node,
@@ -71,7 +72,7 @@
 def batch_writes(
     root: ProgramId, number: int, records: Sequence[JournalRecord]
 ) -> list[RowWrite] | None:
-    """Return the rows of a batch; None when it is larger than one transaction may be."""
+    """Return the rows of a batch, or None if it exceeds the size of a transaction."""
     data = JournalBatch(records=records).SerializeToString()
     pieces = [data[at : at + PIECE_BYTES] for at in range(0, len(data), PIECE_BYTES)] or [b""]
     if len(pieces) > PIECES_MAXIMUM:
@@ -85,7 +86,7 @@
 def records_of(
     root: ProgramId, rows: Sequence[StoredRow], head: FamilyHead
 ) -> list[JournalRecord] | None:
-    """Put batches together; None when one is missing, as in a read that is too old."""
+    """Join the batches of a journal; return None if one is missing, as in a stale read."""
     numbers = range(head.first, head.batches)
     pieces: dict[int, list[bytes]] = {}
     expected: dict[int, int] = {}
@@ -108,6 +109,6 @@
 
 
 def _place_of(key: str, root: ProgramId) -> tuple[int, int]:
-    """Return the number of a row's batch, and how many rows that batch has."""
+    """Return the batch number of a row and the number of rows in that batch."""
     number, _, piece = key[len(root) + 1 :].partition(SEPARATOR)
     return int(number), int(piece.partition(".")[2])
--- a/src/foxwinch/records/family_store.py
+++ b/src/foxwinch/records/family_store.py
@@ -1,7 +1,8 @@
-"""Families in the shared store: who serves one is its row, and every append is under that row.
+"""Program families in the shared store, with optimistic concurrency control.
 
-Appends are conditions on the row's version, so no lease and no epoch is needed: whoever changes the
-row first goes on, and the other finds out by its next append.
+The head row of a family names the node that serves it. Every append is conditional on the version
+of that row, so neither leases nor epochs are needed: the first node to change the row wins, and the
+other one's next append fails.
 """
 
 import itertools
@@ -27,19 +28,21 @@
 from foxwinch.records.repeat import CALL_SECONDS, repeat_until
 
 OPEN_SECONDS = 3.0
-"""For which a request waits for its family to be read."""
+"""Maximum time that a request waits for its family to be read."""
 LAST_KEY = "\U0010ffff"
-UNREADABLE = Refused(Reason.INTERNAL, RunState.NOT_RUN, "the family's row cannot be read")
-STALE = not_run(Reason.STORE_UNAVAILABLE, "the store's answer is older than the family", 0.2)
-RACED = not_run(Reason.NOT_OWNER, "another node has just taken the family over", 0.1)
+UNREADABLE = Refused(
+    Reason.INTERNAL, RunState.NOT_RUN, "the program family's head row cannot be decoded"
+)
+STALE = not_run(Reason.STORE_UNAVAILABLE, "the store returned a stale journal", 0.2)
+RACED = not_run(Reason.NOT_OWNER, "another node took over the program family at the same time", 0.1)
 log = EventLog("families")
 
 
 class StoredFamilies(Families):
-    """The families of all programs, in the shared store."""
+    """Program families in the shared store."""
 
     def __init__(self, store: RecordStore, clock: Clock, node: NodeId, address: str) -> None:
-        """Serve as `node`, which other nodes reach at `address` (`ip:port`)."""
+        """Create the access for `node`, which other nodes reach at `address` (`ip:port`)."""
         self._store = store
         self._clock = clock
         self._node = node
@@ -49,9 +52,10 @@
     async def open(
         self, root: ProgramId, over: NodeId | None = None
     ) -> OpenedFamily | ServedElsewhere | Refused:
-        """Begin to serve a family; one without a row is served without writing anything.
+        """Start serving a family; for a family without a row nothing is written.
 
-        Whoever had this node's address before is gone.
+        A family that is served at this node's address is taken over as well, because the process
+        that had the address before no longer runs.
         """
         give_up_at = self._clock.monotonic() + OPEN_SECONDS
         head = await self._head(root, give_up_at)
@@ -88,7 +92,7 @@
         return [(root, head.node) for root, head in heads if head is not None and head.version]
 
     async def _head(self, root: ProgramId, give_up_at: float) -> FamilyHead | Refused:
-        """Read the head by a transaction, which never sees an older state as a read may."""
+        """Read the head by a transaction; unlike a plain read it is never stale."""
         condition = RowCondition(head_row(root), 0)
 
         async def ask(timeout_seconds: float) -> Written | Conflict | Refused:
@@ -104,7 +108,7 @@
     async def _take(
         self, root: ProgramId, head: FamilyHead, give_up_at: float
     ) -> FamilyHead | ServedElsewhere | Refused:
-        """Write this node into the head; a lost answer is settled by reading it back."""
+        """Write this node into the head; after a lost answer the token shows who wrote it."""
         wanted = head._replace(node=self._node, address=self._address, token=self._token())
         condition = RowCondition(head_row(root), head.version)
 
--- a/src/foxwinch/records/ports.py
+++ b/src/foxwinch/records/ports.py
@@ -1,8 +1,8 @@
 """Port to the shared store: versioned rows in tables and partitions.
 
-The store is linearizable in its transactions and never loses what it acknowledged. A plain read may
-be older than the newest state; its answer carries the version that it is as of. A call without an
-answer may have been done, or may still be done later while its conditions hold.
+Transactions are linearizable, and acknowledged writes are never lost. A plain read may be stale;
+its answer carries the version of the state that it reflects. A call without an answer may have been
+applied, or may still be applied later while its conditions hold.
 """
 
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 from foxwinch.outcomes import Refused
 
 ABSENT_VERSION = 0
-"""Of a row that is not there."""
+"""Version of a row that does not exist."""
 CONDITIONS_MAXIMUM = 100
-"""In one transaction, as the platform's store has it."""
+"""Maximum number of conditions in one transaction of the platform's store."""
 
 
 @dataclass(frozen=True, slots=True)
 class RowKey:
-    """Where a row lies; transactions take rows of one partition."""
+    """Key of a row; all rows of a transaction must be in one partition."""
 
     table: str
     partition: str
@@ -27,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRow:
-    """A row, or the mark that it is gone."""
+    """A row or the removal of one."""
 
     row: RowKey
     value: bytes | None
-    """None: the row was removed."""
+    """None if the row was removed."""
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRow:
-    """A row of a table that holds no value of the store's own encoding."""
+    """A row whose value is not in the store's encoding."""
 
     key: str
     version: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowCondition:
-    """The row must have exactly this version; 0 means that it is absent."""
+    """A condition that a row has exactly this version; 0 means that it is absent."""
 
     row: RowKey
     version: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowWrite:
-    """Put a value, or remove the row when `value` is None."""
+    """A write of a value, or the removal of the row if `value` is None."""
 
     row: RowKey
     value: bytes | None
@@ -62,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """The transaction is in force."""
+    """The transaction was committed."""
 
     version: int
-    """Version of every row that it put; of one that put none, the store's newest."""
+    """Version of the written rows; the store's newest version if none was written."""
     now_ms: int
-    """The store's steady clock."""
+    """The store's monotonic clock."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,32 +75,32 @@
     """A condition did not hold; nothing was written."""
 
     rows: tuple[StoredRow, ...]
-    """The rows of the conditions as they stand; absent ones have version 0."""
+    """Current rows of the conditions; absent ones have version 0."""
     version: int
-    """The store's newest."""
+    """The store's newest version."""
     now_ms: int
     unreadable: tuple[UnreadableRow, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class RowsRead:
-    """Rows in key order as of one moment."""
+    """A consistent snapshot of rows, in key order."""
 
     rows: tuple[StoredRow, ...]
     more: bool
     version: int
     now_ms: int
     unreadable: tuple[UnreadableRow, ...] = ()
-    """Rows that other writers spoiled; they hide none of the others."""
+    """Rows that cannot be decoded; the others are returned nevertheless."""
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The store no longer knows the changes since a version; read the table anew."""
+    """The store no longer has the changes since a version; the table must be read again."""
 
 
 class RecordStore(Protocol):
-    """What foxwinch asks of the shared store."""
+    """The operations of the shared store."""
 
     async def transact(
         self,
@@ -108,19 +108,19 @@
         writes: tuple[RowWrite, ...],
         timeout_seconds: float,
     ) -> Written | Conflict | Refused:
-        """Apply a transaction; a refusal with run state `unknown` may have taken effect."""
+        """Apply a transaction; one refused with run state `unknown` may have taken effect."""
         ...
 
     async def read(self, first: RowKey, end_key: str, timeout_seconds: float) -> RowsRead | Refused:
-        """Read the rows of a partition from `first` up to `end_key`, which is left out."""
+        """Read the rows of a partition from `first` up to `end_key`, exclusive."""
         ...
 
     async def read_table(self, table: str, timeout_seconds: float) -> RowsRead | Refused:
-        """Read all rows of a table whose partition is empty."""
+        """Read all rows of a table in the partition with the empty name."""
         ...
 
     async def changes(
         self, table: str, after_version: int, wait_seconds: float
     ) -> RowsRead | HistoryLost | Refused:
-        """Wait for changes of a table after a version."""
+        """Wait up to `wait_seconds` for changes of a table after a version."""
         ...
--- a/src/foxwinch/records/repeat.py
+++ b/src/foxwinch/records/repeat.py
@@ -1,4 +1,4 @@
-"""Repeats calls to the shared store until they are answered or the caller's time is over."""
+"""Retries of calls to the shared store until an answer or the deadline."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -9,10 +9,10 @@
 
 STORE_BACKOFF = Backoff(base_seconds=0.05, cap_seconds=0.4)
 CALL_SECONDS = 0.8
-"""For one call: a store that is slow still answers within it; one that says nothing is asked again
-on another connection."""
+"""Timeout of one call. A slow store still answers within it; a call to an unresponsive store is
+retried on another connection."""
 SHORTEST_CALL_SECONDS = 0.03
-"""With less time left a call is not begun."""
+"""Minimum remaining time for starting a call."""
 
 Outcome = TypeVar("Outcome")
 
@@ -22,16 +22,18 @@
     give_up_at: float,
     call: Callable[[float], Awaitable[Outcome]],
 ) -> Outcome | Refused:
-    """Return the first answer of `call`, or its last refusal when `give_up_at` is reached.
+    """Return the first answer of `call`, or its last refusal once `give_up_at` is reached.
 
-    `call` gets the seconds that it may take, and must be safe to repeat.
+    `call` takes its timeout in seconds and must be idempotent.
     """
     attempt = 0
     last: Refused | None = None
     while True:
         left = give_up_at - clock.monotonic()
         if left < SHORTEST_CALL_SECONDS:
-            return last or not_run(Reason.DEADLINE, "no time is left to ask the store")
+            return last or not_run(
+                Reason.DEADLINE, "the deadline passed before the store could be called"
+            )
         outcome = await call(min(left, CALL_SECONDS))
         if not isinstance(outcome, Refused):
             return outcome
--- a/src/foxwinch/records/store_probe.py
+++ b/src/foxwinch/records/store_probe.py
@@ -1,7 +1,7 @@
-"""Asks the store for nothing once a call was refused, to tell a part that is down from the whole.
+"""Health probes of the store after a failed call, to distinguish a partial from a full outage.
 
-Watches hear nothing for seconds while nothing changes, and the calls of turns may all go to a part
-of the store that is down. So only a call of its own tells in time whether the store answers.
+A watch call may stay open for seconds without changes, and the calls of turns may all go to
+partitions that are down. Only a separate call shows in time whether the store answers.
 """
 
 from foxwinch.clock import Clock
@@ -9,25 +9,25 @@
 from foxwinch.records.store_state import ObservedStore
 
 PROBE_SECONDS = 0.4
-"""Between probes, and until one is given up: two fit into the time after which a node counts as
-cut off."""
+"""Maximum interval between probes and timeout of a probe: two probes fit into the time after which
+a node counts as cut off."""
 PROBES_MAXIMUM = 2
-"""After them the retries of the watches find out when the store is back."""
+"""Maximum number of probes; after them the retries of the watches detect when the store is back."""
 NO_KEY = "~"
 NO_KEY_END = "~\x01"
 
 
 class StoreProbe:
-    """Probes the partition without a name of one table, in which the watched rows lie."""
+    """Probes the unnamed partition of a table, which holds the watched rows."""
 
     def __init__(self, store: ObservedStore, clock: Clock, table: str) -> None:
-        """Probe `table`; the answers are noted by `store` itself."""
+        """Create a probe of `table`; `store` itself records the answers."""
         self._store = store
         self._clock = clock
         self._row = RowKey(table, "", NO_KEY)
 
     async def run(self) -> None:
-        """Probe whenever the store is lost, for ever."""
+        """Probe the store whenever its last call failed; run until cancelled."""
         while True:
             await self._store.wait_until_lost()
             for _ in range(PROBES_MAXIMUM):
--- a/src/foxwinch/records/store_state.py
+++ b/src/foxwinch/records/store_state.py
@@ -1,7 +1,7 @@
-"""What a node learns of the shared store from every call: its clock, and whether it answers.
+"""Clock and availability of the shared store, observed on every call.
 
-The store's clock is known within bounds: an answer's time lies between the moment that the call was
-sent and the moment that the answer arrived. Old samples are dropped, as clocks drift.
+The store's clock is known within bounds: the timestamp of an answer was taken between the sending
+of the call and the receipt of the answer. Old samples are dropped because clocks drift.
 """
 
 import asyncio
@@ -23,60 +23,60 @@
 
 Outcome = TypeVar("Outcome", bound=Written | Conflict | RowsRead | Refused)
 WINDOW_SECONDS = 60.0
-"""Samples are kept for one to two windows."""
+"""Length of a sampling window; samples are kept for one to two windows."""
 TROUBLE_SECONDS = 1.0
-"""After a call without an answer the store counts as troubled for so long."""
+"""Time for which the store counts as degraded after a failed call."""
 
 
 @dataclass(slots=True)
 class _Bounds:
-    """Bounds of the store's clock less the node's, in seconds."""
+    """Bounds of the store's clock offset from the node's clock, in seconds."""
 
     lowest: float = float("-inf")
     highest: float = float("inf")
 
     def narrow(self, lowest: float, highest: float) -> None:
-        """Take a sample."""
+        """Narrow the bounds by a sample."""
         self.lowest = max(self.lowest, lowest)
         self.highest = min(self.highest, highest)
 
 
 class StoreClock:
-    """The store's steady clock within bounds."""
+    """Bounds of the store's monotonic clock."""
 
     def __init__(self) -> None:
-        """Start without a sample."""
+        """Start without samples."""
         self._current = _Bounds()
         self._former = _Bounds()
         self._since = float("-inf")
 
     @property
     def known(self) -> bool:
-        """Whether the store has told its clock."""
+        """Whether there is a sample."""
         return max(self._current.lowest, self._former.lowest) > float("-inf")
 
     def observe(self, store_ms: int, sent_at: float, received_at: float) -> None:
-        """Take the time of an answer; the others are on the node's steady clock."""
+        """Add the timestamp of an answer; the other times are on the node's monotonic clock."""
         if received_at - self._since > WINDOW_SECONDS:
             self._former, self._current = self._current, _Bounds()
             self._since = received_at
         self._current.narrow(store_ms / 1e3 - received_at, store_ms / 1e3 - sent_at)
 
     def earliest_ms(self, now: float) -> int:
-        """Return a time that the store's clock has certainly reached."""
+        """Return a time that the store's clock has certainly reached at `now`."""
         lowest = max(self._current.lowest, self._former.lowest)
         return int(1e3 * (now + lowest))
 
     def reached_at(self, store_ms: int) -> float:
-        """Return a time on the node's clock at which the store has certainly not passed it."""
+        """Return a time on the node's clock at which the store's has certainly not passed this."""
         return store_ms / 1e3 - min(self._current.highest, self._former.highest)
 
 
 class ObservedStore:
-    """Passes calls on to the store and takes note of its clock and its health."""
+    """A store wrapper that tracks the store's clock and availability."""
 
     def __init__(self, store: RecordStore, clock: Clock) -> None:
-        """Watch the calls to `store`."""
+        """Wrap `store`."""
         self._store = store
         self._clock = clock
         self.store_clock = StoreClock()
@@ -85,15 +85,15 @@
         self._lost = asyncio.Event()
 
     async def wait_until_lost(self) -> None:
-        """Wait until the last call was refused or left without an answer."""
+        """Wait until the most recent call has failed."""
         await self._lost.wait()
 
     def lost_seconds(self) -> float:
-        """Return for how long every call has been refused or left without an answer."""
+        """Return the time for which all calls have failed; 0 if the last one was answered."""
         return 0.0 if self._lost_since is None else self._clock.monotonic() - self._lost_since
 
     def troubled(self) -> bool:
-        """Tell whether the store left a call without an answer a short time ago."""
+        """Return whether a call failed within the last `TROUBLE_SECONDS`."""
         return self._clock.monotonic() - self._unanswered_at < TROUBLE_SECONDS
 
     async def transact(
--- a/src/foxwinch/records/turns.py
+++ b/src/foxwinch/records/turns.py
@@ -1,7 +1,8 @@
-"""Turns of conversations in the shared store: written once, read by their own request id.
+"""Conversation turns in the shared store: written once, read by their request id.
 
-A turn's row names its whole chain, so a chain is read in two rounds: the turn, then all the others
-at once. Turns never change, so whatever was read or written once is kept in a bounded cache.
+A turn's row lists all earlier turns, so a conversation is read in two steps: the last turn, then
+all others concurrently. Turns are immutable, so every turn read or written stays in a bounded
+cache.
 """
 
 import asyncio
@@ -28,28 +29,28 @@
 
 TURNS_TABLE = "turns"
 PIECE_BYTES = 45_000
-"""Of a turn in one row; in base64 this stays below the 65,536 bytes of a row."""
+"""Maximum size of a piece; in base64 it stays below the store's limit of 65,536 bytes per row."""
 PIECES_IN_TRANSACTION = 12
-"""Some 720 kB in base64, below the 1 MB of a transaction."""
+"""About 720 kB in base64, below the store's limit of 1 MB per transaction."""
 CACHE_BYTES = 24 * 1024 * 1024
 PIECE_COUNT = struct.Struct(">H")
-"""Before the first piece: how many there are."""
+"""Header of the first piece: the number of pieces."""
 AFTER_PIECES = "0"
-"""The character after the slash, which ends the range of a turn's rows."""
+"""The character after the slash, which ends the key range of a turn's rows."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoSuchTurn:
-    """The store certainly holds no such turn."""
+    """The turn does not exist in the store."""
 
     request_id: str
 
 
 class TurnRecords:
-    """Reads and writes turns."""
+    """Reads and writes conversation turns."""
 
     def __init__(self, store: RecordStore, clock: Clock, cache_bytes: int = CACHE_BYTES) -> None:
-        """Keep turns in `store`."""
+        """Create the access to the turns in `store`, with an empty cache."""
         self._store = store
         self._clock = clock
         self._cache: LRUCache[str, Turn] = LRUCache(cache_bytes, getsizeof=_size_of)
@@ -57,7 +58,7 @@
     async def chain(
         self, request_id: str, give_up_at: float
     ) -> tuple[Turn, ...] | NoSuchTurn | Refused:
-        """Return a turn and all before it, oldest first."""
+        """Return a turn and all turns before it, oldest first."""
         last = await self._turn(request_id, give_up_at)
         if not isinstance(last, Turn):
             return last
@@ -72,7 +73,7 @@
         return (*chain, last)
 
     async def write(self, turn: Turn, give_up_at: float) -> Refused | None:
-        """Store a turn; None when it is there for good. Writing it again is harmless."""
+        """Store a turn and return None once it is committed; writing it again has no effect."""
         data = turn.encode()
         pieces = [data[start : start + PIECE_BYTES] for start in range(0, len(data), PIECE_BYTES)]
         pieces = pieces or [b""]
@@ -82,7 +83,7 @@
             if number > 0
         ]
         first = RowWrite(_row(turn.request_id, 0), PIECE_COUNT.pack(len(pieces)) + pieces[0])
-        # The first piece goes last: whoever finds it finds the others too.
+        # The first piece is written last, so that its presence implies all others.
         writes = [*later, first]
         for start in range(0, len(writes), PIECES_IN_TRANSACTION):
             batch = tuple(writes[start : start + PIECES_IN_TRANSACTION])
@@ -125,7 +126,7 @@
         return await self._confirm_missing(request_id, give_up_at)
 
     async def _confirm_missing(self, request_id: str, give_up_at: float) -> NoSuchTurn | Refused:
-        """Ask by a transaction, which never sees an older state as a plain read may."""
+        """Check by a transaction that the turn is missing; unlike a read it is never stale."""
         condition = RowCondition(_row(request_id, 0), 0)
 
         async def ask(timeout_seconds: float) -> Written | Conflict | Refused:
@@ -135,7 +136,7 @@
         if isinstance(outcome, Written):
             return NoSuchTurn(request_id)
         if isinstance(outcome, Conflict):
-            return not_run(Reason.STORE_UNAVAILABLE, "the store's list lags behind", 0.2)
+            return not_run(Reason.STORE_UNAVAILABLE, "the store returned a stale read", 0.2)
         return outcome
 
 
@@ -145,7 +146,7 @@
 
 
 def _assemble(request_id: str, read: RowsRead) -> Turn | None:
-    """Put the pieces together; None when the turn is not wholly there."""
+    """Join the pieces of a turn; return None if a piece is missing or the data is malformed."""
     values = {row.row.key: row.value for row in read.rows}
     first = values.get(request_id)
     if first is None:
--- a/src/foxwinch/records/watch.py
+++ b/src/foxwinch/records/watch.py
@@ -1,9 +1,9 @@
-"""Follows one table of the shared store: reads it whole, then hears its changes.
+"""Watch of one table of the shared store: a full read, then its changes.
 
-A watch may hear nothing for a while, its history may be gone, and a read may be old. What is older
-than a row that was seen changes nothing. Once history is lost, changes may lie between what was
-seen and what is read; a transaction, which is never old, then tells how the known rows stand and
-from which version on a read misses nothing.
+A watch can lose its connection, its change history can be truncated, and a read can be stale. Rows
+older than the known ones are ignored. After a truncated history, changes may be missing between the
+known state and a stale read. A transaction is never stale, so it then gives the current state of
+the known rows and the version from which on a read is complete.
 """
 
 from collections.abc import Callable
@@ -27,35 +27,37 @@
 )
 
 WAIT_SECONDS = 2.0
-"""For which the store holds a call open, where nothing else is said."""
+"""Default time for which the store holds a call open (long poll)."""
 ANSWER_SECONDS = 0.8
-"""After the end of a held call until its answer is taken for lost: as long as a store that is slow
+"""Time after the end of a held call at which its answer counts as lost: the time that a slow store
 takes for other calls."""
 RECOVERY_SECONDS = 1.0
-"""After a lost call: two waits, a try that cannot connect within half a second, and an answer."""
+"""Recovery time after a lost call: two backoff waits, an attempt whose connect times out after half
+a second, and an answer."""
 SHORTEST_WAIT_SECONDS = 0.5
 READ_SECONDS = 1.0
 RETRY_BACKOFF = Backoff(base_seconds=0.1, cap_seconds=0.6)
 ASK_SECONDS = 1.0
-"""Between transactions that ask for the newest version, half of the time within which a drain must
-be heard. All nodes lose history at once and ask one partition, so they ask seldom."""
+"""Minimum interval between transactions that query the newest version: half of the time in which a
+drain must be noticed. All nodes lose history at once and query one partition, so the rate is
+limited."""
 NO_KEY = "~"
-"""Of a row that no table has."""
+"""Key of a row that no table contains."""
 log = EventLog("watch")
 
 
 def wait_that_recovers_within(seconds: float) -> float:
-    """Return how long calls may be held open for a lost one to be made good within `seconds`."""
+    """Return the longest hold time with which a lost call is recovered within `seconds`."""
     return max(SHORTEST_WAIT_SECONDS, seconds - ANSWER_SECONDS - RECOVERY_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
 class _StaleRead:
-    """An answer is older than what was seen, or changes after it are lost."""
+    """An answer that is older than the known state, or after which changes were lost."""
 
 
 class TableWatch:
-    """Keeps a reader up to date with one table."""
+    """Delivers the rows and changes of one table to a callback."""
 
     def __init__(
         self,
@@ -66,10 +68,11 @@
         wait_seconds: float = WAIT_SECONDS,
         keys: tuple[str, ...] = (),
     ) -> None:
-        """Give `take` the rows, and whether they are the whole table or changes.
+        """Create a watch that calls `take` with rows and whether they are the full table.
 
-        A call is held open for `wait_seconds`: the longer, the fewer calls, and the later a lost
-        answer is noticed. `keys` are asked for by name even where no read has told of them.
+        Calls are held open for `wait_seconds`: a longer time means fewer calls, but a lost answer
+        is noticed later. After a truncated history, `keys` are queried even if no read has
+        returned them.
         """
         self._wait_seconds = wait_seconds
         self._store = store
@@ -80,14 +83,14 @@
         self._version = 0
         self._row_versions: dict[str, int] = {}
         self._removed: dict[str, int] = {}
-        """Versions of removals that an old read may not show."""
+        """Versions of removals that a stale read may not reflect."""
         self._lost_at: int | None = None
-        """The version after which history was lost, until changes are heard again."""
+        """Version after which the history was truncated; None once changes arrive again."""
         self._newest: int | None = None
-        """From which version on a whole read misses nothing, where history was lost."""
+        """Version from which on a full read is complete after the history was truncated."""
         self._asked_at = float("-inf")
         self._interrupted = True
-        """Whether a call has failed since the table was last known to be up to date."""
+        """Whether a call has failed since the table was last confirmed as up to date."""
         self._confirmed_at: float | None = None
         self._lost_since: float | None = None
 
@@ -98,28 +101,28 @@
 
     @property
     def version(self) -> int:
-        """Return the version up to which the table is known."""
+        """Return the version up to which changes have been applied."""
         return self._version
 
     def age_seconds(self) -> float:
-        """Return how long ago the table was last known to be up to date."""
+        """Return the time since the table was last confirmed as up to date."""
         if self._confirmed_at is None:
             return float("inf")
         return self._clock.monotonic() - self._confirmed_at
 
     @property
     def news_since(self) -> float:
-        """Return how far back the changes that are taken now may lie, on the node's steady clock.
+        """Return the earliest time of the changes being applied, on the node's monotonic clock.
 
-        Without a failed call in between they are new; otherwise they may be as old as the last
-        answer before it, and before the first answer of any age.
+        Without a failed call since the last answer, the changes are new. Otherwise they may be as
+        old as the last answer before the failure, or of any age if there was none.
         """
         if not self._interrupted:
             return self._clock.monotonic()
         return float("-inf") if self._confirmed_at is None else self._confirmed_at
 
     async def run(self) -> None:
-        """Follow the table for ever."""
+        """Watch the table until cancelled."""
         attempt = 0
         hearing = False
         while True:
@@ -139,9 +142,10 @@
             await self._clock.sleep(wait)
 
     async def _hear(self) -> RowsRead | _StaleRead | HistoryLost | Refused:
-        """Wait for changes and take them; after a failed call without waiting.
+        """Wait for changes and apply them.
 
-        A call that is not held open tells soon whether the store is back.
+        After a failed call the next one is not held open, which shows early whether the store is
+        back.
         """
         wait_seconds = 0.0 if self._interrupted else self._wait_seconds
         heard = await self._store.changes(self._table, self._version, wait_seconds)
@@ -159,7 +163,7 @@
         return heard
 
     async def _read_whole(self) -> RowsRead | _StaleRead | Refused:
-        """Read the whole table, after asking how far it is where history was lost."""
+        """Read the full table; after a truncated history, query the newest version first."""
         if self._lost_at is not None:
             await self._ask_newest()
         read = await self._store.read_table(self._table, READ_SECONDS)
@@ -177,7 +181,7 @@
         if read.version < self._version:
             return _StaleRead()
         if read.version < (self._newest or self._version):
-            # It lacks changes, but may tell of new rows.
+            # The read lacks changes but may contain new rows.
             self._take_changes(read)
         else:
             self._take_whole(read)
@@ -188,7 +192,7 @@
         return read
 
     async def _ask_newest(self) -> None:
-        """Take the known rows that have changed, and the version that reads must reach."""
+        """Apply changes of the known rows and get the version that reads must reach."""
         now = self._clock.monotonic()
         if now - self._asked_at < ASK_SECONDS:
             return
@@ -228,7 +232,7 @@
         self._take(read, True)
 
     def _take_changes(self, read: RowsRead) -> None:
-        """Take the rows that are newer than those that were seen."""
+        """Apply the rows that are newer than the known ones."""
         rows = tuple(row for row in read.rows if self._is_news(row))
         for row in rows:
             if row.value is None:
--- a/tests/test_families.py
+++ b/tests/test_families.py
@@ -1,4 +1,4 @@
-"""Families of programs in the shared store: one node serves each, whatever becomes of answers."""
+"""Tests of program families in the shared store: one serving node each, despite lost answers."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 
 class World:
-    """One store; each node has a way of its own to it, with faults of its own."""
+    """One store with a separate connection per node, each with its own injected faults."""
 
     def __init__(self):
         self.clock = VirtualClock()
@@ -208,7 +208,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 async def test_no_acknowledged_record_is_lost_and_none_is_written_after_a_takeover(seed):
-    """Nodes append and take over under every fault of their ways to the store."""
+    """Append and take over from several nodes under all faults of their store connections."""
     world, chance = World(), random.Random(seed)
     nodes = [world.node(f"n{number}") for number in range(3)]
     journals, acknowledged, refused_for_good = {}, [], set()
--- a/tests/test_program_budgets.py
+++ b/tests/test_program_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of programs over the stand-in store, in all its moods, on virtual time."""
+"""Tests of program budgets on the emulated store under its faults, on virtual time."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 class Node:
-    """A ledger of one node, with the tokens that its turns really used."""
+    """The budget ledger of one node."""
 
     def __init__(self, model, clock, name):
         self.clock = clock
@@ -191,10 +191,10 @@
 
 @settings(max_examples=300, deadline=None, suppress_health_check=list(HealthCheck))
 @given(seed=st.integers(0, 2**32), budget=st.integers(300, 1500))
-@example(seed=128, budget=300)  # A change in doubt was taken for one of an earlier account.
-@example(seed=306, budget=400)  # A lease that was over was written off before the store took it.
+@example(seed=128, budget=300)  # An unconfirmed change was matched to an earlier account's change.
+@example(seed=306, budget=400)  # An expired lease was written off before the store accepted it.
 def test_no_budget_is_overspent_whatever_the_store_does(seed, budget):
-    """Turns at three nodes while the store changes its mood and nodes stop dead."""
+    """Run turns at three nodes while store faults change and nodes crash."""
     import looptime
 
     loop = looptime.new_event_loop()
--- a/tests/test_program_machine.py
+++ b/tests/test_program_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the program core against a simple oracle, crashes at any point included."""
+"""Stateful fuzz test of the program core against a simple model, with crashes at any point."""
 
 from dataclasses import dataclass, field
 
@@ -29,7 +29,7 @@
 PROGRAMS = (ROOT, CHILD)
 TOKENS, CALLS = 300, 12
 MESSAGE_TOKENS = 1 + MESSAGE_OVERHEAD_TOKENS
-"""Upper bound of the tokens of a message of one character."""
+"""Upper bound on the tokens of a message of one character."""
 BUDGET = ProgramBudget(
     tokens=TOKENS, calls=CALLS, depth=1, wall_seconds=1e9, cost=1e9, repeated_calls=10_000
 )
@@ -43,7 +43,7 @@
 
 @dataclass
 class ExpectedProgram:
-    """What the oracle knows of one program."""
+    """Expected state of one program."""
 
     history: list[str] = field(default_factory=list)
     queue: list[CallId] = field(default_factory=list)
@@ -53,7 +53,7 @@
 
 @dataclass
 class ExpectedCall:
-    """What the oracle knows of one call."""
+    """Expected state of one call."""
 
     intent: CallIntent
     reserved: int = 0
@@ -63,7 +63,7 @@
 
 
 class ProgramMachine(RuleBasedStateMachine):
-    """Drives a table by records and requests, and an oracle beside it."""
+    """Applies requests and records to a program table and to the model, and compares both."""
 
     @initialize()
     def create(self):
@@ -168,9 +168,9 @@
         return reasons
 
     def forget(self, name, call_id):
-        """A call that was refused before its intent was committed."""
+        """Withdraw a call whose intent was not committed."""
         expected, call = self.programs[name], self.calls.pop(call_id)
-        self.calls[CallId(f"gone{call_id}")] = call  # keeps call identifiers unique
+        self.calls[CallId(f"gone{call_id}")] = call  # Keeps call ids unique.
         self.table.withdraw(self.table.find(name), call_id)
         if call_id in expected.queue:
             expected.queue.remove(call_id)
@@ -232,7 +232,7 @@
     @precondition(lambda self: self.due())
     @rule(data=st.data(), result=st.sampled_from(RESULTS), share=st.floats(0, 1))
     def run_whole(self, data, result, share):
-        """Start, commit and end a call with nothing between."""
+        """Start, commit and end a call without other steps in between."""
         self.start(data)
         if self.active(False):
             self.commit_intent(data, lost=False)
@@ -264,7 +264,7 @@
 
     @rule(compact=st.booleans())
     def crash(self, compact):
-        """The owner is lost: what is committed is rebuilt, and what was left running is settled."""
+        """Lose the owner: rebuild the committed state and settle calls that were left running."""
         for name, expected in self.programs.items():
             lost = [c for c in (expected.active, *expected.queue) if c is not None]
             for call_id in lost:
--- a/tests/test_program_table.py
+++ b/tests/test_program_table.py
@@ -1,4 +1,4 @@
-"""The pure program core: recovery, idempotency, budgets, history and the loop guard."""
+"""Tests of the program core: recovery, idempotency, budgets, history and the loop guard."""
 
 import dataclasses
 
@@ -74,7 +74,7 @@
 
 
 def run(table, asked, **ending):
-    """Run one call to its end; returns the records that were committed for it."""
+    """Run one call to completion and return the records committed for it."""
     assert submit(table, asked) == Queued()
     started = start(table, asked)
     assert isinstance(started, StartedCall), started
--- a/tests/test_record_watch.py
+++ b/tests/test_record_watch.py
@@ -1,4 +1,4 @@
-"""Watches of the shared store on virtual time: changes, lost history, old reads, outages."""
+"""Tests of table watches on virtual time: changes, truncated history, stale reads, outages."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -21,11 +21,11 @@
 
 pytestmark = pytest.mark.looptime
 NEW_ANSWER_SECONDS = 0.1
-"""For a new connection and its first answer: some times what the platform's store takes."""
+"""Time for a new connection and its first answer, several times that of the platform's store."""
 
 
 class Seen:
-    """A watch and what it told."""
+    """A running watch and the changes that it delivered."""
 
     def __init__(self, model, keys=()):
         self.values = {}
@@ -54,7 +54,7 @@
 
 @asynccontextmanager
 async def watching(model, keys=()):
-    """Watch within a test: fixtures are set up outside its virtual time."""
+    """Run a watch within the test, because fixtures are set up outside its virtual time."""
     model.put("t", "a", b"1")
     watched = Seen(model, keys)
     await asyncio.sleep(0.1)
@@ -102,7 +102,10 @@
 
 @asynccontextmanager
 async def deaf_while_reads_are_old(model):
-    """Within, the store changes unheard; then its history is gone and its reads stay old."""
+    """Hide changes made within the context: the watch is cut off, then history is truncated.
+
+    Reads stay stale afterwards.
+    """
     await asyncio.sleep(0.5)
     model.moods.delay_seconds = 0.004
     model.hold_reads()
@@ -211,7 +214,7 @@
         assert seen.values == {"a": b"9"}
 
 
-# Guards against changes that are heard late after an outage, by the time for which calls are held.
+# Guards against changes that arrive late after an outage, delayed by the hold time of calls.
 @pytest.mark.parametrize("away_seconds", [1.9, 4.0, 4.5, 7.3])
 async def test_a_store_that_was_silent_is_heard_soon_after_its_return(model, away_seconds):
     async with watching(model) as seen:
@@ -233,8 +236,8 @@
         assert model.calls.feeds - before < 10.0 / 0.1
 
 
-# Guards against a configuration that was late because hold, slack, waits and connects of one lost
-# call and one failed try added up to more than the bound.
+# Guards against a late configuration: the hold time, answer timeout, backoff waits and connect
+# timeout of one lost call and one failed attempt together exceeded the bound.
 @pytest.mark.parametrize("bound_seconds", [3.0, 4.0, 10.0])
 def test_the_longest_way_back_from_a_silent_connection_fits_the_bound(bound_seconds):
     lost = wait_that_recovers_within(bound_seconds) + ANSWER_SECONDS
--- a/tests/test_routing_core.py
+++ b/tests/test_routing_core.py
@@ -1,4 +1,4 @@
-"""The pure decisions of routing: routes, workers, loads, shares, events of streams."""
+"""Tests of routes, the worker directory, load, selection, shares, urgency and event framing."""
 
 from dataclasses import replace
 
@@ -84,7 +84,7 @@
     assert directory.serving("s", 10.2 + LAST_RESORT_SECONDS) == []
 
 
-# Guards against work at a worker whose drain was heard late, after a gap in the watch.
+# Guards against sending work to a worker whose drain was noticed late, after a gap in the watch.
 def test_a_drain_that_may_be_old_leaves_less_time_as_a_last_resort():
     directory = WorkerDirectory()
     directory.put(worker(1), 1, last_resort_from(0.0))
@@ -132,7 +132,8 @@
     assert directory.serving("s", 0.1) == []
 
 
-# Guards against work at a worker that drained so long that it was forgotten and then read anew.
+# Guards against sending work to a worker that drained for so long that it was evicted, then read
+# again from the list as if it had just started to drain.
 def test_a_worker_that_drains_for_long_is_no_last_resort_when_the_list_is_read_anew():
     directory = WorkerDirectory()
     directory.put(worker(1, draining=True), 1, last_resort_from(0.0))
@@ -149,7 +150,8 @@
     assert [found.worker_id for found in directory.serving("s", 9.0)] == ["w1"]
 
 
-# Guards against failures, calls under way, drains and caches of a life that is over.
+# Guards against carrying over failures, in-flight calls, drains and cache affinity from an earlier
+# incarnation of a worker.
 def test_a_worker_that_starts_again_under_its_id_begins_anew():
     former, reborn = worker(1, started_ms=1), worker(1, started_ms=2)
     directory, loads = WorkerDirectory(), LoadTable()
--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -1,4 +1,4 @@
-"""Regressions: what a node knows of configuration and workers must never stay behind the store."""
+"""Regression tests: a node's configuration and worker list must not stay behind the store."""
 
 import asyncio
 
@@ -27,13 +27,13 @@
 
 
 def held_calls_lost(node):
-    """Return how many held calls of watches ended without an answer."""
+    """Return the number of held watch calls that ended without an answer."""
     counter = node.node.metrics.store_calls.labels("rows-feed", "store_unavailable")
     return counter._value.get()
 
 
-# Guards against a configuration that was late because a watch that had timed out on a silent
-# connection took another silent one from the pool.
+# Guards against a late configuration: a watch that timed out on a silent connection retried on
+# another silent connection from the pool.
 async def test_a_watch_does_not_wait_again_on_a_kept_connection_that_went_silent():
     async with sited(StandInWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
@@ -93,7 +93,7 @@
 
 
 async def until_listed(node, slots):
-    """Wait until just these workers are listed, by id with their slots."""
+    """Wait until exactly these workers are listed; `slots` maps worker ids to slots."""
     directory = node.node.routing.directory
 
     async def heard():
@@ -106,7 +106,7 @@
     return [(await site.ask(node, SAFE, f"r{first + number}")).status for number in range(count)]
 
 
-# Guards against drains that no node heard of while one row of the list could not be decoded.
+# Guards against drains that went unnoticed while one row of the worker list could not be decoded.
 @pytest.mark.parametrize("found", ["on the first read", "as a change"])
 @pytest.mark.parametrize("document", UNREADABLE_DOCUMENTS.values(), ids=UNREADABLE_DOCUMENTS)
 async def test_a_row_that_cannot_be_decoded_hides_no_drain(document, found):
@@ -120,7 +120,7 @@
         await until_listed(node, {"w1": 4})
 
 
-# Guards against entries of other writers that ended the watch, or were taken for workers in use.
+# Guards against malformed entries of other writers that ended the watch or counted as workers.
 @pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
 async def test_an_entry_that_names_no_worker_is_passed_over_and_the_others_hold(entry):
     async with sited(StandInWorker(Answer()), StandInWorker(Answer())) as site:
@@ -131,7 +131,7 @@
         assert await statuses(site, node, 4) == [200] * 4
 
 
-# Guards against requests at a worker whose newest entry cannot be read or states that it left.
+# Guards against sending requests to a worker whose newest entry is malformed or says that it left.
 @pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
 async def test_a_worker_whose_entry_becomes_unreadable_gets_no_work(entry):
     async with sited(StandInWorker(Answer()), StandInWorker(Answer())) as site:
@@ -143,7 +143,7 @@
         assert site.workers[0].received == []
 
 
-# Guards against an entry of another writer that displaced the worker at the address it names.
+# Guards against an entry of another writer that displaced the worker at the same address.
 async def test_an_entry_of_an_unknown_service_displaces_no_worker_at_its_address():
     async with sited(StandInWorker(Answer())) as site:
         node = await site.start_node()
@@ -152,8 +152,8 @@
         assert await statuses(site, node, 4) == [200] * 4
 
 
-# Guards against a change that was made while the watch was deaf, its history dropped, and that an
-# old read then hid for as long as reads were old.
+# Guards against a missed change: it was made while the watch was cut off, the history was then
+# truncated, and stale reads hid it as long as they lasted.
 @pytest.mark.looptime
 async def test_a_change_of_a_deaf_moment_is_heard_while_reads_are_old():
     clock = VirtualClock()
@@ -181,7 +181,7 @@
     assert model.calls.reads + model.calls.feeds - calls_before < 40, "asked without a pause"
 
 
-# Guards against a node that went on for ever by what it knew, after the task of a watch had ended.
+# Guards against a node that kept running on stale state after the task of a watch had ended.
 async def test_a_watch_that_fails_ends_the_process():
     async with sited(StandInWorker(Answer())) as site:
         node = await site.start_node()
