--- a/src/foxwinch/core/program/call_events.py
+++ b/src/foxwinch/core/program/call_events.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallChunk:
-    """A piece of the answer."""
+    """A chunk of the response."""
 
     text: str
     tool_calls: tuple[object, ...] = ()
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallChunks:
-    """Pieces of the answer that are available together."""
+    """Chunks of the response that are available together."""
 
     chunks: Sequence[CallChunk]
     more: bool = False
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFinished:
-    """The outcome is committed and the answer is complete."""
+    """The outcome is committed and the response is complete."""
 
     finish_reason: str
     prompt_tokens: int
--- a/src/foxwinch/core/program/recovery.py
+++ b/src/foxwinch/core/program/recovery.py
@@ -7,7 +7,7 @@
 from foxwinch.outcomes import Reason
 
 RERUN_LIMIT_SECONDS = 600.0
-"""Age of an intent after which no caller still waits for its answer. It also limits how often a
+"""Age of an intent after which no caller still waits for its response. It also limits how often a
 call is rerun when owners fail repeatedly."""
 
 
@@ -15,7 +15,7 @@
     """Recovery action for a call without an outcome."""
 
     RUN_AGAIN = "run_again"
-    """The call is repeatable, and its caller can fetch the answer by the idempotency key."""
+    """The call is repeatable, and its caller can fetch the response by the idempotency key."""
     UNKNOWN = "unknown"
     """The call may have run; it is never rerun and never reported as `not_run`."""
 
--- a/src/foxwinch/core/program/requests.py
+++ b/src/foxwinch/core/program/requests.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Repeated:
-    """The same request has already ended; the answer is the outcome of the given call."""
+    """The same request has already ended; the response is the outcome of the given call."""
 
     call: Call
 
--- a/src/foxwinch/core/program/tool_calls.py
+++ b/src/foxwinch/core/program/tool_calls.py
@@ -1,11 +1,11 @@
-"""Merging of tool calls that a model streams in pieces."""
+"""Merging of tool calls that a model streams in chunks."""
 
 from collections.abc import Iterable
 from typing import Any
 
 
 def merge_tool_calls(pieces: Iterable[object]) -> list[dict[str, Any]]:
-    """Merge streamed pieces in the chat-completions format into complete tool calls, by index."""
+    """Merge streamed chunks in the chat-completions format into complete tool calls, by index."""
     merged: dict[int, dict[str, Any]] = {}
     for piece in pieces:
         if not isinstance(piece, dict):
--- a/src/foxwinch/core/records/account.py
+++ b/src/foxwinch/core/records/account.py
@@ -1,6 +1,6 @@
 """A node's account of one program's budget: its lease, its open turns and its unconfirmed changes.
 
-The module is pure; `records.budgets` does the store calls. A change whose answer was lost stays
+The module is pure; `records.budgets` does the store calls. A change whose response was lost stays
 unconfirmed until the stored record shows, by the sequence number in this node's lease, whether it
 was applied. Until then the node spends only what it holds in either case.
 """
@@ -112,7 +112,7 @@
     written_off: set[str] = field(default_factory=set)
     """Open turns whose tokens already count as spent because their lease has expired."""
     doubtful: dict[int, Change] = field(default_factory=dict)
-    """Unconfirmed changes by sequence number: sent and not answered."""
+    """Unconfirmed changes by sequence number: sent and without a response."""
 
     def available(self) -> int:
         """Return the tokens free for a new turn, whichever unconfirmed changes were applied."""
--- a/src/foxwinch/core/routing/configuration.py
+++ b/src/foxwinch/core/routing/configuration.py
@@ -10,14 +10,14 @@
 
 
 class RouteKind(StrEnum):
-    """Execution guarantee of a route's requests and the form of their answers."""
+    """Execution guarantee of a route's requests and the form of their responses."""
 
     SAFE = "safe"
     """Idempotent requests with a single response body."""
     UNSAFE = "unsafe"
     """Requests that run at most once, with a single response body."""
     STREAM = "stream"
-    """Requests answered by an event stream; they run at most once unless the route is resumable."""
+    """Requests with a streamed response; they run at most once unless the route is resumable."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     timeout_seconds: float
     """Maximum total time of a request."""
     target_seconds: float
-    """Latency target of an answer, or of the first event of a stream."""
+    """Latency target of a response, or of the first event of a stream."""
     attempts: int
     """Maximum number of workers that one request may run on."""
     priority: int
@@ -50,7 +50,7 @@
     """Whether foxwinch stores the turns, so that a turn carries only its new input."""
     retain_seconds: float = 0.0
     event_gap_seconds: float = 0.0
-    """Maximum pause between events for an answer to count as on time; 0 when not specified."""
+    """Maximum pause between events for a response to count as on time; 0 when not specified."""
 
     @property
     def repeatable(self) -> bool:
--- a/src/foxwinch/core/routing/load.py
+++ b/src/foxwinch/core/routing/load.py
@@ -34,11 +34,11 @@
     avoid_until: float = 0.0
     """On the node's monotonic clock."""
     wait_seconds: float = 0.0
-    """Smoothed time to the start of an answer, as of `wait_at`."""
+    """Smoothed time to the start of a response, as of `wait_at`."""
     wait_at: float = 0.0
 
     def expected_wait_seconds(self, now: float) -> float:
-        """Return the expected time to the start of an answer; it decays without observations."""
+        """Return the expected time to the start of a response; it decays without observations."""
         half_lives = (now - self.wait_at) / WAIT_HALF_LIFE_SECONDS
         return self.wait_seconds * math.exp2(-half_lives)
 
@@ -72,7 +72,7 @@
         self.of(incarnation).in_flight -= 1
 
     def began_to_answer(self, incarnation: str, seconds: float, now: float) -> None:
-        """Record the time that a worker took to start an answer.
+        """Record the time that a worker took to start a response.
 
         It reflects the load from other nodes, whose calls are not visible to this one.
         """
@@ -82,7 +82,7 @@
         load.wait_at = now
 
     def answered(self, incarnation: str) -> None:
-        """Record a valid answer."""
+        """Record a valid response."""
         load = self.of(incarnation)
         load.failures = 0
 
@@ -92,7 +92,7 @@
         load.avoid_until = max(load.avoid_until, now + SHED_SECONDS)
 
     def failed(self, incarnation: str, now: float) -> None:
-        """Record that a worker was unreachable, aborted its answer or sent an invalid one."""
+        """Record that a worker was unreachable, aborted its response or sent an invalid one."""
         load = self.of(incarnation)
         wait = FAILURE_SECONDS * 2.0 ** min(load.failures, FAILURE_DOUBLINGS)
         load.failures += 1
--- a/src/foxwinch/core/routing/selection.py
+++ b/src/foxwinch/core/routing/selection.py
@@ -15,9 +15,9 @@
 """Benefit of the program's cached history at its preferred worker, as a fraction of the worker's
 slots."""
 WAIT_COST_PER_SECOND = 2.0
-"""Cost of the time to the start of an answer, which reflects the load from other nodes."""
+"""Cost of the time to the start of a response, which reflects the load from other nodes."""
 IDLE_WAIT_SECONDS = 0.06
-"""Time within which a worker with free slots starts to answer."""
+"""Time within which a worker with free slots starts to respond."""
 AVOIDED_COST = 10.0
 """Exceeds any load, so avoided workers are chosen last."""
 COLD_COST = 0.3
--- a/src/foxwinch/records/families.py
+++ b/src/foxwinch/records/families.py
@@ -14,7 +14,7 @@
 from foxwinch.outcomes import Refused
 
 Applied = Callable[[Sequence[JournalRecord]], None]
-"""Callback for records whose append took effect after it was given up."""
+"""Callback for records whose append took effect after it was abandoned."""
 
 
 class ServedElsewhere(NamedTuple):
@@ -48,7 +48,7 @@
 
     @abstractmethod
     def on_applied(self, applied: Applied) -> None:
-        """Set the callback for records whose append took effect after it was given up."""
+        """Set the callback for records whose append took effect after it was abandoned."""
 
     @abstractmethod
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
--- a/src/foxwinch/records/family_journal.py
+++ b/src/foxwinch/records/family_journal.py
@@ -1,8 +1,8 @@
 """The journal of one family in the shared store.
 
 Each append is one transaction that writes the rows of a batch and the family's head, on condition
-of the head's version. When the answer is lost, the same append is retried: only one of the appends
-sent at a version can take effect, and the token in the head identifies it.
+of the head's version. When the response is lost, the same append is retried: only one of the
+appends sent at a version can take effect, and the token in the head identifies it.
 """
 
 import asyncio
@@ -65,7 +65,7 @@
         return self._head.batches
 
     def on_applied(self, applied: Applied) -> None:
-        """Set the callback for records whose append took effect after it was given up."""
+        """Set the callback for records whose append took effect after it was abandoned."""
         self._applied = applied
 
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
--- a/src/foxwinch/records/family_store.py
+++ b/src/foxwinch/records/family_store.py
@@ -108,7 +108,7 @@
     async def _take(
         self, root: ProgramId, head: FamilyHead, give_up_at: float
     ) -> FamilyHead | ServedElsewhere | Refused:
-        """Write this node into the head; after a lost answer the token shows who wrote it."""
+        """Write this node into the head; after a lost response the token shows who wrote it."""
         wanted = head._replace(node=self._node, address=self._address, token=self._token())
         condition = RowCondition(head_row(root), head.version)
 
--- a/src/foxwinch/records/ports.py
+++ b/src/foxwinch/records/ports.py
@@ -1,8 +1,8 @@
 """Port to the shared store: versioned rows in tables and partitions.
 
 Transactions are linearizable, and acknowledged writes are never lost. A plain read may be stale;
-its answer carries the version of the state that it reflects. A call without an answer may have been
-applied, or may still be applied later while its conditions hold.
+its response carries the version of the state that it reflects. A call without a response may have
+been applied, or may still be applied later while its conditions hold.
 """
 
 from dataclasses import dataclass
--- a/src/foxwinch/records/repeat.py
+++ b/src/foxwinch/records/repeat.py
@@ -1,4 +1,4 @@
-"""Retries of calls to the shared store until an answer or the deadline."""
+"""Retries of calls to the shared store until a response or the deadline."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -9,7 +9,7 @@
 
 STORE_BACKOFF = Backoff(base_seconds=0.05, cap_seconds=0.4)
 CALL_SECONDS = 0.8
-"""Timeout of one call. A slow store still answers within it; a call to an unresponsive store is
+"""Timeout of one call. A slow store still responds within it; a call to an unresponsive store is
 retried on another connection."""
 SHORTEST_CALL_SECONDS = 0.03
 """Minimum remaining time for starting a call."""
@@ -22,7 +22,7 @@
     give_up_at: float,
     call: Callable[[float], Awaitable[Outcome]],
 ) -> Outcome | Refused:
-    """Return the first answer of `call`, or its last refusal once `give_up_at` is reached.
+    """Return the first response of `call`, or its last refusal once `give_up_at` is reached.
 
     `call` takes its timeout in seconds and must be idempotent.
     """
--- a/src/foxwinch/records/store_probe.py
+++ b/src/foxwinch/records/store_probe.py
@@ -1,7 +1,7 @@
 """Health probes of the store after a failed call, to distinguish a partial from a full outage.
 
 A watch call may stay open for seconds without changes, and the calls of turns may all go to
-partitions that are down. Only a separate call shows in time whether the store answers.
+partitions that are down. Only a separate call shows in time whether the store responds.
 """
 
 from foxwinch.clock import Clock
@@ -10,7 +10,7 @@
 
 PROBE_SECONDS = 0.4
 """Maximum interval between probes and timeout of a probe: two probes fit into the time after which
-a node counts as cut off."""
+a node counts as isolated."""
 PROBES_MAXIMUM = 2
 """Maximum number of probes; after them the retries of the watches detect when the store is back."""
 NO_KEY = "~"
@@ -21,7 +21,7 @@
     """Probes the unnamed partition of a table, which holds the watched rows."""
 
     def __init__(self, store: ObservedStore, clock: Clock, table: str) -> None:
-        """Create a probe of `table`; `store` itself records the answers."""
+        """Create a probe of `table`; `store` itself records the responses."""
         self._store = store
         self._clock = clock
         self._row = RowKey(table, "", NO_KEY)
--- a/src/foxwinch/records/store_state.py
+++ b/src/foxwinch/records/store_state.py
@@ -1,7 +1,7 @@
 """Clock and availability of the shared store, observed on every call.
 
-The store's clock is known within bounds: the timestamp of an answer was taken between the sending
-of the call and the receipt of the answer. Old samples are dropped because clocks drift.
+The store's clock is known within bounds: the timestamp of a response was taken between the sending
+of the call and the receipt of the response. Old samples are dropped because clocks drift.
 """
 
 import asyncio
@@ -56,7 +56,7 @@
         return max(self._current.lowest, self._former.lowest) > float("-inf")
 
     def observe(self, store_ms: int, sent_at: float, received_at: float) -> None:
-        """Add the timestamp of an answer; the other times are on the node's monotonic clock."""
+        """Add the timestamp of a response; the other times are on the node's monotonic clock."""
         if received_at - self._since > WINDOW_SECONDS:
             self._former, self._current = self._current, _Bounds()
             self._since = received_at
@@ -89,7 +89,7 @@
         await self._lost.wait()
 
     def lost_seconds(self) -> float:
-        """Return the time for which all calls have failed; 0 if the last one was answered."""
+        """Return the time for which all calls have failed; 0 if the last one got a response."""
         return 0.0 if self._lost_since is None else self._clock.monotonic() - self._lost_since
 
     def troubled(self) -> bool:
--- a/src/foxwinch/records/turns.py
+++ b/src/foxwinch/records/turns.py
@@ -29,12 +29,12 @@
 
 TURNS_TABLE = "turns"
 PIECE_BYTES = 45_000
-"""Maximum size of a piece; in base64 it stays below the store's limit of 65,536 bytes per row."""
+"""Maximum size of a chunk; in base64 it stays below the store's limit of 65,536 bytes per row."""
 PIECES_IN_TRANSACTION = 12
 """About 720 kB in base64, below the store's limit of 1 MB per transaction."""
 CACHE_BYTES = 24 * 1024 * 1024
 PIECE_COUNT = struct.Struct(">H")
-"""Header of the first piece: the number of pieces."""
+"""Header of the first chunk: the number of chunks."""
 AFTER_PIECES = "0"
 """The character after the slash, which ends the key range of a turn's rows."""
 
@@ -83,7 +83,7 @@
             if number > 0
         ]
         first = RowWrite(_row(turn.request_id, 0), PIECE_COUNT.pack(len(pieces)) + pieces[0])
-        # The first piece is written last, so that its presence implies all others.
+        # The first chunk is written last, so that its presence implies all others.
         writes = [*later, first]
         for start in range(0, len(writes), PIECES_IN_TRANSACTION):
             batch = tuple(writes[start : start + PIECES_IN_TRANSACTION])
@@ -146,7 +146,7 @@
 
 
 def _assemble(request_id: str, read: RowsRead) -> Turn | None:
-    """Join the pieces of a turn; return None if a piece is missing or the data is malformed."""
+    """Join the chunks of a turn; return None if a chunk is missing or the data is malformed."""
     values = {row.row.key: row.value for row in read.rows}
     first = values.get(request_id)
     if first is None:
--- a/src/foxwinch/records/watch.py
+++ b/src/foxwinch/records/watch.py
@@ -29,11 +29,11 @@
 WAIT_SECONDS = 2.0
 """Default time for which the store holds a call open (long poll)."""
 ANSWER_SECONDS = 0.8
-"""Time after the end of a held call at which its answer counts as lost: the time that a slow store
-takes for other calls."""
+"""Time after the end of a held call at which its response counts as lost: the time that a slow
+store takes for other calls."""
 RECOVERY_SECONDS = 1.0
 """Recovery time after a lost call: two backoff waits, an attempt whose connect times out after half
-a second, and an answer."""
+a second, and a response."""
 SHORTEST_WAIT_SECONDS = 0.5
 READ_SECONDS = 1.0
 RETRY_BACKOFF = Backoff(base_seconds=0.1, cap_seconds=0.6)
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _StaleRead:
-    """An answer that is older than the known state, or after which changes were lost."""
+    """A response that is older than the known state, or after which changes were lost."""
 
 
 class TableWatch:
@@ -70,7 +70,7 @@
     ) -> None:
         """Create a watch that calls `take` with rows and whether they are the full table.
 
-        Calls are held open for `wait_seconds`: a longer time means fewer calls, but a lost answer
+        Calls are held open for `wait_seconds`: a longer time means fewer calls, but a lost response
         is noticed later. After a truncated history, `keys` are queried even if no read has
         returned them.
         """
@@ -114,8 +114,8 @@
     def news_since(self) -> float:
         """Return the earliest time of the changes being applied, on the node's monotonic clock.
 
-        Without a failed call since the last answer, the changes are new. Otherwise they may be as
-        old as the last answer before the failure, or of any age if there was none.
+        Without a failed call since the last response, the changes are new. Otherwise they may be as
+        old as the last response before the failure, or of any age if there was none.
         """
         if not self._interrupted:
             return self._clock.monotonic()
--- a/src/foxwinch/serving/__init__.py
+++ b/src/foxwinch/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Serving of callers' requests, from routing to the answer."""
+"""Serving of callers' requests, from routing to the response."""
--- a/src/foxwinch/serving/attempts.py
+++ b/src/foxwinch/serving/attempts.py
@@ -33,7 +33,7 @@
 SHORTEST_CALL_SECONDS = 0.02
 """Minimum remaining time for a call; no worker can complete one in less."""
 PATIENCE_TARGETS = 4.0
-"""Timeout for the start of an answer, in multiples of the route's target time. It applies if the
+"""Timeout for the start of a response, in multiples of the route's target time. It applies if the
 request may run at another worker."""
 PATIENCE_SECONDS = 0.3
 """Minimum of that timeout; an overloaded worker sheds the call within it."""
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """A worker that has started to answer."""
+    """A worker that has started to respond."""
 
     worker: Worker
     answer: WorkerAnswer
@@ -91,7 +91,7 @@
         return self._shares.order(route)
 
     async def offer(self, attempts: Attempts, last_worker: str | None) -> Taken | RejectedRequest:
-        """Send a request to workers until one answers; the calling code enforces the deadline."""
+        """Send a request to workers until one responds; the calling code enforces the deadline."""
         offers = 0
         shed: CallRefused | None = None
         while True:
@@ -129,7 +129,7 @@
             self.loads.ended(worker.incarnation)
 
     def failed(self, worker: Worker, failure: CallFailure, request_id: str) -> None:
-        """Record that a worker aborted its answer or sent an invalid one."""
+        """Record that a worker aborted its response or sent an invalid one."""
         self.loads.failed(worker.incarnation, self._clock.monotonic())
         self._metrics.worker_failures.labels(failure.value).inc()
         log.info(
@@ -137,7 +137,7 @@
         )
 
     def answered(self, worker: Worker) -> None:
-        """Record a valid answer."""
+        """Record a valid response."""
         self.loads.answered(worker.incarnation)
 
     def _choose(self, attempts: Attempts, last_worker: str | None) -> Worker | None:
@@ -195,7 +195,7 @@
             return CallLost(CallFailure.SILENT, f"no answer in {patience_seconds:.2f} s")
 
     def _patience(self, attempts: Attempts, left: float) -> float:
-        """Return the timeout for the start of a worker's answer, in seconds."""
+        """Return the timeout for the start of a worker's response, in seconds."""
         others = len(attempts.ran_on) + 1 < max(1, attempts.route.attempts)
         if not attempts.route.repeatable or not others:
             return left
--- a/src/foxwinch/serving/handler.py
+++ b/src/foxwinch/serving/handler.py
@@ -1,4 +1,4 @@
-"""Request handling of a node: route, budget and history, worker, answer."""
+"""Request handling of a node: route, budget and history, worker, response."""
 
 import asyncio
 from dataclasses import dataclass
--- a/src/foxwinch/serving/messages.py
+++ b/src/foxwinch/serving/messages.py
@@ -53,15 +53,15 @@
 
 
 class CallFailure(StrEnum):
-    """Why a worker gave no answer to a request."""
+    """Why a worker gave no response to a request."""
 
     UNREACHABLE = "unreachable"
     SHED = "shed"
     """The worker rejected the request without running it."""
     WRONG_WORKER = "wrong_worker"
-    """A different worker answered at the address."""
+    """A different worker responded at the address."""
     SILENT = "silent"
-    """The answer timed out and another worker is tried; the request may have run."""
+    """The response timed out and another worker is tried; the request may have run."""
     BROKEN_OFF = "broken_off"
     MALFORMED = "malformed"
 
@@ -85,16 +85,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Status and headers of a worker's answer, as forwarded to the caller."""
+    """Status and headers of a worker's response, as forwarded to the caller."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     signed: bool
-    """Whether the answer carries the worker's signature."""
+    """Whether the response carries the worker's signature."""
 
 
 class WorkerAnswer(Protocol):
-    """A worker's answer after its head has been received."""
+    """A worker's response after its head has been received."""
 
     head: AnswerHead
 
@@ -107,7 +107,7 @@
         ...
 
     def close(self) -> None:
-        """Close the answer; if it is incomplete, the worker cancels the request."""
+        """Close the response; if it is incomplete, the worker cancels the request."""
         ...
 
 
@@ -157,11 +157,11 @@
         ...
 
     async def answer(self, head: AnswerHead, body: bytes) -> None:
-        """Send a worker's complete answer."""
+        """Send a worker's complete response."""
         ...
 
     async def begin(self, head: AnswerHead) -> None:
-        """Start a stream with the head of a worker's answer."""
+        """Start a stream with the head of a worker's response."""
         ...
 
     async def send(self, data: bytes) -> None:
--- a/src/foxwinch/serving/node.py
+++ b/src/foxwinch/serving/node.py
@@ -20,7 +20,7 @@
 """Time from the start of a shutdown until load balancers have seen that the node is not ready and
 send no more requests."""
 CUT_OFF_SECONDS = 1.0
-"""Time without any answer of the store after which requests should go to other nodes."""
+"""Time without any response of the store after which requests should go to other nodes."""
 STOPPING_RETRY_SECONDS = 0.05
 """Retry time for requests to a closed node; it is short because another node can serve them."""
 POLL_SECONDS = 0.05
@@ -68,7 +68,7 @@
     def cut_off(self) -> bool:
         """Whether the store has been unreachable for so long that other nodes may serve better.
 
-        When the store is down for all nodes, all are cut off and requests go to all of them.
+        When the store is down for all nodes, all are isolated and requests go to all of them.
         """
         return self._store.lost_seconds() > CUT_OFF_SECONDS
 
--- a/src/foxwinch/serving/plain.py
+++ b/src/foxwinch/serving/plain.py
@@ -1,4 +1,4 @@
-"""Serving of requests that are answered with a single body."""
+"""Serving of requests with a single response body (not streamed)."""
 
 import asyncio
 
--- a/src/foxwinch/serving/ports.py
+++ b/src/foxwinch/serving/ports.py
@@ -13,7 +13,7 @@
     async def call(
         self, worker: Worker, call: OutgoingCall
     ) -> WorkerAnswer | CallRefused | CallLost:
-        """Send a call and return the answer once its head has been received."""
+        """Send a call and return the response once its head has been received."""
         ...
 
 
--- a/src/foxwinch/serving/stream.py
+++ b/src/foxwinch/serving/stream.py
@@ -1,8 +1,8 @@
-"""Serving of requests that are answered with an event stream.
+"""Serving of requests with an event stream as the response.
 
 Only complete events are forwarded to the caller. When a worker aborts a stream and the route is
 resumable, the stream resumes at another worker after the last complete event, under the head of the
-first worker's answer. A retained turn is stored before the end of its answer is sent.
+first worker's response. A retained turn is stored before the end of its response is sent.
 """
 
 import asyncio
@@ -53,7 +53,7 @@
     COMPLETE = "complete"
     BROKEN = "broken"
     PASSED_ON = "passed_on"
-    """The answer was not a stream and was forwarded as a single body."""
+    """The response was not a stream and was forwarded as a single body."""
 
 
 class StreamServer:
--- a/tests/test_record_watch.py
+++ b/tests/test_record_watch.py
@@ -21,7 +21,7 @@
 
 pytestmark = pytest.mark.looptime
 NEW_ANSWER_SECONDS = 0.1
-"""Time for a new connection and its first answer, several times that of the platform's store."""
+"""Time for a new connection and its first response, several times that of the platform's store."""
 
 
 class Seen:
@@ -102,7 +102,7 @@
 
 @asynccontextmanager
 async def deaf_while_reads_are_old(model):
-    """Hide changes made within the context: the watch is cut off, then history is truncated.
+    """Hide changes made within the context: the watch is disconnected, then history is truncated.
 
     Reads stay stale afterwards.
     """
@@ -236,7 +236,7 @@
         assert model.calls.feeds - before < 10.0 / 0.1
 
 
-# Guards against a late configuration: the hold time, answer timeout, backoff waits and connect
+# Guards against a late configuration: the hold time, response timeout, backoff waits and connect
 # timeout of one lost call and one failed attempt together exceeded the bound.
 @pytest.mark.parametrize("bound_seconds", [3.0, 4.0, 10.0])
 def test_the_longest_way_back_from_a_silent_connection_fits_the_bound(bound_seconds):
--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -27,13 +27,13 @@
 
 
 def held_calls_lost(node):
-    """Return the number of held watch calls that ended without an answer."""
+    """Return the number of held watch calls that ended without a response."""
     counter = node.node.metrics.store_calls.labels("rows-feed", "store_unavailable")
     return counter._value.get()
 
 
-# Guards against a late configuration: a watch that timed out on a silent connection retried on
-# another silent connection from the pool.
+# Guards against a late configuration: a watch that timed out on an unresponsive connection retried
+# on another unresponsive connection from the pool.
 async def test_a_watch_does_not_wait_again_on_a_kept_connection_that_went_silent():
     async with sited(StandInWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
@@ -152,7 +152,7 @@
         assert await statuses(site, node, 4) == [200] * 4
 
 
-# Guards against a missed change: it was made while the watch was cut off, the history was then
+# Guards against a missed change: it was made while the watch was disconnected, the history was then
 # truncated, and stale reads hid it as long as they lasted.
 @pytest.mark.looptime
 async def test_a_change_of_a_deaf_moment_is_heard_while_reads_are_old():
