--- a/src/foxwinch/commands/adopt.py
+++ b/src/foxwinch/commands/tree_takeover.py
@@ -19,15 +19,15 @@
 
 LOOK_SECONDS = 60.0
 """Every partition is read once in so long: at the design size some 3 KB/s a node."""
-PRESENT = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 log = EventLog("programs")
 
 
-class FamilyAdoption(PeriodicWork):
-    """Looks for families of nodes that are gone."""
+class TreeTakeover(PeriodicWork):
+    """Looks for program trees of nodes that are gone."""
 
     def __init__(self, owner: ProgramOwner, membership: MembershipView) -> None:
-        """Take families over into `owner`."""
+        """Take program trees over into `owner`."""
         super().__init__(owner)
         self._membership = membership
 
@@ -39,7 +39,7 @@
                     await self._look(partition_name(number))
 
     async def _look(self, partition: str) -> None:
-        served = await self._owner.ports.families.served(partition)
+        served = await self._owner.ports.trees.served(partition)
         if isinstance(served, Refused):
             return
         for root, node in self._orphans(served):
@@ -50,7 +50,7 @@
     def _orphans(
         self, served: Sequence[tuple[ProgramId, NodeId]]
     ) -> list[tuple[ProgramId, NodeId]]:
-        present = {m.node for m in self._membership.members() if m.state in PRESENT}
+        present = {m.node for m in self._membership.members() if m.state in PRESENT_STATES}
         return [(root, node) for root, node in served if node not in present]
 
     def _is_mine(self, number: int) -> bool:
--- a/src/foxwinch/core/program/identity.py
+++ b/src/foxwinch/core/program/identity.py
@@ -21,7 +21,7 @@
 """Name prefix of single-call programs, reserved for generated names."""
 
 
-def scoped(tenant: TenantName, name: str) -> ProgramId:
+def scoped_program_id(tenant: TenantName, name: str) -> ProgramId:
     """Return the identifier of a tenant's program."""
     return ProgramId(f"{tenant}{TENANT_SEPARATOR}{name}")
 
@@ -36,7 +36,7 @@
     return ProgramId(program_id.partition(CHILD_SEPARATOR)[0])
 
 
-def child_of(parent: ProgramId, suffix: str) -> ProgramId:
+def child_program_id(parent: ProgramId, suffix: str) -> ProgramId:
     """Return the identifier of a child program."""
     return ProgramId(f"{parent}{CHILD_SEPARATOR}{suffix}")
 
--- a/src/foxwinch/core/program/state.py
+++ b/src/foxwinch/core/program/state.py
@@ -22,7 +22,7 @@
     ADMITTED = "admitted"
     """The budget is reserved; the intent is being committed or the call waits for a worker."""
     GRANTED = "granted"
-    """A steward has granted a worker."""
+    """A coordinator has granted a worker."""
     RUNNING = "running"
     """The call is dispatched to a backend."""
     COMMITTING = "committing"
--- a/src/foxwinch/core/routing/load.py
+++ b/src/foxwinch/core/routing/load.py
@@ -58,7 +58,7 @@
         """Return the load of a worker; a new worker gets an empty one."""
         load = self._loads.get(incarnation)
         if load is None:
-            if len(self._loads) >= LOADS_MAXIMUM:
+            if len(self._loads) >= MAX_LOADS:
                 self._loads = {key: held for key, held in self._loads.items() if held.in_flight}
             load = self._loads[incarnation] = WorkerLoad()
         return load
@@ -96,4 +96,4 @@
         load = self.of(incarnation)
         wait = FAILURE_SECONDS * 2.0 ** min(load.failures, FAILURE_DOUBLINGS)
         load.failures += 1
-        load.avoid_until = max(load.avoid_until, now + min(wait, FAILURE_SECONDS_MAXIMUM))
+        load.avoid_until = max(load.avoid_until, now + min(wait, MAX_FAILURE_SECONDS))
--- a/src/foxwinch/records/budgets.py
+++ b/src/foxwinch/records/budgets.py
@@ -27,7 +27,7 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.records.partitions import partition_of
 from foxwinch.records.ports import Conflict, RowCondition, RowKey, RowWrite, Written
-from foxwinch.records.repeat import CALL_SECONDS
+from foxwinch.records.retry import CALL_SECONDS
 from foxwinch.records.store_state import ObservedStore
 from foxwinch.service_tasks import ServiceTasks
 
@@ -37,7 +37,7 @@
 TROUBLED_QUIET_SECONDS = 1.5
 """Additional idle time while the store is degraded."""
 WRITE_BACKOFF = Backoff(base_seconds=0.05, cap_seconds=0.4)
-SHORTEST_WAIT_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 PROBE_SECONDS = 0.4
 """Minimum interval between a node's background changes while the store is degraded."""
 OPEN_TURN_SECONDS = 0.05
@@ -64,7 +64,7 @@
 @dataclass(slots=True, eq=False)
 class _Waiting:
     reserve: Reserve
-    give_up_at: float
+    deadline_at: float
     since: float
     done: "asyncio.Future[Reserved | Exhausted | Refused]"
 
@@ -106,7 +106,7 @@
         return len(self._programs)
 
     async def reserve(
-        self, program_id: str, reserve: Reserve, give_up_at: float, end_at: float
+        self, program_id: str, reserve: Reserve, deadline_at: float, end_at: float
     ) -> Reserved | Exhausted | Refused:
         """Reserve tokens for a turn that ends by `end_at`; the turn may run only if `Reserved`.
 
@@ -127,11 +127,11 @@
         done: asyncio.Future[Reserved | Exhausted | Refused] = (
             asyncio.get_running_loop().create_future()
         )
-        waiting = _Waiting(reserve, give_up_at, now, done)
+        waiting = _Waiting(reserve, deadline_at, now, done)
         program.waiting.append(waiting)
         program.wake.set()
         try:
-            async with asyncio.timeout(max(0.0, give_up_at - now)):
+            async with asyncio.timeout(max(0.0, deadline_at - now)):
                 return await done
         except TimeoutError:
             return not_run(Reason.STORE_UNAVAILABLE, "the store did not answer in time")
@@ -156,7 +156,7 @@
             row = RowKey(BUDGETS_TABLE, partition_of(program_id), program_id)
             program = _Program(row, Account(self._node, self._sequences))
             self._programs[program_id] = program
-            self._tasks.keep(self._keep(program_id, program))
+            self._tasks.start(self._keep(program_id, program))
         program.touched_at = self._clock.monotonic()
         return program
 
@@ -221,7 +221,7 @@
             if program.waiting or program.low:
                 return True
             wait = self._quiet_at(program) - self._clock.monotonic()
-            if wait < SHORTEST_WAIT_SECONDS or program.hurried:
+            if wait < MIN_WAIT_SECONDS or program.hurried:
                 return False
             program.wake.clear()
             try:
@@ -309,7 +309,7 @@
     def _refuse_late(self, program: _Program, cause: Refused, wait_seconds: float) -> None:
         """Refuse the turns whose deadline is before the next attempt."""
         then = self._clock.monotonic() + wait_seconds
-        for entry in [entry for entry in program.waiting if entry.give_up_at <= then]:
+        for entry in [entry for entry in program.waiting if entry.deadline_at <= then]:
             refused = not_run(cause.reason, cause.detail, cause.retry_after_seconds)
             self._resolve(program, entry, refused)
 
--- a/src/foxwinch/records/families.py
+++ b/src/foxwinch/records/program_trees.py
@@ -17,8 +17,8 @@
 """Callback for records whose append took effect after it was abandoned."""
 
 
-class ServedElsewhere(NamedTuple):
-    """Another node serves the family."""
+class OwnedElsewhere(NamedTuple):
+    """Another node serves the program tree."""
 
     node: NodeId
     address: str
@@ -70,7 +70,7 @@
 class OpenedFamily(NamedTuple):
     """A family that this node now serves."""
 
-    journal: FamilyJournal
+    journal: TreeJournal
     records: Sequence[JournalRecord]
     """All records appended so far, oldest first."""
 
@@ -86,8 +86,8 @@
 
     @abstractmethod
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
-        """Read a family's journal without serving it."""
+        """Read a program tree's journal without serving it."""
 
     @abstractmethod
     async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
-        """Return the families of a partition, each with the node that serves it."""
+        """Return the program trees of a partition, each with the node that serves it."""
--- a/src/foxwinch/records/repeat.py
+++ b/src/foxwinch/records/retry.py
@@ -17,9 +17,9 @@
 Outcome = TypeVar("Outcome")
 
 
-async def repeat_until(
+async def retry_until(
     clock: Clock,
-    give_up_at: float,
+    deadline_at: float,
     call: Callable[[float], Awaitable[Outcome]],
 ) -> Outcome | Refused:
     """Return the first response of `call`, or its last refusal once `give_up_at` is reached.
@@ -40,6 +40,6 @@
         last = outcome
         wait = STORE_BACKOFF.wait_seconds(attempt, 0.5 + 0.5 * clock.uniform())
         attempt += 1
-        if clock.monotonic() + wait > give_up_at:
+        if clock.monotonic() + wait > deadline_at:
             return last
         await clock.sleep(wait)
--- a/src/foxwinch/records/store_probe.py
+++ b/src/foxwinch/records/store_probe.py
@@ -30,7 +30,7 @@
         """Probe the store whenever its last call failed; run until cancelled."""
         while True:
             await self._store.wait_until_lost()
-            for _ in range(PROBES_MAXIMUM):
+            for _ in range(MAX_PROBES):
                 await self._clock.sleep(PROBE_SECONDS * (0.5 + 0.5 * self._clock.uniform()))
                 if not self._store.lost_seconds():
                     break
--- a/src/foxwinch/records/family_journal.py
+++ b/src/foxwinch/records/tree_journal.py
@@ -1,4 +1,4 @@
-"""The journal of one family in the shared store.
+"""The journal of one program tree in the shared store.
 
 Each append is one transaction that writes the rows of a batch and the family's head, on condition
 of the head's version. When the response is lost, the same append is retried: only one of the
@@ -14,8 +14,10 @@
 from foxwinch.identifiers import ProgramId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
-from foxwinch.records.families import Applied, FamilyHead, FamilyJournal
-from foxwinch.records.family_rows import (
+from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowWrite, Written
+from foxwinch.records.program_trees import Applied, TreeHead, TreeJournal
+from foxwinch.records.retry import CALL_SECONDS
+from foxwinch.records.tree_rows import (
     after_batches,
     batch_writes,
     first_batch,
@@ -23,8 +25,6 @@
     head_row,
     head_write,
 )
-from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowWrite, Written
-from foxwinch.records.repeat import CALL_SECONDS
 
 APPEND_SECONDS = 2.0
 """Time for which an append is retried before its outcome is reported as unknown."""
@@ -45,7 +45,7 @@
         store: RecordStore,
         clock: Clock,
         root: ProgramId,
-        head: FamilyHead,
+        head: TreeHead,
         new_token: Callable[[], str],
     ) -> None:
         """Append after `head`; `new_token` returns a new unique token for each change."""
@@ -102,13 +102,13 @@
                 return refused
 
     async def _change(
-        self, wanted: FamilyHead, rows: list[RowWrite], records: tuple[JournalRecord, ...]
+        self, wanted: TreeHead, rows: list[RowWrite], records: tuple[JournalRecord, ...]
     ) -> Refused | None:
         """Write a head and rows; a refusal may be retried if the head has changed meanwhile."""
         if self._lost:
             return not_run(Reason.FENCED, TAKEN_OVER)
         writes = (head_write(self._root, wanted), *rows)
-        give_up_at = self._clock.monotonic() + APPEND_SECONDS
+        deadline_at = self._clock.monotonic() + APPEND_SECONDS
         may_have_run = False
         attempt = 0
         while True:
@@ -121,7 +121,7 @@
             may_have_run = may_have_run or answer.run_state is not RunState.NOT_RUN
             wait = APPEND_BACKOFF.wait_seconds(attempt, 0.5 + 0.5 * self._clock.uniform())
             attempt += 1
-            if self._clock.monotonic() + wait > give_up_at:
+            if self._clock.monotonic() + wait > deadline_at:
                 break
             await self._clock.sleep(wait)
         if may_have_run:
--- a/src/foxwinch/records/family_rows.py
+++ b/src/foxwinch/records/tree_rows.py
@@ -8,9 +8,9 @@
 from foxwinch._generated.families_pb2 import JournalBatch
 from foxwinch._generated.journal_pb2 import JournalRecord
 from foxwinch.identifiers import NodeId, ProgramId
-from foxwinch.records.families import FamilyHead
 from foxwinch.records.partitions import partition_of
 from foxwinch.records.ports import RowKey, RowWrite, StoredRow
+from foxwinch.records.program_trees import TreeHead
 from foxwinch.records.turns import PIECE_BYTES
 
 HEADS_TABLE = "families"
@@ -42,12 +42,12 @@
 def head_of(stored: StoredRow) -> FamilyHead | None:
     """Decode a head row; return None if it is malformed."""
     if stored.value is None:
-        return FamilyHead(0, 0, NodeId(""), "", "")
+        return TreeHead(0, 0, NodeId(""), "", "")
     try:
         message = FamilyHeadMessage.FromString(stored.value)
     except DecodeError:
         return None
-    return FamilyHead(
+    return TreeHead(
         stored.version,
         message.batches,
         NodeId(message.node),
@@ -75,7 +75,7 @@
     """Return the rows of a batch, or None if it exceeds the size of a transaction."""
     data = JournalBatch(records=records).SerializeToString()
     pieces = [data[at : at + PIECE_BYTES] for at in range(0, len(data), PIECE_BYTES)] or [b""]
-    if len(pieces) > PIECES_MAXIMUM:
+    if len(pieces) > MAX_PIECES:
         return None
     return [
         RowWrite(_piece_row(root, number, index, len(pieces)), piece)
@@ -84,7 +84,7 @@
 
 
 def records_of(
-    root: ProgramId, rows: Sequence[StoredRow], head: FamilyHead
+    root: ProgramId, rows: Sequence[StoredRow], head: TreeHead
 ) -> list[JournalRecord] | None:
     """Join the batches of a journal; return None if one is missing, as in a stale read."""
     numbers = range(head.first, head.batches)
--- a/src/foxwinch/records/family_store.py
+++ b/src/foxwinch/records/tree_store.py
@@ -13,9 +13,11 @@
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.log import EventLog
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
-from foxwinch.records.families import Families, FamilyHead, OpenedFamily, ServedElsewhere
-from foxwinch.records.family_journal import StoredJournal
-from foxwinch.records.family_rows import (
+from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowKey, Written
+from foxwinch.records.program_trees import OpenedTree, OwnedElsewhere, ProgramTreeStore, TreeHead
+from foxwinch.records.retry import CALL_SECONDS, retry_until
+from foxwinch.records.tree_journal import StoredJournal
+from foxwinch.records.tree_rows import (
     HEADS_TABLE,
     after_batches,
     first_batch,
@@ -24,8 +26,6 @@
     head_write,
     records_of,
 )
-from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowKey, Written
-from foxwinch.records.repeat import CALL_SECONDS, repeat_until
 
 OPEN_SECONDS = 3.0
 """Maximum time that a request waits for its family to be read."""
@@ -57,33 +57,33 @@
         A family that is served at this node's address is taken over as well, because the process
         that had the address before no longer runs.
         """
-        give_up_at = self._clock.monotonic() + OPEN_SECONDS
-        head = await self._head(root, give_up_at)
+        deadline_at = self._clock.monotonic() + OPEN_SECONDS
+        head = await self._head(root, deadline_at)
         if isinstance(head, Refused):
             return head
         if head.version and head.node != self._node:
             if head.node != over and head.address != self._address:
-                return ServedElsewhere(head.node, head.address)
-            taken = await self._take(root, head, give_up_at)
-            if not isinstance(taken, FamilyHead):
+                return OwnedElsewhere(head.node, head.address)
+            taken = await self._take(root, head, deadline_at)
+            if not isinstance(taken, TreeHead):
                 return taken
             head = taken
-        records = await self._records(root, head, give_up_at)
+        records = await self._records(root, head, deadline_at)
         if isinstance(records, Refused):
             return records
         journal = StoredJournal(self._store, self._clock, root, head, self._token)
-        return OpenedFamily(journal, records)
+        return OpenedTree(journal, records)
 
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
-        """Read a family's journal without serving it."""
-        give_up_at = self._clock.monotonic() + OPEN_SECONDS
-        head = await self._head(root, give_up_at)
+        """Read a program tree's journal without serving it."""
+        deadline_at = self._clock.monotonic() + OPEN_SECONDS
+        head = await self._head(root, deadline_at)
         if isinstance(head, Refused):
             return head
-        return await self._records(root, head, give_up_at)
+        return await self._records(root, head, deadline_at)
 
     async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
-        """Return the families of a partition, each with the node that serves it."""
+        """Return the program trees of a partition, each with the node that serves it."""
         first = RowKey(HEADS_TABLE, partition, "")
         read = await self._store.read(first, LAST_KEY, CALL_SECONDS)
         if isinstance(read, Refused):
@@ -98,11 +98,11 @@
         async def ask(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (), timeout_seconds)
 
-        answer = await repeat_until(self._clock, give_up_at, ask)
+        answer = await retry_until(self._clock, deadline_at, ask)
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         if isinstance(answer, Written):
-            return FamilyHead(0, 0, self._node, self._address, "")
+            return TreeHead(0, 0, self._node, self._address, "")
         return head_of(answer.rows[0]) or UNREADABLE
 
     async def _take(
@@ -117,7 +117,7 @@
                 (condition,), (head_write(root, wanted),), timeout_seconds
             )
 
-        answer = await repeat_until(self._clock, give_up_at, write)
+        answer = await retry_until(self._clock, deadline_at, write)
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         if isinstance(answer, Written):
@@ -128,10 +128,10 @@
             return UNREADABLE
         if found.token == wanted.token:
             return found
-        return ServedElsewhere(found.node, found.address) if found.version else RACED
+        return OwnedElsewhere(found.node, found.address) if found.version else RACED
 
     async def _records(
-        self, root: ProgramId, head: FamilyHead, give_up_at: float
+        self, root: ProgramId, head: TreeHead, deadline_at: float
     ) -> list[JournalRecord] | Refused:
         if head.first == head.batches:
             return []
@@ -143,7 +143,7 @@
             records = records_of(root, read.rows, head)
             return STALE if records is None else records
 
-        answer = await repeat_until(self._clock, give_up_at, ask)
+        answer = await retry_until(self._clock, deadline_at, ask)
         if isinstance(answer, Refused):
             return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
         return answer
--- a/src/foxwinch/records/watch.py
+++ b/src/foxwinch/records/watch.py
@@ -15,7 +15,7 @@
 from foxwinch.outcomes import Refused
 from foxwinch.records.ports import (
     ABSENT_VERSION,
-    CONDITIONS_MAXIMUM,
+    MAX_CONDITIONS,
     Conflict,
     HistoryLost,
     RecordStore,
@@ -198,7 +198,7 @@
             return
         self._asked_at = now
         keys = {**dict.fromkeys(self._keys, ABSENT_VERSION), **self._row_versions}
-        if not keys or len(keys) > CONDITIONS_MAXIMUM:
+        if not keys or len(keys) > MAX_CONDITIONS:
             keys = {NO_KEY: ABSENT_VERSION}
         conditions = tuple(
             RowCondition(RowKey(self._table, "", key), version) for key, version in keys.items()
--- a/src/foxwinch/serving/messages.py
+++ b/src/foxwinch/serving/messages.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallLost:
+class CallInterrupted:
     """The request may have run at the worker."""
 
     failure: CallFailure
@@ -96,7 +96,7 @@
 class WorkerAnswer(Protocol):
     """A worker's response after its head has been received."""
 
-    head: AnswerHead
+    head: ResponseHead
 
     async def read_whole(self) -> bytes | CallLost:
         """Read the complete body."""
--- a/src/foxwinch/serving/routing.py
+++ b/src/foxwinch/serving/routing.py
@@ -38,7 +38,7 @@
         decode_configuration: Callable[[StoredRow], RoutingConfiguration | None],
         decode_worker: Callable[[StoredRow], Worker | None],
         wait_seconds: float = WAIT_SECONDS,
-        lapse_seconds: float = LAPSE_SECONDS,
+        expiry_seconds: float = LAPSE_SECONDS,
     ) -> None:
         """Create the tables; the decoders return None for rows that are not usable.
 
@@ -49,7 +49,7 @@
         self._metrics = metrics
         self._decode_configuration = decode_configuration
         self._decode_worker = decode_worker
-        self._lapse_seconds = lapse_seconds
+        self._lapse_seconds = expiry_seconds
         self._configuration: RoutingConfiguration | None = None
         self._directory = WorkerDirectory()
         self.configuration_watch = TableWatch(
@@ -137,7 +137,7 @@
     def _last_resort(self) -> LastResort:
         """Return the last-resort deadlines for workers that the current update shows as leaving."""
         now = self._clock.monotonic()
-        since = self.workers_watch.news_since
+        since = self.workers_watch.changes_since
         if now - self._lapse_seconds < since:
             return last_resort_from(since)
         return last_resort_after_outage(since, now)
