--- a/src/foxwinch/core/program/admission.py
+++ b/src/foxwinch/core/program/admission.py
@@ -52,7 +52,7 @@
     )
 
 
-def depth_shortage(program: Program) -> Refused | None:
+def check_depth(program: Program) -> Refused | None:
     """Return a refusal if a child program would exceed the depth limit of an ancestor."""
     depth = program.created.depth + 1
     for ancestor in program.lineage():
--- a/src/foxwinch/core/program/identity.py
+++ b/src/foxwinch/core/program/identity.py
@@ -1,8 +1,8 @@
 """Format of program identifiers.
 
 A program is `<tenant>/<name>`, a child program `<tenant>/<name>~<suffix>`. The tenant prefix
-separates equal names of different tenants. A family is located by its root, so a child is always on
-the same node as the parent whose budget it spends.
+separates equal names of different tenants. A program tree is located by its root, so a child is
+always on the same node as the parent whose budget it spends.
 """
 
 import hashlib
@@ -14,7 +14,7 @@
 CHILD_SEPARATOR = "~"
 NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$")
 """Valid names for new programs."""
-GIVEN_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:~-]{0,511}$")
+EXISTING_NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:~-]{0,511}$")
 """Valid names in references to existing programs, including child programs."""
 NAME_RULE = "1 to 128 letters, digits, and . _ : - after a letter or digit"
 SINGLE_CALL_PREFIX = "once-"
@@ -32,7 +32,7 @@
 
 
 def root_of(program_id: ProgramId) -> ProgramId:
-    """Return the id of the family's root program, by which the family is located."""
+    """Return the id of the root program, by which the program tree is located."""
     return ProgramId(program_id.partition(CHILD_SEPARATOR)[0])
 
 
@@ -41,17 +41,17 @@
     return ProgramId(f"{parent}{CHILD_SEPARATOR}{suffix}")
 
 
-def keyed_name(idempotency_key: str) -> str:
+def single_call_name_for_key(idempotency_key: str) -> str:
     """Return the single-call program name for an idempotency key, so that a retry finds it."""
     return SINGLE_CALL_PREFIX + hashlib.sha256(idempotency_key.encode()).hexdigest()[:40]
 
 
-def named_by_key(idempotency_key: str) -> str:
+def program_name_for_key(idempotency_key: str) -> str:
     """Return the name of a program created with an idempotency key but without a name."""
     return "key-" + hashlib.sha256(idempotency_key.encode()).hexdigest()[:40]
 
 
-def unkeyed_name(identifier: str) -> str:
+def single_call_name(identifier: str) -> str:
     """Return the name of a single-call program that has no idempotency key."""
     return SINGLE_CALL_PREFIX + identifier
 
--- a/src/foxwinch/core/program/lifetime.py
+++ b/src/foxwinch/core/program/lifetime.py
@@ -8,7 +8,7 @@
 WALL_TIME = "wall_time"
 
 
-def cause_of_abandonment(program: Program, now_seconds: float) -> str | None:
+def abandonment_reason(program: Program, now_seconds: float) -> str | None:
     """Return why a live program counts as abandoned at `now_seconds` (wall time), or None."""
     if program.finished is not None:
         return None
--- a/src/foxwinch/core/program/requests.py
+++ b/src/foxwinch/core/program/requests.py
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attached:
+class AlreadyRunning:
     """The same request is already queued or running as the given call."""
 
     call_id: CallId
 
 
 @dataclass(frozen=True, slots=True)
-class Repeated:
+class AlreadyEnded:
     """The same request has already ended; the response is the outcome of the given call."""
 
     call: Call
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class Ignored:
     """The record was late, duplicated or invalid and had no effect."""
 
     cause: str
--- a/src/foxwinch/core/program/state.py
+++ b/src/foxwinch/core/program/state.py
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True)
 class Program:
-    """A program with its history, budget, calls and family relations."""
+    """A program with its history, budget, calls and position in the program tree."""
 
     created: ProgramCreated
     ledger: Ledger
--- a/src/foxwinch/core/program/table.py
+++ b/src/foxwinch/core/program/table.py
@@ -1,4 +1,4 @@
-"""The programs of one family: application of journal records and the call queues.
+"""The programs of one program tree: application of journal records and the call queues.
 
 Calls end and histories grow only through `apply`, both in normal operation and in recovery. State
 that is not in the journal is limited to the queued calls, the reservation of a call whose intent is
@@ -65,11 +65,11 @@
             return self._finish(record.program_finished)
         if kind == "program_snapshot":
             return self._restore(record.program_snapshot)
-        return Dropped("the record type is unknown")
+        return Ignored("the record type is unknown")
 
     def submit(
         self, program: Program, call_id: CallId, key: str, request_hash: bytes
-    ) -> Queued | Attached | Repeated | Refused:
+    ) -> Queued | AlreadyRunning | AlreadyEnded | Refused:
         """Append a call to its program's queue, or find the call with its idempotency key."""
         if key and key in program.keys:
             known = self._find_by_key(program, key, request_hash)
@@ -146,10 +146,10 @@
     def _create(self, created: ProgramCreated) -> Applied | Ignored:
         program_id = ProgramId(created.program_id)
         if program_id in self._programs:
-            return Dropped("the program already exists")
+            return Ignored("the program already exists")
         parent = self._programs.get(ProgramId(created.parent_program_id))
         if created.parent_program_id and parent is None:
-            return Dropped("the parent program is unknown")
+            return Ignored("the parent program is unknown")
         program = Program(created, Ledger(created.budget), parent)
         program.last_active_seconds = created.created_at_seconds
         self._programs[program_id] = program
@@ -160,11 +160,11 @@
     def _admit(self, admitted: CallAdmitted) -> Applied | Ignored:
         program = self._programs.get(ProgramId(admitted.program_id))
         if program is None:
-            return Dropped("the program is unknown")
+            return Ignored("the program is unknown")
         call_id = CallId(admitted.call_id)
         call = program.calls.get(call_id)
         if call is not None and (call.committed or call.outcome is not None):
-            return Dropped("the call was already admitted")
+            return Ignored("the call was already admitted")
         if call is None:
             call = admit(program, admitted)
         call.committed = True
@@ -178,9 +178,9 @@
         program = self._programs.get(ProgramId(outcome.program_id))
         call = program.calls.get(CallId(outcome.call_id)) if program is not None else None
         if program is None or call is None:
-            return Dropped("the call is unknown")
+            return Ignored("the call is unknown")
         if call.outcome is not None:
-            return Dropped("the call has already ended")
+            return Ignored("the call has already ended")
         spent = Amount.from_record(outcome.spent)
         settle(program.ledgers(), call.reserved, spent)
         call.outcome = outcome
@@ -196,7 +196,7 @@
     def _finish(self, finished: ProgramFinished) -> Applied | Ignored:
         program = self._programs.get(ProgramId(finished.program_id))
         if program is None or program.finished is not None:
-            return Dropped("the program is unknown or has already finished")
+            return Ignored("the program is unknown or has already finished")
         program.finished = finished
         return Applied()
 
--- a/src/foxwinch/core/routing/configuration.py
+++ b/src/foxwinch/core/routing/configuration.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerBounds:
+class RequestLimits:
     """Size limits and timeouts for callers."""
 
     header_bytes: int = 16_384
--- a/src/foxwinch/core/routing/directory.py
+++ b/src/foxwinch/core/routing/directory.py
@@ -29,7 +29,7 @@
     zone: str
     slots: int
     draining: bool = False
-    cold_seconds: float = 0.0
+    warmup_seconds: float = 0.0
     """Remaining warm-up time at the time of the listing."""
     started_ms: int | None = None
     """Unix time of its start if reported; a worker may restart under the same id."""
--- a/src/foxwinch/core/routing/load.py
+++ b/src/foxwinch/core/routing/load.py
@@ -12,9 +12,9 @@
 """Avoidance time after load shedding: about the duration of one short request."""
 FAILURE_SECONDS = 0.4
 """Avoidance time after the first failure; it doubles with each consecutive failure."""
-FAILURE_SECONDS_MAXIMUM = 3.2
+MAX_FAILURE_SECONDS = 3.2
 FAILURE_DOUBLINGS = 3
-LOADS_MAXIMUM = 8_192
+MAX_LOADS = 8_192
 """Maximum number of entries, above the worker count of the design size. When it is reached, workers
 without in-flight calls are evicted."""
 WAIT_GAIN = 0.3
--- a/src/foxwinch/records/ports.py
+++ b/src/foxwinch/records/ports.py
@@ -12,7 +12,7 @@
 
 ABSENT_VERSION = 0
 """Version of a row that does not exist."""
-CONDITIONS_MAXIMUM = 100
+MAX_CONDITIONS = 100
 """Maximum number of conditions in one transaction of the platform's store."""
 
 
--- a/src/foxwinch/records/program_trees.py
+++ b/src/foxwinch/records/program_trees.py
@@ -1,7 +1,7 @@
-"""Port to the journals of program families.
+"""Port to the journals of program trees.
 
-A family is a program with all its sub-agents, identified by its root program. One node at a time
-serves it. A node that cannot reach that one takes the family over, and the former node's next
+A program tree is a program with all its sub-agents, identified by its root program. One node at a
+time serves it. A node that cannot reach that node takes the tree over, and the former node's next
 append fails.
 """
 
@@ -25,8 +25,8 @@
     """`ip:port` of its peer endpoint."""
 
 
-class FamilyHead(NamedTuple):
-    """The stored head of a family."""
+class TreeHead(NamedTuple):
+    """The stored head of a program tree."""
 
     version: int
     """The row's version; 0 if there is no row."""
@@ -38,8 +38,8 @@
     """The first valid batch; earlier ones are deleted or about to be."""
 
 
-class FamilyJournal(ABC):
-    """The journal of one family, held by the node that serves it."""
+class TreeJournal(ABC):
+    """The journal of one program tree, held by the node that serves it."""
 
     @property
     @abstractmethod
@@ -47,42 +47,42 @@
         """Return the number of batches appended to the journal."""
 
     @abstractmethod
-    def on_applied(self, applied: Applied) -> None:
+    def on_late_append(self, applied: Applied) -> None:
         """Set the callback for records whose append took effect after it was abandoned."""
 
     @abstractmethod
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
         """Append records, all or none; return None once they are committed.
 
-        Reason `FENCED` means that another node has taken over the family. An append refused with
-        run state `unknown` may still take effect until another one is committed.
+        Reason `FENCED` means that another node has taken over the program tree. An append refused
+        with run state `unknown` may still take effect until another one is committed.
         """
 
     @abstractmethod
     async def confirm(self) -> Refused | None:
-        """Verify that no other node has taken over the family; return a refusal if it fails."""
+        """Verify that no other node has taken over the tree; return a refusal if that fails."""
 
     @abstractmethod
     async def remove(self) -> Refused | None:
-        """Remove the journal of a finished family."""
+        """Remove the journal of a finished program tree."""
 
 
-class OpenedFamily(NamedTuple):
-    """A family that this node now serves."""
+class OpenedTree(NamedTuple):
+    """A program tree that this node now serves."""
 
     journal: TreeJournal
     records: Sequence[JournalRecord]
     """All records appended so far, oldest first."""
 
 
-class Families(ABC):
-    """Access to the families of all programs."""
+class ProgramTreeStore(ABC):
+    """Access to all program trees."""
 
     @abstractmethod
     async def open(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> OpenedFamily | ServedElsewhere | Refused:
-        """Start serving a family that no other node serves, or take it over from node `over`."""
+    ) -> OpenedTree | OwnedElsewhere | Refused:
+        """Start serving a program tree, or take it over from node `over` if that one serves it."""
 
     @abstractmethod
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
--- a/src/foxwinch/records/retry.py
+++ b/src/foxwinch/records/retry.py
@@ -11,7 +11,7 @@
 CALL_SECONDS = 0.8
 """Timeout of one call. A slow store still responds within it; a call to an unresponsive store is
 retried on another connection."""
-SHORTEST_CALL_SECONDS = 0.03
+MIN_CALL_SECONDS = 0.03
 """Minimum remaining time for starting a call."""
 
 Outcome = TypeVar("Outcome")
@@ -22,15 +22,15 @@
     deadline_at: float,
     call: Callable[[float], Awaitable[Outcome]],
 ) -> Outcome | Refused:
-    """Return the first response of `call`, or its last refusal once `give_up_at` is reached.
+    """Return the first response of `call`, or its last refusal once `deadline_at` is reached.
 
     `call` takes its timeout in seconds and must be idempotent.
     """
     attempt = 0
     last: Refused | None = None
     while True:
-        left = give_up_at - clock.monotonic()
-        if left < SHORTEST_CALL_SECONDS:
+        left = deadline_at - clock.monotonic()
+        if left < MIN_CALL_SECONDS:
             return last or not_run(
                 Reason.DEADLINE, "the deadline passed before the store could be called"
             )
--- a/src/foxwinch/records/store_probe.py
+++ b/src/foxwinch/records/store_probe.py
@@ -11,7 +11,7 @@
 PROBE_SECONDS = 0.4
 """Maximum interval between probes and timeout of a probe: two probes fit into the time after which
 a node counts as isolated."""
-PROBES_MAXIMUM = 2
+MAX_PROBES = 2
 """Maximum number of probes; after them the retries of the watches detect when the store is back."""
 NO_KEY = "~"
 NO_KEY_END = "~\x01"
--- a/src/foxwinch/records/tree_journal.py
+++ b/src/foxwinch/records/tree_journal.py
@@ -1,8 +1,8 @@
 """The journal of one program tree in the shared store.
 
-Each append is one transaction that writes the rows of a batch and the family's head, on condition
-of the head's version. When the response is lost, the same append is retried: only one of the
-appends sent at a version can take effect, and the token in the head identifies it.
+Each append is one transaction that writes the rows of a batch and the tree's head, on condition of
+the head's version. When the response is lost, the same append is retried: only one of the appends
+sent at a version can take effect, and the token in the head identifies it.
 """
 
 import asyncio
@@ -37,8 +37,8 @@
 log = EventLog("families")
 
 
-class StoredJournal(FamilyJournal):
-    """The journal of one family in the shared store; appends are serialized."""
+class StoredJournal(TreeJournal):
+    """The journal of one program tree in the shared store; appends are serialized."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         """Return the number of batches appended to the journal."""
         return self._head.batches
 
-    def on_applied(self, applied: Applied) -> None:
+    def on_late_append(self, applied: Applied) -> None:
         """Set the callback for records whose append took effect after it was abandoned."""
         self._applied = applied
 
@@ -74,7 +74,7 @@
             return await self._append(tuple(records))
 
     async def confirm(self) -> Refused | None:
-        """Verify that no other node has taken over the family; return a refusal if it fails."""
+        """Verify that no other node has taken over the tree; return a refusal if that fails."""
         async with self._lock:
             return await self._confirm()
 
@@ -145,9 +145,7 @@
         refused = self._conflict(answer, head, may_have_run=False)
         return refused if self._lost or self._head is head else None
 
-    def _conflict(
-        self, conflict: Conflict, wanted: FamilyHead, may_have_run: bool
-    ) -> Refused | None:
+    def _conflict(self, conflict: Conflict, wanted: TreeHead, may_have_run: bool) -> Refused | None:
         """Resolve a conflict: this change, an earlier one or another node has written the head."""
         found = head_of(conflict.rows[0])
         if found is not None and found.version and found.token == wanted.token:
@@ -165,7 +163,7 @@
         run_state = RunState.UNKNOWN if may_have_run else RunState.NOT_RUN
         return Refused(Reason.FENCED, run_state, TAKEN_OVER)
 
-    def _settled(self, head: FamilyHead) -> None:
+    def _settled(self, head: TreeHead) -> None:
         """Adopt the stored head; appends that were sent before can no longer take effect."""
         self._head = head
         self._doubtful.clear()
--- a/src/foxwinch/records/tree_rows.py
+++ b/src/foxwinch/records/tree_rows.py
@@ -1,4 +1,4 @@
-"""Row format of a family in the shared store: one head row and the batches of its journal."""
+"""Row format of a program tree in the shared store: one head row and the batches of its journal."""
 
 from collections.abc import Sequence
 
@@ -15,31 +15,31 @@
 
 HEADS_TABLE = "families"
 JOURNALS_TABLE = "journals"
-PIECES_MAXIMUM = 12
+MAX_PIECES = 12
 """Maximum number of rows of a batch: about 720 kB in base64, below the store's limit of 1 MB per
 transaction."""
 SEPARATOR = "/"
 AFTER_SEPARATOR = "0"
-"""The character after the separator, which ends the key range of a family's batches."""
+"""The character after the separator, which ends the key range of a program tree's batches."""
 BATCH_DIGITS = 8
 
 
 def head_row(root: ProgramId) -> RowKey:
-    """Return the row key of a family's head."""
+    """Return the row key of a program tree's head."""
     return RowKey(HEADS_TABLE, partition_of(root), root)
 
 
 def first_batch(root: ProgramId) -> RowKey:
-    """Return the start of the key range of a family's batches."""
+    """Return the start of the key range of a program tree's batches."""
     return RowKey(JOURNALS_TABLE, partition_of(root), root + SEPARATOR)
 
 
 def after_batches(root: ProgramId) -> str:
-    """Return the end of the key range of a family's batches, exclusive."""
+    """Return the end of the key range of a program tree's batches, exclusive."""
     return root + AFTER_SEPARATOR
 
 
-def head_of(stored: StoredRow) -> FamilyHead | None:
+def head_of(stored: StoredRow) -> TreeHead | None:
     """Decode a head row; return None if it is malformed."""
     if stored.value is None:
         return TreeHead(0, 0, NodeId(""), "", "")
@@ -57,7 +57,7 @@
     )
 
 
-def head_write(root: ProgramId, head: FamilyHead) -> RowWrite:
+def head_write(root: ProgramId, head: TreeHead) -> RowWrite:
     """Return the write of a head row; the store assigns its version."""
     message = FamilyHeadMessage(
         batches=head.batches,
--- a/src/foxwinch/records/tree_store.py
+++ b/src/foxwinch/records/tree_store.py
@@ -1,8 +1,8 @@
-"""Program families in the shared store, with optimistic concurrency control.
+"""Program trees in the shared store, with optimistic concurrency control.
 
-The head row of a family names the node that serves it. Every append is conditional on the version
-of that row, so neither leases nor epochs are needed: the first node to change the row wins, and the
-other one's next append fails.
+The head row of a program tree names the node that serves it. Every append is conditional on the
+version of that row, so neither leases nor epochs are needed: the first node to change the row wins,
+and the other one's next append fails.
 """
 
 import itertools
@@ -28,7 +28,7 @@
 )
 
 OPEN_SECONDS = 3.0
-"""Maximum time that a request waits for its family to be read."""
+"""Maximum time that a request waits for its program tree to be read."""
 LAST_KEY = "\U0010ffff"
 UNREADABLE = Refused(
     Reason.INTERNAL, RunState.NOT_RUN, "the program family's head row cannot be decoded"
@@ -38,8 +38,8 @@
 log = EventLog("families")
 
 
-class StoredFamilies(Families):
-    """Program families in the shared store."""
+class RecordTreeStore(ProgramTreeStore):
+    """Program trees in the shared store."""
 
     def __init__(self, store: RecordStore, clock: Clock, node: NodeId, address: str) -> None:
         """Create the access for `node`, which other nodes reach at `address` (`ip:port`)."""
@@ -51,11 +51,11 @@
 
     async def open(
         self, root: ProgramId, over: NodeId | None = None
-    ) -> OpenedFamily | ServedElsewhere | Refused:
-        """Start serving a family; for a family without a row nothing is written.
+    ) -> OpenedTree | OwnedElsewhere | Refused:
+        """Start serving a program tree; nothing is written for a tree without a row.
 
-        A family that is served at this node's address is taken over as well, because the process
-        that had the address before no longer runs.
+        A tree that is served at this node's address is taken over as well, because the process that
+        had the address before no longer runs.
         """
         deadline_at = self._clock.monotonic() + OPEN_SECONDS
         head = await self._head(root, deadline_at)
@@ -91,7 +91,7 @@
         heads = ((ProgramId(row.row.key), head_of(row)) for row in read.rows)
         return [(root, head.node) for root, head in heads if head is not None and head.version]
 
-    async def _head(self, root: ProgramId, give_up_at: float) -> FamilyHead | Refused:
+    async def _head(self, root: ProgramId, deadline_at: float) -> TreeHead | Refused:
         """Read the head by a transaction; unlike a plain read it is never stale."""
         condition = RowCondition(head_row(root), 0)
 
@@ -106,8 +106,8 @@
         return head_of(answer.rows[0]) or UNREADABLE
 
     async def _take(
-        self, root: ProgramId, head: FamilyHead, give_up_at: float
-    ) -> FamilyHead | ServedElsewhere | Refused:
+        self, root: ProgramId, head: TreeHead, deadline_at: float
+    ) -> TreeHead | OwnedElsewhere | Refused:
         """Write this node into the head; after a lost response the token shows who wrote it."""
         wanted = head._replace(node=self._node, address=self._address, token=self._token())
         condition = RowCondition(head_row(root), head.version)
--- a/src/foxwinch/records/turns.py
+++ b/src/foxwinch/records/turns.py
@@ -59,7 +59,7 @@
         self, request_id: str, deadline_at: float
     ) -> tuple[Turn, ...] | NoSuchTurn | Refused:
         """Return a turn and all turns before it, oldest first."""
-        last = await self._turn(request_id, give_up_at)
+        last = await self._turn(request_id, deadline_at)
         if not isinstance(last, Turn):
             return last
         earlier = await asyncio.gather(
@@ -72,7 +72,7 @@
             chain.append(turn)
         return (*chain, last)
 
-    async def write(self, turn: Turn, give_up_at: float) -> Refused | None:
+    async def write(self, turn: Turn, deadline_at: float) -> Refused | None:
         """Store a turn and return None once it is committed; writing it again has no effect."""
         data = turn.encode()
         pieces = [data[start : start + PIECE_BYTES] for start in range(0, len(data), PIECE_BYTES)]
@@ -125,7 +125,7 @@
             return turn
         return await self._confirm_missing(request_id, deadline_at)
 
-    async def _confirm_missing(self, request_id: str, give_up_at: float) -> NoSuchTurn | Refused:
+    async def _confirm_missing(self, request_id: str, deadline_at: float) -> NoSuchTurn | Refused:
         """Check by a transaction that the turn is missing; unlike a read it is never stale."""
         condition = RowCondition(_row(request_id, 0), 0)
 
--- a/src/foxwinch/records/watch.py
+++ b/src/foxwinch/records/watch.py
@@ -34,7 +34,7 @@
 RECOVERY_SECONDS = 1.0
 """Recovery time after a lost call: two backoff waits, an attempt whose connect times out after half
 a second, and a response."""
-SHORTEST_WAIT_SECONDS = 0.5
+MIN_WAIT_SECONDS = 0.5
 READ_SECONDS = 1.0
 RETRY_BACKOFF = Backoff(base_seconds=0.1, cap_seconds=0.6)
 ASK_SECONDS = 1.0
@@ -46,9 +46,9 @@
 log = EventLog("watch")
 
 
-def wait_that_recovers_within(seconds: float) -> float:
+def watch_wait_seconds(seconds: float) -> float:
     """Return the longest hold time with which a lost call is recovered within `seconds`."""
-    return max(SHORTEST_WAIT_SECONDS, seconds - ANSWER_SECONDS - RECOVERY_SECONDS)
+    return max(MIN_WAIT_SECONDS, seconds - ANSWER_SECONDS - RECOVERY_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,7 +111,7 @@
         return self._clock.monotonic() - self._confirmed_at
 
     @property
-    def news_since(self) -> float:
+    def changes_since(self) -> float:
         """Return the earliest time of the changes being applied, on the node's monotonic clock.
 
         Without a failed call since the last response, the changes are new. Otherwise they may be as
--- a/src/foxwinch/serving/attempts.py
+++ b/src/foxwinch/serving/attempts.py
@@ -26,11 +26,11 @@
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.ports import RoutingView, Workers
 
-OFFERS_MAXIMUM = 4
+MAX_OFFERS = 4
 """Maximum number of workers that one request is sent to while each refuses to run it."""
 NO_WORKER_RETRY_SECONDS = 0.25
 SHED_RETRY_SECONDS = 0.3
-SHORTEST_CALL_SECONDS = 0.02
+MIN_CALL_SECONDS = 0.02
 """Minimum remaining time for a call; no worker can complete one in less."""
 PATIENCE_TARGETS = 4.0
 """Timeout for the start of a response, in multiples of the route's target time. It applies if the
--- a/src/foxwinch/serving/messages.py
+++ b/src/foxwinch/serving/messages.py
@@ -7,18 +7,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProgramTerms:
+class ProgramParameters:
     """What a request states about its program."""
 
     program_id: str
-    line_id: str
+    conversation_id: str
     """Id of a conversation within the program; each sub-agent has its own."""
     finish_seconds: float | None
     """Time from the request's arrival to the program's deadline."""
 
 
 @dataclass(frozen=True, slots=True)
-class ModelTerms:
+class ModelParameters:
     """What a model call states about its size."""
 
     prompt_tokens: int
@@ -45,8 +45,8 @@
     """On the node's monotonic clock."""
     deadline_seconds: float | None
     """The caller's timeout, counted from `received_at`, if it states one."""
-    program: ProgramTerms | None = None
-    model: ModelTerms | None = None
+    program: ProgramParameters | None = None
+    model: ModelParameters | None = None
     budget_tokens: int | None = None
     previous_turn: str | None = None
     last_event_id: int | None = None
@@ -62,7 +62,7 @@
     """A different worker responded at the address."""
     SILENT = "silent"
     """The response timed out and another worker is tried; the request may have run."""
-    BROKEN_OFF = "broken_off"
+    CONNECTION_LOST = "broken_off"
     MALFORMED = "malformed"
 
 
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers of a worker's response, as forwarded to the caller."""
 
     status: int
@@ -93,17 +93,17 @@
     """Whether the response carries the worker's signature."""
 
 
-class WorkerAnswer(Protocol):
+class WorkerResponse(Protocol):
     """A worker's response after its head has been received."""
 
     head: ResponseHead
 
-    async def read_whole(self) -> bytes | CallLost:
+    async def read_whole(self) -> bytes | CallInterrupted:
         """Read the complete body."""
         ...
 
-    def pieces(self) -> AsyncIterator[bytes | CallLost]:
-        """Yield the body as it arrives; a truncated body ends with a `CallLost`."""
+    def pieces(self) -> AsyncIterator[bytes | CallInterrupted]:
+        """Yield the body as it arrives; a truncated body ends with a `CallInterrupted`."""
         ...
 
     def close(self) -> None:
@@ -156,11 +156,11 @@
         """Send an error of foxwinch itself."""
         ...
 
-    async def answer(self, head: AnswerHead, body: bytes) -> None:
+    async def answer(self, head: ResponseHead, body: bytes) -> None:
         """Send a worker's complete response."""
         ...
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def begin(self, head: ResponseHead) -> None:
         """Start a stream with the head of a worker's response."""
         ...
 
--- a/src/foxwinch/serving/node.py
+++ b/src/foxwinch/serving/node.py
@@ -74,8 +74,8 @@
 
     def start(self) -> None:
         """Start the watches of the configuration and the workers."""
-        self._tasks.keep(self.routing.configuration_watch.run())
-        self._tasks.keep(self.routing.workers_watch.run())
+        self._tasks.start(self.routing.configuration_watch.run())
+        self._tasks.start(self.routing.workers_watch.run())
         table = self.routing.configuration_watch.table
         self._tasks.start(StoreProbe(self._store, self._clock, table).run())
 
--- a/src/foxwinch/serving/ports.py
+++ b/src/foxwinch/serving/ports.py
@@ -12,7 +12,7 @@
 
     async def call(
         self, worker: Worker, call: OutgoingCall
-    ) -> WorkerAnswer | CallRefused | CallLost:
+    ) -> WorkerResponse | CallRefused | CallInterrupted:
         """Send a call and return the response once its head has been received."""
         ...
 
--- a/src/foxwinch/serving/routing.py
+++ b/src/foxwinch/serving/routing.py
@@ -43,7 +43,7 @@
         """Create the tables; the decoders return None for rows that are not usable.
 
         The store holds each watch call open for `wait_seconds` and drops entries that were not
-        renewed for `lapse_seconds`.
+        renewed for `expiry_seconds`.
         """
         self._clock = clock
         self._metrics = metrics
--- a/tests/test_program_trees.py
+++ b/tests/test_program_trees.py
@@ -1,4 +1,4 @@
-"""Tests of program families in the shared store: one serving node each, despite lost responses."""
+"""Tests of program trees in the shared store: one serving node each, despite lost responses."""
 
 import asyncio
 import random
