--- a/src/foxwinch/core/routing/affinity.py
+++ b/src/foxwinch/core/routing/affinity.py
@@ -23,15 +23,15 @@
 
 def preferred_worker(program: str, zone: str, workers: list[Worker]) -> Worker:
     """Return the preferred worker of a program for nodes in `zone`; `workers` must not be empty."""
-    return max(workers, key=lambda worker: _score(program, zone, worker))
+    return max(workers, key=lambda worker: _rendezvous_score(program, zone, worker))
 
 
-def _score(program: str, zone: str, worker: Worker) -> float:
+def _rendezvous_score(program: str, zone: str, worker: Worker) -> float:
     weight = OWN_ZONE_WEIGHT if worker.zone == zone else 1.0
-    return -weight / math.log(_fraction(f"{program}\0{worker.worker_id}"))
+    return -weight / math.log(_unit_hash(f"{program}\0{worker.worker_id}"))
 
 
-def _fraction(key: str) -> float:
+def _unit_hash(key: str) -> float:
     """Return a number between 0 and 1, both excluded, that depends on `key` alone."""
     digest = xxhash.xxh3_64_intdigest(key.encode()) >> (DIGEST_BITS - FRACTION_BITS)
     return (digest + 0.5) / (1 << FRACTION_BITS)
--- a/src/foxwinch/core/routing/configuration.py
+++ b/src/foxwinch/core/routing/configuration.py
@@ -38,7 +38,7 @@
     kind: RouteKind
     timeout_seconds: float
     """Maximum total time of a request."""
-    target_seconds: float
+    latency_target_seconds: float
     """Latency target of a response, or of the first event of a stream."""
     attempts: int
     """Maximum number of workers that one request may run on."""
@@ -89,7 +89,7 @@
     version: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
-    bounds: RequestLimits = RequestLimits()
+    request_limits: RequestLimits = RequestLimits()
     _by_host: dict[str, tuple[Route, ...]] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
--- a/src/foxwinch/core/routing/directory.py
+++ b/src/foxwinch/core/routing/directory.py
@@ -12,7 +12,7 @@
 LAST_RESORT_SECONDS = 1.0
 """Period in which a leaving worker may still get work when its service has no other. It is well
 below the two seconds after which a leaving worker must get no work."""
-RETURN_SECONDS = 2.0
+RESTORE_SECONDS = 2.0
 """Time after an outage of the store within which live workers restore their expired entries."""
 NEVER = float("-inf")
 """Last-resort deadline of a worker whose entry is rejected."""
@@ -42,25 +42,25 @@
         return f"{self.worker_id}/{self.started_ms}"
 
 
-class LastResort(NamedTuple):
+class LastResortDeadlines(NamedTuple):
     """Deadlines until which leaving workers may get work when there is no other worker."""
 
     draining_until: float
-    gone_until: float
+    removed_until: float
 
 
-def last_resort_from(since: float) -> LastResort:
+def last_resort_deadlines(since: float) -> LastResortDeadlines:
     """Return the deadlines for workers that may have started to leave at `since`."""
-    until = since + LAST_RESORT_SECONDS
-    return LastResort(until, until)
+    deadline = since + LAST_RESORT_SECONDS
+    return LastResortDeadlines(deadline, deadline)
 
 
-def last_resort_after_outage(since: float, now: float) -> LastResort:
+def last_resort_deadlines_after_outage(since: float, now: float) -> LastResortDeadlines:
     """Return the deadlines after a store outage from `since` to `now` in which entries expired."""
-    return LastResort(since + LAST_RESORT_SECONDS, now + RETURN_SECONDS)
+    return LastResortDeadlines(since + LAST_RESORT_SECONDS, now + RESTORE_SECONDS)
 
 
-class _Known(NamedTuple):
+class _Entry(NamedTuple):
     worker: Worker
     version: int
     """Version of the entry or of its removal."""
@@ -75,8 +75,8 @@
 
     def __init__(self) -> None:
         """Start with an empty directory."""
-        self._known: dict[str, _Known] = {}
-        self._at: dict[str, set[str]] = {}
+        self._entries: dict[str, _Entry] = {}
+        self._ids_by_address: dict[str, set[str]] = {}
         """Worker ids by address."""
         self._services: frozenset[str] | None = None
         self._version = 0
@@ -86,18 +86,18 @@
         """Return the highest list version applied so far."""
         return self._version
 
-    def name_services(self, services: Iterable[str]) -> None:
+    def set_services(self, services: Iterable[str]) -> None:
         """Set the configured services; entries of other services claim no address."""
         self._services = frozenset(services)
 
     def replace_all(
-        self, workers: Iterable[tuple[Worker, int]], version: int, last_resort: LastResort
+        self, workers: Iterable[tuple[Worker, int]], version: int, last_resort: LastResortDeadlines
     ) -> bool:
         """Replace the directory by a full list as of `version`; return False if it is stale."""
         if version < self._version:
             return False
         listed = {worker.worker_id: (worker, row_version) for worker, row_version in workers}
-        for worker_id in list(self._known):
+        for worker_id in list(self._entries):
             if worker_id not in listed:
                 self.remove(worker_id, version, last_resort)
         for worker, row_version in listed.values():
@@ -105,94 +105,96 @@
         self._version = max(self._version, version)
         return True
 
-    def put(self, worker: Worker, version: int, last_resort: LastResort) -> None:
+    def put(self, worker: Worker, version: int, last_resort: LastResortDeadlines) -> None:
         """Add or update one entry."""
         self._version = max(self._version, version)
-        known = self._known.get(worker.worker_id)
-        if known is not None and known.version > version:
+        entry = self._entries.get(worker.worker_id)
+        if entry is not None and entry.version > version:
             return
-        until = None
+        deadline = None
         if worker.draining:
-            same_life = known is not None and known.worker.incarnation == worker.incarnation
-            until = _earlier(last_resort.draining_until, known if same_life else None)
-        self._forget(worker.worker_id)
-        self._known[worker.worker_id] = _Known(worker, version, until)
-        self._at.setdefault(worker.address, set()).add(worker.worker_id)
-
-    def remove(self, worker_id: str, version: int, last_resort: LastResort) -> None:
+            same_incarnation = entry is not None and entry.worker.incarnation == worker.incarnation
+            deadline = _earlier_deadline(
+                last_resort.draining_until, entry if same_incarnation else None
+            )
+        self._drop(worker.worker_id)
+        self._entries[worker.worker_id] = _Entry(worker, version, deadline)
+        self._ids_by_address.setdefault(worker.address, set()).add(worker.worker_id)
+
+    def remove(self, worker_id: str, version: int, last_resort: LastResortDeadlines) -> None:
         """Record the removal of an entry."""
-        self._leave(worker_id, version, last_resort.gone_until)
+        self._mark_leaving(worker_id, version, last_resort.removed_until)
 
-    def refuse(self, worker_id: str, version: int) -> None:
+    def reject_entry(self, worker_id: str, version: int) -> None:
         """Reject an entry that describes no valid worker; its former worker gets no more work."""
-        self._leave(worker_id, version, NEVER)
+        self._mark_leaving(worker_id, version, NEVER)
 
-    def serving(self, service: str, now: float) -> list[Worker]:
+    def eligible_workers(self, service: str, now: float) -> list[Worker]:
         """Return the workers eligible for new work; leaving ones only if there is no other."""
-        sound, leaving = [], []
-        for known in self._known.values():
-            if known.worker.service != service or self._displaced(known):
+        healthy, leaving = [], []
+        for entry in self._entries.values():
+            if entry.worker.service != service or self._is_displaced(entry):
                 continue
-            if known.last_resort_until is None:
-                sound.append(known.worker)
-            elif now < known.last_resort_until:
-                leaving.append(known.worker)
-        return sound or leaving
+            if entry.last_resort_until is None:
+                healthy.append(entry.worker)
+            elif now < entry.last_resort_until:
+                leaving.append(entry.worker)
+        return healthy or leaving
 
     def all_workers(self) -> list[Worker]:
         """Return all workers that are not leaving."""
-        return [known.worker for known in self._known.values() if known.last_resort_until is None]
+        return [entry.worker for entry in self._entries.values() if entry.last_resort_until is None]
 
-    def forget_gone(self, now: float, after_seconds: float) -> list[str]:
+    def evict_removed(self, now: float, after_seconds: float) -> list[str]:
         """Drop workers removed more than `after_seconds` ago and return their ids.
 
         A draining worker is kept while it is listed. If it were dropped and read again, it would
         count as one that has just started to leave.
         """
-        gone = [
+        removed = [
             worker_id
-            for worker_id, known in self._known.items()
-            if not known.listed
-            and known.last_resort_until is not None
-            and now - known.last_resort_until > after_seconds
+            for worker_id, entry in self._entries.items()
+            if not entry.listed
+            and entry.last_resort_until is not None
+            and now - entry.last_resort_until > after_seconds
         ]
-        for worker_id in gone:
-            self._forget(worker_id)
-        return gone
+        for worker_id in removed:
+            self._drop(worker_id)
+        return removed
 
-    def _leave(self, worker_id: str, version: int, until: float) -> None:
+    def _mark_leaving(self, worker_id: str, version: int, deadline: float) -> None:
         self._version = max(self._version, version)
-        known = self._known.get(worker_id)
-        if known is None or known.version > version:
+        entry = self._entries.get(worker_id)
+        if entry is None or entry.version > version:
             return
-        until = _earlier(until, known)
-        self._known[worker_id] = _Known(known.worker, version, until, listed=False)
+        deadline = _earlier_deadline(deadline, entry)
+        self._entries[worker_id] = _Entry(entry.worker, version, deadline, listed=False)
 
-    def _displaced(self, known: _Known) -> bool:
+    def _is_displaced(self, entry: _Entry) -> bool:
         """Return whether a newer entry of a configured service has the same address."""
-        others = self._at[known.worker.address]
-        if len(others) == 1:
+        worker_ids = self._ids_by_address[entry.worker.address]
+        if len(worker_ids) == 1:
             return False
-        claims = (self._known[worker_id] for worker_id in others)
+        other_entries = (self._entries[worker_id] for worker_id in worker_ids)
         return any(
-            claim.listed
-            and claim.version > known.version
-            and (self._services is None or claim.worker.service in self._services)
-            for claim in claims
+            other.listed
+            and other.version > entry.version
+            and (self._services is None or other.worker.service in self._services)
+            for other in other_entries
         )
 
-    def _forget(self, worker_id: str) -> None:
-        known = self._known.pop(worker_id, None)
-        if known is None:
+    def _drop(self, worker_id: str) -> None:
+        entry = self._entries.pop(worker_id, None)
+        if entry is None:
             return
-        others = self._at[known.worker.address]
-        others.discard(worker_id)
-        if not others:
-            del self._at[known.worker.address]
+        worker_ids = self._ids_by_address[entry.worker.address]
+        worker_ids.discard(worker_id)
+        if not worker_ids:
+            del self._ids_by_address[entry.worker.address]
 
 
-def _earlier(until: float, known: _Known | None) -> float:
+def _earlier_deadline(deadline: float, entry: _Entry | None) -> float:
     """Return the earlier deadline; one that is already set is never extended."""
-    if known is None or known.last_resort_until is None:
-        return until
-    return min(until, known.last_resort_until)
+    if entry is None or entry.last_resort_until is None:
+        return deadline
+    return min(deadline, entry.last_resort_until)
--- a/src/foxwinch/core/routing/load.py
+++ b/src/foxwinch/core/routing/load.py
@@ -8,16 +8,16 @@
 import math
 from dataclasses import dataclass
 
-SHED_SECONDS = 0.05
+SHED_AVOIDANCE_SECONDS = 0.05
 """Avoidance time after load shedding: about the duration of one short request."""
-FAILURE_SECONDS = 0.4
+FAILURE_AVOIDANCE_SECONDS = 0.4
 """Avoidance time after the first failure; it doubles with each consecutive failure."""
-MAX_FAILURE_SECONDS = 3.2
+MAX_FAILURE_AVOIDANCE_SECONDS = 3.2
 FAILURE_DOUBLINGS = 3
 MAX_LOADS = 8_192
 """Maximum number of entries, above the worker count of the design size. When it is reached, workers
 without in-flight calls are evicted."""
-WAIT_GAIN = 0.3
+WAIT_SMOOTHING_FACTOR = 0.3
 """Smoothing factor: the weight of the newest observation in the smoothed wait."""
 WAIT_HALF_LIFE_SECONDS = 1.0
 """About the duration of two turns, so that a slow worker is soon tried again."""
@@ -34,15 +34,15 @@
     avoid_until: float = 0.0
     """On the node's monotonic clock."""
     wait_seconds: float = 0.0
-    """Smoothed time to the start of a response, as of `wait_at`."""
-    wait_at: float = 0.0
+    """Smoothed time to the start of a response, as of `wait_updated_at`."""
+    wait_updated_at: float = 0.0
 
     def expected_wait_seconds(self, now: float) -> float:
         """Return the expected time to the start of a response; it decays without observations."""
-        half_lives = (now - self.wait_at) / WAIT_HALF_LIFE_SECONDS
+        half_lives = (now - self.wait_updated_at) / WAIT_HALF_LIFE_SECONDS
         return self.wait_seconds * math.exp2(-half_lives)
 
-    def avoided(self, now: float) -> bool:
+    def is_avoided(self, now: float) -> bool:
         """Return whether the worker should be avoided at `now`."""
         return now < self.avoid_until
 
@@ -54,46 +54,46 @@
         """Start without any load."""
         self._loads: dict[str, WorkerLoad] = {}
 
-    def of(self, incarnation: str) -> WorkerLoad:
+    def get_load(self, incarnation: str) -> WorkerLoad:
         """Return the load of a worker; a new worker gets an empty one."""
         load = self._loads.get(incarnation)
         if load is None:
             if len(self._loads) >= MAX_LOADS:
-                self._loads = {key: held for key, held in self._loads.items() if held.in_flight}
+                self._loads = {key: entry for key, entry in self._loads.items() if entry.in_flight}
             load = self._loads[incarnation] = WorkerLoad()
         return load
 
-    def began(self, incarnation: str) -> None:
+    def call_started(self, incarnation: str) -> None:
         """Count a call as in flight."""
-        self.of(incarnation).in_flight += 1
+        self.get_load(incarnation).in_flight += 1
 
-    def ended(self, incarnation: str) -> None:
+    def call_ended(self, incarnation: str) -> None:
         """Stop counting a call as in flight, whatever its result."""
-        self.of(incarnation).in_flight -= 1
+        self.get_load(incarnation).in_flight -= 1
 
-    def began_to_answer(self, incarnation: str, seconds: float, now: float) -> None:
+    def record_response_start(self, incarnation: str, seconds: float, now: float) -> None:
         """Record the time that a worker took to start a response.
 
         It reflects the load from other nodes, whose calls are not visible to this one.
         """
-        load = self.of(incarnation)
+        load = self.get_load(incarnation)
         expected = load.expected_wait_seconds(now)
-        load.wait_seconds = expected + WAIT_GAIN * (seconds - expected)
-        load.wait_at = now
+        load.wait_seconds = expected + WAIT_SMOOTHING_FACTOR * (seconds - expected)
+        load.wait_updated_at = now
 
-    def answered(self, incarnation: str) -> None:
+    def record_response(self, incarnation: str) -> None:
         """Record a valid response."""
-        load = self.of(incarnation)
+        load = self.get_load(incarnation)
         load.failures = 0
 
-    def shed(self, incarnation: str, now: float) -> None:
+    def record_shed(self, incarnation: str, now: float) -> None:
         """Record that a worker shed a call because it was full."""
-        load = self.of(incarnation)
-        load.avoid_until = max(load.avoid_until, now + SHED_SECONDS)
+        load = self.get_load(incarnation)
+        load.avoid_until = max(load.avoid_until, now + SHED_AVOIDANCE_SECONDS)
 
-    def failed(self, incarnation: str, now: float) -> None:
+    def record_failure(self, incarnation: str, now: float) -> None:
         """Record that a worker was unreachable, aborted its response or sent an invalid one."""
-        load = self.of(incarnation)
-        wait = FAILURE_SECONDS * 2.0 ** min(load.failures, FAILURE_DOUBLINGS)
+        load = self.get_load(incarnation)
+        wait = FAILURE_AVOIDANCE_SECONDS * 2.0 ** min(load.failures, FAILURE_DOUBLINGS)
         load.failures += 1
-        load.avoid_until = max(load.avoid_until, now + min(wait, MAX_FAILURE_SECONDS))
+        load.avoid_until = max(load.avoid_until, now + min(wait, MAX_FAILURE_AVOIDANCE_SECONDS))
--- a/src/foxwinch/core/routing/shares.py
+++ b/src/foxwinch/core/routing/round_robin.py
@@ -7,14 +7,14 @@
 from foxwinch.core.routing.configuration import Route
 
 
-class ServiceShares:
+class WeightedRoundRobin:
     """Round-robin balances by route and service."""
 
     def __init__(self) -> None:
         """Start with all balances at zero."""
         self._balances: dict[tuple[str, str], float] = {}
 
-    def order(self, route: Route) -> list[str]:
+    def services_by_turn(self, route: Route) -> list[str]:
         """Return the route's services by descending balance and charge the first one."""
         if len(route.backends) == 1:
             return [route.backends[0].service]
--- a/src/foxwinch/core/routing/selection.py
+++ b/src/foxwinch/core/routing/selection.py
@@ -9,9 +9,9 @@
 
 OTHER_ZONE_COST = 0.04
 """Latency and traffic cost of a cross-zone call, as a fraction of the worker's slots."""
-LAST_WORKER_GAIN = 0.25
+LAST_WORKER_DISCOUNT = 0.25
 """Benefit of the cache at the worker of the last turn, as a fraction of the worker's slots."""
-PREFERRED_GAIN = 0.2
+PREFERRED_WORKER_DISCOUNT = 0.2
 """Benefit of the program's cached history at its preferred worker, as a fraction of the worker's
 slots."""
 WAIT_COST_PER_SECOND = 2.0
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class SelectionCriteria:
     """Criteria of one request for the choice of its worker."""
 
     zone: str
@@ -46,39 +46,43 @@
     """Ids of the workers that this request has already been sent to."""
 
 
-def choose(
-    workers: list[Worker], loads: LoadTable, wish: Wish, now: float, random_number: float
+def choose_worker(
+    workers: list[Worker],
+    loads: LoadTable,
+    criteria: SelectionCriteria,
+    now: float,
+    random_number: float,
 ) -> Choice | None:
     """Return the worker with the lowest cost, or None if there is no candidate.
 
     `random_number`, at least 0 and below 1, breaks ties so that nodes don't all make the same
     choice.
     """
-    candidates = [worker for worker in workers if worker.worker_id not in wish.excluded]
+    candidates = [worker for worker in workers if worker.worker_id not in criteria.excluded]
     if not candidates:
         return None
     start = int(random_number * len(candidates))
-    turned = candidates[start:] + candidates[:start]
-    costs = {worker.worker_id: cost_of(worker, loads, wish, now) for worker in turned}
-    if wish.program is not None:
-        preferred = preferred_worker(wish.program, wish.zone, turned)
-        costs[preferred.worker_id] -= PREFERRED_GAIN
-    best = min(turned, key=lambda worker: costs[worker.worker_id])
-    in_flight = loads.of(best.incarnation).in_flight
+    rotated = candidates[start:] + candidates[:start]
+    costs = {worker.worker_id: worker_cost(worker, loads, criteria, now) for worker in rotated}
+    if criteria.program is not None:
+        preferred = preferred_worker(criteria.program, criteria.zone, rotated)
+        costs[preferred.worker_id] -= PREFERRED_WORKER_DISCOUNT
+    best = min(rotated, key=lambda worker: costs[worker.worker_id])
+    in_flight = loads.get_load(best.incarnation).in_flight
     return Choice(best, costs[best.worker_id], len(candidates), in_flight)
 
 
-def cost_of(worker: Worker, loads: LoadTable, wish: Wish, now: float) -> float:
+def worker_cost(worker: Worker, loads: LoadTable, criteria: SelectionCriteria, now: float) -> float:
     """Return the cost of a worker, as a fraction of its slots."""
-    load = loads.of(worker.incarnation)
+    load = loads.get_load(worker.incarnation)
     cost = load.in_flight / max(1, worker.slots)
-    if worker.zone != wish.zone:
+    if worker.zone != criteria.zone:
         cost += OTHER_ZONE_COST
-    if worker.incarnation == wish.last_worker:
-        cost -= LAST_WORKER_GAIN
+    if worker.incarnation == criteria.last_worker:
+        cost -= LAST_WORKER_DISCOUNT
     if worker.warmup_seconds > 0:
         cost += COLD_COST
     cost += WAIT_COST_PER_SECOND * max(0.0, load.expected_wait_seconds(now) - IDLE_WAIT_SECONDS)
-    if load.avoided(now):
+    if load.is_avoided(now):
         cost += AVOIDED_COST
     return cost
--- a/src/foxwinch/core/routing/urgency.py
+++ b/src/foxwinch/core/routing/urgency.py
@@ -8,12 +8,12 @@
 
 MOST_URGENT = 0
 LEAST_URGENT = 9
-FIRST_RANK_URGENCY = 2
+HIGHEST_PRIORITY_URGENCY = 2
 """Urgency of priority 0; the values above it are reserved for calls that must not wait."""
-STEP = 3
+PRIORITY_STEP = 3
 """Distance between consecutive priorities; it leaves room for the deadline state of a program."""
-LATE_STEP = 1
-"""Penalty of a late program within its priority; it must be below `STEP`."""
+LATE_PENALTY = 1
+"""Penalty of a late program within its priority; it must be below `PRIORITY_STEP`."""
 
 
 def urgency_of(priority: int, late: bool = False) -> int:
@@ -21,5 +21,5 @@
 
     `late` means that the call's program can no longer meet its deadline.
     """
-    urgency = FIRST_RANK_URGENCY + STEP * priority + (LATE_STEP if late else 0)
+    urgency = HIGHEST_PRIORITY_URGENCY + PRIORITY_STEP * priority + (LATE_PENALTY if late else 0)
     return min(LEAST_URGENT, max(MOST_URGENT, urgency))
--- a/src/foxwinch/platform/front_door.py
+++ b/src/foxwinch/platform/front_door.py
@@ -70,9 +70,9 @@
         return web.Response(status=200 if self._node.ready else 503)
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
-        caller = HttpCaller(request, lambda: self._node.stopping or self._node.cut_off)
+        caller = HttpCaller(request, lambda: self._node.stopping or self._node.is_isolated)
         configuration = self._node.routing.configuration
-        body_bytes = configuration.bounds.body_bytes if configuration else None
+        body_bytes = configuration.request_limits.body_bytes if configuration else None
         if body_bytes is not None and (request.content_length or 0) > body_bytes:
             await caller.reject(RejectedRequest(Rejection.TOO_LARGE, "body_too_large"))
             return caller.response
@@ -181,7 +181,7 @@
             response.headers[REQUEST_ID] = request_id
         await self._send(response)
 
-    async def answer(self, head: ResponseHead, body: bytes) -> None:
+    async def respond(self, head: ResponseHead, body: bytes) -> None:
         """Give a worker's whole answer."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall("Content-Type", None)
@@ -203,7 +203,7 @@
         """End a stream that is complete."""
         await self.response.write_eof()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Close the connection inside the body."""
         transport = self._request.transport
         if transport is not None:
--- a/src/foxwinch/platform/translation.py
+++ b/src/foxwinch/platform/translation.py
@@ -91,7 +91,7 @@
         version=document.version,
         routes=tuple(_route(entry) for entry in routes),
         services={service.name: service for service in services},
-        bounds=_bounds(limits[0] if limits else LimitsDocument()),
+        request_limits=_request_limits(limits[0] if limits else LimitsDocument()),
     )
 
 
@@ -112,13 +112,13 @@
     return checked
 
 
-def _bounds(limits: LimitsDocument) -> RequestLimits:
-    bounds = RequestLimits()
+def _request_limits(limits: LimitsDocument) -> RequestLimits:
+    defaults = RequestLimits()
     return RequestLimits(
-        header_bytes=limits.header_bytes or bounds.header_bytes,
-        body_bytes=limits.body_bytes or bounds.body_bytes,
-        header_seconds=(limits.header_ms or 1e3 * bounds.header_seconds) / 1e3,
-        idle_seconds=(limits.idle_ms or 1e3 * bounds.idle_seconds) / 1e3,
+        header_bytes=limits.header_bytes or defaults.header_bytes,
+        body_bytes=limits.body_bytes or defaults.body_bytes,
+        header_seconds=(limits.header_ms or 1e3 * defaults.header_seconds) / 1e3,
+        idle_seconds=(limits.idle_ms or 1e3 * defaults.idle_seconds) / 1e3,
     )
 
 
@@ -129,7 +129,7 @@
         path_prefix=entry.path_prefix,
         kind=entry.kind,
         timeout_seconds=(entry.timeout_ms or TIMEOUT_DEFAULT_MS) / 1e3,
-        target_seconds=(entry.target_ms or TARGET_DEFAULT_MS) / 1e3,
+        latency_target_seconds=(entry.target_ms or TARGET_DEFAULT_MS) / 1e3,
         attempts=entry.workers_maximum or ATTEMPTS_DEFAULT,
         priority=entry.priority or 0,
         backends=_backends(entry),
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -107,7 +107,7 @@
             return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
         return self._reset() or body
 
-    async def pieces(self) -> AsyncIterator[bytes | CallInterrupted]:
+    async def chunks(self) -> AsyncIterator[bytes | CallInterrupted]:
         """Yield the body as it comes."""
         try:
             async for piece in self._response.content.iter_any():
--- a/src/foxwinch/serving/attempts.py
+++ b/src/foxwinch/serving/attempts.py
@@ -9,8 +9,8 @@
 from foxwinch.core.routing.configuration import Route
 from foxwinch.core.routing.directory import Worker
 from foxwinch.core.routing.load import LoadTable
-from foxwinch.core.routing.selection import Wish, choose
-from foxwinch.core.routing.shares import ServiceShares
+from foxwinch.core.routing.round_robin import WeightedRoundRobin
+from foxwinch.core.routing.selection import SelectionCriteria, choose_worker
 from foxwinch.core.routing.urgency import urgency_of
 from foxwinch.log import EventLog, age_ms
 from foxwinch.serving.messages import (
@@ -26,16 +26,16 @@
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.ports import RoutingView, Workers
 
-MAX_OFFERS = 4
+MAX_DISPATCHES = 4
 """Maximum number of workers that one request is sent to while each refuses to run it."""
-NO_WORKER_RETRY_SECONDS = 0.25
-SHED_RETRY_SECONDS = 0.3
+NO_WORKER_RETRY_AFTER_SECONDS = 0.25
+SHED_RETRY_AFTER_SECONDS = 0.3
 MIN_CALL_SECONDS = 0.02
 """Minimum remaining time for a call; no worker can complete one in less."""
-PATIENCE_TARGETS = 4.0
+RESPONSE_TIMEOUT_TARGETS = 4.0
 """Timeout for the start of a response, in multiples of the route's target time. It applies if the
 request may run at another worker."""
-PATIENCE_SECONDS = 0.3
+MIN_RESPONSE_TIMEOUT_SECONDS = 0.3
 """Minimum of that timeout; an overloaded worker sheds the call within it."""
 log = EventLog("attempts")
 
@@ -49,21 +49,21 @@
     services: list[str]
     """The services that may serve the request, preferred one first."""
     body: bytes
-    end_at: float
+    deadline_at: float
     """Deadline on the monotonic clock: the earlier one of the caller's and the route's."""
-    offered: set[str] = field(default_factory=set)
+    tried_workers: set[str] = field(default_factory=set)
     """Ids of the workers that the request was sent to."""
-    ran_on: set[str] = field(default_factory=set)
+    possibly_ran_on: set[str] = field(default_factory=set)
     """Ids of the workers that may have run the request."""
     last_event_id: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class AcceptedCall:
     """A worker that has started to respond."""
 
     worker: Worker
-    answer: WorkerResponse
+    response: WorkerResponse
 
 
 class Dispatcher:
@@ -84,69 +84,73 @@
         self._zone = zone
         self._metrics = metrics
         self.loads = LoadTable()
-        self._shares = ServiceShares()
+        self._round_robin = WeightedRoundRobin()
 
-    def services_of(self, route: Route) -> list[str]:
+    def ordered_services(self, route: Route) -> list[str]:
         """Return the services of a route, the next one in its weighted rotation first."""
-        return self._shares.order(route)
+        return self._round_robin.services_by_turn(route)
 
-    async def offer(self, attempts: Attempts, last_worker: str | None) -> Taken | RejectedRequest:
+    async def dispatch(
+        self, attempts: Attempts, last_worker: str | None
+    ) -> AcceptedCall | RejectedRequest:
         """Send a request to workers until one responds; the calling code enforces the deadline."""
-        offers = 0
-        shed: CallRefused | None = None
+        dispatches = 0
+        last_refusal: CallRefused | None = None
         while True:
-            left = attempts.end_at - self._clock.monotonic()
-            if left < MIN_CALL_SECONDS:
-                return _out_of_time(attempts)
-            worker = self._choose(attempts, last_worker)
-            if worker is None or offers >= MAX_OFFERS:
-                return _not_served(attempts, shed)
-            offers += 1
-            attempts.offered.add(worker.worker_id)
-            outcome = await self._call(worker, attempts, left)
+            remaining_seconds = attempts.deadline_at - self._clock.monotonic()
+            if remaining_seconds < MIN_CALL_SECONDS:
+                return _deadline_exceeded(attempts)
+            worker = self._choose_worker(attempts, last_worker)
+            if worker is None or dispatches >= MAX_DISPATCHES:
+                return _not_dispatched(attempts, last_refusal)
+            dispatches += 1
+            attempts.tried_workers.add(worker.worker_id)
+            outcome = await self._call(worker, attempts, remaining_seconds)
             if isinstance(outcome, CallRefused):
-                shed = outcome
+                last_refusal = outcome
             elif isinstance(outcome, CallInterrupted):
-                attempts.ran_on.add(worker.worker_id)
-                if not self.may_run_again(attempts):
+                attempts.possibly_ran_on.add(worker.worker_id)
+                if not self.may_retry(attempts):
                     return RejectedRequest(Rejection.FAILED, outcome.failure.value)
             else:
-                attempts.ran_on.add(worker.worker_id)
-                return Taken(worker, outcome)
+                attempts.possibly_ran_on.add(worker.worker_id)
+                return AcceptedCall(worker, outcome)
 
-    def may_run_again(self, attempts: Attempts) -> bool:
+    def may_retry(self, attempts: Attempts) -> bool:
         """Return whether a request that may have run may be sent to another worker."""
         route = attempts.route
-        return route.repeatable and len(attempts.ran_on) < max(1, route.attempts)
+        return route.repeatable and len(attempts.possibly_ran_on) < max(1, route.attempts)
 
     @contextmanager
-    def counted(self, worker: Worker) -> Iterator[None]:
+    def count_in_flight(self, worker: Worker) -> Iterator[None]:
         """Count a call as in flight at a worker within the context."""
-        self.loads.began(worker.incarnation)
+        self.loads.call_started(worker.incarnation)
         try:
             yield
         finally:
-            self.loads.ended(worker.incarnation)
+            self.loads.call_ended(worker.incarnation)
 
-    def failed(self, worker: Worker, failure: CallFailure, request_id: str) -> None:
+    def record_failure(self, worker: Worker, failure: CallFailure, request_id: str) -> None:
         """Record that a worker aborted its response or sent an invalid one."""
-        self.loads.failed(worker.incarnation, self._clock.monotonic())
+        self.loads.record_failure(worker.incarnation, self._clock.monotonic())
         self._metrics.worker_failures.labels(failure.value).inc()
         log.info(
             "worker_failed", request=request_id, worker=worker.worker_id, failure=failure.value
         )
 
-    def answered(self, worker: Worker) -> None:
+    def record_response(self, worker: Worker) -> None:
         """Record a valid response."""
-        self.loads.answered(worker.incarnation)
+        self.loads.record_response(worker.incarnation)
 
-    def _choose(self, attempts: Attempts, last_worker: str | None) -> Worker | None:
+    def _choose_worker(self, attempts: Attempts, last_worker: str | None) -> Worker | None:
         now = self._clock.monotonic()
         directory = self._routing.directory
-        wish = Wish(self._zone, last_worker, _caching_program(attempts.request), attempts.offered)
+        criteria = SelectionCriteria(
+            self._zone, last_worker, _caching_program(attempts.request), attempts.tried_workers
+        )
         for service in attempts.services:
-            workers = directory.serving(service, now)
-            choice = choose(workers, self.loads, wish, now, self._clock.uniform())
+            workers = directory.eligible_workers(service, now)
+            choice = choose_worker(workers, self.loads, criteria, now, self._clock.uniform())
             if choice is not None:
                 log.info(
                     "worker_chosen",
@@ -158,48 +162,58 @@
                     own_calls=choice.in_flight,
                     list_version=directory.version,
                     list_age_ms=age_ms(self._routing.workers_age_seconds()),
-                    left_ms=int(1e3 * (attempts.end_at - now)),
+                    left_ms=int(1e3 * (attempts.deadline_at - now)),
                 )
                 return choice.worker
         return None
 
     async def _call(
-        self, worker: Worker, attempts: Attempts, left: float
+        self, worker: Worker, attempts: Attempts, remaining_seconds: float
     ) -> WorkerResponse | CallRefused | CallInterrupted:
         call = OutgoingCall(
             attempts.request,
             attempts.body,
-            left,
+            remaining_seconds,
             attempts.last_event_id,
             urgency_of(attempts.route.priority, self._is_late(attempts.request)),
         )
-        began = self._clock.monotonic()
-        with self.counted(worker):
-            outcome = await self._answer_of(worker, call, self._patience(attempts, left))
+        started_at = self._clock.monotonic()
+        with self.count_in_flight(worker):
+            outcome = await self._await_response(
+                worker, call, self._response_timeout_seconds(attempts, remaining_seconds)
+            )
         now = self._clock.monotonic()
         if isinstance(outcome, CallRefused):
-            self._note_refused(worker, outcome, attempts.request.request_id)
+            self._record_refusal(worker, outcome, attempts.request.request_id)
         elif isinstance(outcome, CallInterrupted):
-            self.failed(worker, outcome.failure, attempts.request.request_id)
+            self.record_failure(worker, outcome.failure, attempts.request.request_id)
         else:
-            self.loads.began_to_answer(worker.incarnation, now - began, now)
+            self.loads.record_response_start(worker.incarnation, now - started_at, now)
         return outcome
 
-    async def _answer_of(
-        self, worker: Worker, call: OutgoingCall, patience_seconds: float
+    async def _await_response(
+        self, worker: Worker, call: OutgoingCall, timeout_seconds: float
     ) -> WorkerResponse | CallRefused | CallInterrupted:
         try:
-            async with asyncio.timeout(patience_seconds):
+            async with asyncio.timeout(timeout_seconds):
                 return await self._workers.call(worker, call)
         except TimeoutError:
-            return CallInterrupted(CallFailure.SILENT, f"no answer in {patience_seconds:.2f} s")
+            return CallInterrupted(
+                CallFailure.SILENT, f"no response within {timeout_seconds:.2f} s"
+            )
 
-    def _patience(self, attempts: Attempts, left: float) -> float:
+    def _response_timeout_seconds(self, attempts: Attempts, remaining_seconds: float) -> float:
         """Return the timeout for the start of a worker's response, in seconds."""
-        others = len(attempts.ran_on) + 1 < max(1, attempts.route.attempts)
-        if not attempts.route.repeatable or not others:
-            return left
-        return min(left, max(PATIENCE_SECONDS, PATIENCE_TARGETS * attempts.route.target_seconds))
+        may_retry_elsewhere = len(attempts.possibly_ran_on) + 1 < max(1, attempts.route.attempts)
+        if not attempts.route.repeatable or not may_retry_elsewhere:
+            return remaining_seconds
+        return min(
+            remaining_seconds,
+            max(
+                MIN_RESPONSE_TIMEOUT_SECONDS,
+                RESPONSE_TIMEOUT_TARGETS * attempts.route.latency_target_seconds,
+            ),
+        )
 
     def _is_late(self, request: ServiceRequest) -> bool:
         """Return whether the request's program has passed its deadline."""
@@ -208,12 +222,12 @@
             return False
         return self._clock.monotonic() - request.received_at >= program.finish_seconds
 
-    def _note_refused(self, worker: Worker, refused: CallRefused, request_id: str) -> None:
+    def _record_refusal(self, worker: Worker, refused: CallRefused, request_id: str) -> None:
         now = self._clock.monotonic()
         if refused.failure is CallFailure.SHED:
-            self.loads.shed(worker.incarnation, now)
+            self.loads.record_shed(worker.incarnation, now)
         else:
-            self.loads.failed(worker.incarnation, now)
+            self.loads.record_failure(worker.incarnation, now)
         self._metrics.worker_failures.labels(refused.failure.value).inc()
         log.info(
             "worker_refused",
@@ -231,16 +245,16 @@
     return request.program.program_id
 
 
-def _out_of_time(attempts: Attempts) -> RejectedRequest:
-    if attempts.ran_on:
+def _deadline_exceeded(attempts: Attempts) -> RejectedRequest:
+    if attempts.possibly_ran_on:
         return RejectedRequest(Rejection.LATE, "time_over")
     return RejectedRequest(Rejection.NOT_RUN, "time_over")
 
 
-def _not_served(attempts: Attempts, shed: CallRefused | None) -> RejectedRequest:
-    if attempts.ran_on:
+def _not_dispatched(attempts: Attempts, last_refusal: CallRefused | None) -> RejectedRequest:
+    if attempts.possibly_ran_on:
         return RejectedRequest(Rejection.FAILED, "no_worker_left")
-    if shed is None:
-        return RejectedRequest(Rejection.NOT_RUN, "no_worker", NO_WORKER_RETRY_SECONDS)
-    retry_after = shed.retry_after_seconds or SHED_RETRY_SECONDS
+    if last_refusal is None:
+        return RejectedRequest(Rejection.NOT_RUN, "no_worker", NO_WORKER_RETRY_AFTER_SECONDS)
+    retry_after = last_refusal.retry_after_seconds or SHED_RETRY_AFTER_SECONDS
     return RejectedRequest(Rejection.NOT_RUN, "workers_full", retry_after)
--- a/src/foxwinch/serving/handler.py
+++ b/src/foxwinch/serving/handler.py
@@ -19,16 +19,16 @@
 from foxwinch.serving.prompt import Prompt, load_prompt
 from foxwinch.serving.stream import StreamServer, StreamSummary
 
-STORE_SECONDS = 0.9
+STORE_TIMEOUT_SECONDS = 0.9
 """Maximum time that a turn waits for the store before it is rejected with a retry time."""
-STORE_PART = 0.35
+STORE_TIME_FRACTION = 0.35
 """Fraction of a turn's remaining time that may be spent on the store, so that the caller of a
 rejected turn has time to try another node."""
-STORE_RETRY_SECONDS = 1.0
+STORE_RETRY_AFTER_SECONDS = 1.0
 """Retry time after a store timeout; such a store is usually down for seconds."""
 UNKNOWN_ROUTE_AGE_SECONDS = 3.0
 """Age from which an unconfirmed configuration may lack a new route."""
-CONFIGURATION_RETRY_SECONDS = 0.3
+CONFIGURATION_RETRY_AFTER_SECONDS = 0.3
 log = EventLog("requests")
 
 
@@ -40,7 +40,7 @@
     """A stable identifier for logs and metrics."""
 
 
-class _Basis(NamedTuple):
+class _RoutingBasis(NamedTuple):
     """The routing state that a request was routed by."""
 
     configuration: int | None
@@ -73,28 +73,28 @@
     async def handle(self, request: ServiceRequest, caller: Caller) -> None:
         """Handle one request until it is answered or rejected."""
         configuration = self._routing.configuration
-        basis = _Basis(
+        basis = _RoutingBasis(
             configuration.version if configuration is not None else None,
             age_ms(self._routing.configuration_age_seconds()),
         )
         route = configuration.match(request.host, request.path) if configuration else None
         if configuration is None or route is None:
-            rejected = self._no_route(configuration)
+            rejected = self._reject_unrouted(configuration)
             await caller.reject(rejected)
-            self._ended(request, None, rejected.reason, basis)
+            self._record_end(request, None, rejected.reason, basis)
             return
-        end_at = request.received_at + route.timeout_seconds
+        deadline_at = request.received_at + route.timeout_seconds
         if request.deadline_seconds is not None:
-            end_at = min(end_at, request.received_at + request.deadline_seconds)
-        services = self._dispatcher.services_of(route)
-        attempts = Attempts(request, route, services, request.body, end_at)
+            deadline_at = min(deadline_at, request.received_at + request.deadline_seconds)
+        services = self._dispatcher.ordered_services(route)
+        attempts = Attempts(request, route, services, request.body, deadline_at)
         self._metrics.running.inc()
         outcome = "caller_left"
         try:
             outcome = await self._serve(attempts, configuration, caller)
         finally:
             self._metrics.running.dec()
-            self._ended(request, route, outcome, basis)
+            self._record_end(request, route, outcome, basis)
 
     async def _serve(
         self, attempts: Attempts, configuration: RoutingConfiguration, caller: Caller
@@ -109,38 +109,42 @@
         try:
             return await self._streams.serve(attempts, prepared, caller, summary)
         finally:
-            self._settle(attempts.request, summary)
+            self._settle_budget(attempts.request, summary)
 
     async def _prepare(self, attempts: Attempts) -> Prompt | RejectedRequest:
         """Reserve the budget and read the history concurrently."""
         now = self._clock.monotonic()
-        deadline_at = now + min(STORE_SECONDS, STORE_PART * (attempts.end_at - now))
-        reserving = asyncio.ensure_future(self._reserve(attempts, deadline_at))
+        store_deadline_at = now + min(
+            STORE_TIMEOUT_SECONDS, STORE_TIME_FRACTION * (attempts.deadline_at - now)
+        )
+        reservation = asyncio.ensure_future(self._reserve(attempts, store_deadline_at))
         try:
-            prompt = await load_prompt(self._turns, attempts, deadline_at)
-            reserved = await reserving
+            prompt = await load_prompt(self._turns, attempts, store_deadline_at)
+            reserved = await reservation
         except asyncio.CancelledError:
-            await self._undo(attempts.request, reserving)
+            await self._release_reservation(attempts.request, reservation)
             raise
         if isinstance(reserved, RejectedRequest):
             return reserved
         if isinstance(prompt, Prompt):
             return prompt
-        self._settle(attempts.request, None)
+        self._settle_budget(attempts.request, None)
         if isinstance(prompt, NoSuchTurn):
             return RejectedRequest(Rejection.NO_SUCH_TURN, "no_such_turn")
-        self._note_refused("history_refused", attempts.request, prompt)
-        return _store_refused(prompt)
+        self._log_refusal("history_refused", attempts.request, prompt)
+        return _reject_store_refusal(prompt)
 
-    async def _undo(
-        self, request: ServiceRequest, reserving: "asyncio.Future[RejectedRequest | None]"
+    async def _release_reservation(
+        self, request: ServiceRequest, reservation: "asyncio.Future[RejectedRequest | None]"
     ) -> None:
         """Release the reservation of a cancelled request."""
-        if reserving.done() and not reserving.cancelled() and reserving.result() is None:
-            self._settle(request, None)
-        reserving.cancel()
+        if reservation.done() and not reservation.cancelled() and reservation.result() is None:
+            self._settle_budget(request, None)
+        reservation.cancel()
 
-    async def _reserve(self, attempts: Attempts, deadline_at: float) -> RejectedRequest | None:
+    async def _reserve(
+        self, attempts: Attempts, store_deadline_at: float
+    ) -> RejectedRequest | None:
         request = attempts.request
         if request.program is None or request.budget_tokens is None or request.model is None:
             return None
@@ -148,7 +152,7 @@
             request.request_id, request.model.output_tokens_maximum, request.budget_tokens
         )
         outcome = await self._budgets.reserve(
-            request.program.program_id, operation, deadline_at, attempts.end_at
+            request.program.program_id, operation, store_deadline_at, attempts.deadline_at
         )
         match outcome:
             case Reserved():
@@ -174,10 +178,10 @@
                 )
                 return RejectedRequest(Rejection.BUDGET_SPENT, "budget_spent")
             case Refused():
-                self._note_refused("budget_refused", request, outcome)
-                return _store_refused(outcome)
+                self._log_refusal("budget_refused", request, outcome)
+                return _reject_store_refusal(outcome)
 
-    def _note_refused(self, event: str, request: ServiceRequest, refused: Refused) -> None:
+    def _log_refusal(self, event: str, request: ServiceRequest, refused: Refused) -> None:
         log.info(
             event,
             request=request.request_id,
@@ -186,7 +190,7 @@
             waited_ms=int(1e3 * (self._clock.monotonic() - request.received_at)),
         )
 
-    def _settle(self, request: ServiceRequest, summary: StreamSummary | None) -> None:
+    def _settle_budget(self, request: ServiceRequest, summary: StreamSummary | None) -> None:
         if request.program is None or request.budget_tokens is None or request.model is None:
             return
         used = summary.tokens if summary is not None else 0
@@ -200,36 +204,36 @@
         ]
         return max(known, default=1)
 
-    def _no_route(self, configuration: RoutingConfiguration | None) -> RejectedRequest:
+    def _reject_unrouted(self, configuration: RoutingConfiguration | None) -> RejectedRequest:
         if configuration is None:
             return RejectedRequest(
-                Rejection.NOT_RUN, "no_configuration", CONFIGURATION_RETRY_SECONDS
+                Rejection.NOT_RUN, "no_configuration", CONFIGURATION_RETRY_AFTER_SECONDS
             )
         if self._routing.configuration_age_seconds() > UNKNOWN_ROUTE_AGE_SECONDS:
             return RejectedRequest(
-                Rejection.NOT_RUN, "configuration_unconfirmed", CONFIGURATION_RETRY_SECONDS
+                Rejection.NOT_RUN, "configuration_unconfirmed", CONFIGURATION_RETRY_AFTER_SECONDS
             )
         return RejectedRequest(Rejection.NO_ROUTE, "no_route")
 
-    def _ended(
-        self, request: ServiceRequest, route: Route | None, outcome: str, basis: _Basis
+    def _record_end(
+        self, request: ServiceRequest, route: Route | None, outcome: str, basis: _RoutingBasis
     ) -> None:
-        took = self._clock.monotonic() - request.received_at
+        elapsed_seconds = self._clock.monotonic() - request.received_at
         kind = route.kind.value if route is not None else "none"
         self._metrics.requests.labels(kind, outcome).inc()
-        self._metrics.whole_seconds.labels(kind).observe(took)
+        self._metrics.whole_seconds.labels(kind).observe(elapsed_seconds)
         log.info(
             "request_ended",
             request=request.request_id,
             program=request.program.program_id if request.program else None,
             route=route.name if route else None,
             outcome=outcome,
-            took_ms=int(1e3 * took),
+            took_ms=int(1e3 * elapsed_seconds),
             configuration=basis.configuration,
             configuration_age_ms=basis.configuration_age_ms,
         )
 
 
-def _store_refused(refused: Refused) -> RejectedRequest:
-    retry_after = refused.retry_after_seconds or STORE_RETRY_SECONDS
+def _reject_store_refusal(refused: Refused) -> RejectedRequest:
+    retry_after = refused.retry_after_seconds or STORE_RETRY_AFTER_SECONDS
     return RejectedRequest(Rejection.NOT_RUN, f"store_{refused.reason.value}", retry_after)
--- a/src/foxwinch/serving/messages.py
+++ b/src/foxwinch/serving/messages.py
@@ -102,7 +102,7 @@
         """Read the complete body."""
         ...
 
-    def pieces(self) -> AsyncIterator[bytes | CallInterrupted]:
+    def chunks(self) -> AsyncIterator[bytes | CallInterrupted]:
         """Yield the body as it arrives; a truncated body ends with a `CallInterrupted`."""
         ...
 
@@ -156,7 +156,7 @@
         """Send an error of foxwinch itself."""
         ...
 
-    async def answer(self, head: ResponseHead, body: bytes) -> None:
+    async def respond(self, head: ResponseHead, body: bytes) -> None:
         """Send a worker's complete response."""
         ...
 
@@ -172,6 +172,6 @@
         """End a complete stream."""
         ...
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Abort a stream in a way that the caller detects as incomplete."""
         ...
--- a/src/foxwinch/serving/node.py
+++ b/src/foxwinch/serving/node.py
@@ -16,12 +16,12 @@
 from foxwinch.serving.ports import Workers
 from foxwinch.serving.routing import RoutingTables
 
-TAKEN_OUT_SECONDS = 3.2
+READINESS_PROPAGATION_SECONDS = 3.2
 """Time from the start of a shutdown until load balancers have seen that the node is not ready and
 send no more requests."""
-CUT_OFF_SECONDS = 1.0
+ISOLATION_SECONDS = 1.0
 """Time without any response of the store after which requests should go to other nodes."""
-STOPPING_RETRY_SECONDS = 0.05
+STOPPING_RETRY_AFTER_SECONDS = 0.05
 """Retry time for requests to a closed node; it is short because another node can serve them."""
 POLL_SECONDS = 0.05
 log = EventLog("node")
@@ -62,15 +62,15 @@
     @property
     def ready(self) -> bool:
         """Whether the node should receive new requests."""
-        return not self.stopping and not self.cut_off and self.routing.complete
+        return not self.stopping and not self.is_isolated and self.routing.is_complete
 
     @property
-    def cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether the store has been unreachable for so long that other nodes may serve better.
 
         When the store is down for all nodes, all are isolated and requests go to all of them.
         """
-        return self._store.lost_seconds() > CUT_OFF_SECONDS
+        return self._store.lost_seconds() > ISOLATION_SECONDS
 
     def start(self) -> None:
         """Start the watches of the configuration and the workers."""
@@ -82,7 +82,7 @@
     async def handle(self, request: ServiceRequest, caller: Caller) -> None:
         """Serve one request."""
         if self._closed:
-            rejected = RejectedRequest(Rejection.NOT_RUN, "stopping", STOPPING_RETRY_SECONDS)
+            rejected = RejectedRequest(Rejection.NOT_RUN, "stopping", STOPPING_RETRY_AFTER_SECONDS)
             await caller.reject(rejected)
             log.info("request_refused", request=request.request_id, reason=rejected.reason)
             return
@@ -99,22 +99,22 @@
         requests. Requests that arrive before are served.
         """
         self.stopping = True
-        began = self._clock.monotonic()
-        end_at = began + self._grace_seconds
+        started_at = self._clock.monotonic()
+        deadline_at = started_at + self._grace_seconds
         log.info("stopping", running=self._running)
-        await self._clock.sleep(min(TAKEN_OUT_SECONDS, self._grace_seconds / 2))
+        await self._clock.sleep(min(READINESS_PROPAGATION_SECONDS, self._grace_seconds / 2))
         await close()
         self._closed = True
-        while self._clock.monotonic() < end_at and self._running:
+        while self._clock.monotonic() < deadline_at and self._running:
             await self._clock.sleep(POLL_SECONDS)
         self.budgets.give_back_all()
-        while self.budgets.programs and self._clock.monotonic() < end_at:
+        while self.budgets.programs and self._clock.monotonic() < deadline_at:
             await self._clock.sleep(POLL_SECONDS)
         log.info(
             "stopped",
             running=self._running,
             programs_owing=self.budgets.programs,
-            took_ms=int(1e3 * (self._clock.monotonic() - began)),
+            took_ms=int(1e3 * (self._clock.monotonic() - started_at)),
         )
 
     async def close(self) -> None:
--- a/src/foxwinch/serving/plain.py
+++ b/src/foxwinch/serving/plain.py
@@ -20,8 +20,8 @@
 ) -> str:
     """Serve a request and return its outcome, a stable identifier for logs and metrics."""
     try:
-        async with asyncio.timeout(max(0.0, attempts.end_at - clock.monotonic())):
-            rejected = await _try_workers(dispatcher, attempts, caller)
+        async with asyncio.timeout(max(0.0, attempts.deadline_at - clock.monotonic())):
+            rejected = await _serve_with_retries(dispatcher, attempts, caller)
     except TimeoutError:
         rejected = RejectedRequest(Rejection.LATE, "time_over")
     if rejected is None:
@@ -30,24 +30,24 @@
     return rejected.reason
 
 
-async def _try_workers(
+async def _serve_with_retries(
     dispatcher: Dispatcher, attempts: Attempts, caller: Caller
 ) -> RejectedRequest | None:
     while True:
-        taken = await dispatcher.offer(attempts, None)
-        if isinstance(taken, RejectedRequest):
-            return taken
-        with dispatcher.counted(taken.worker):
+        accepted = await dispatcher.dispatch(attempts, None)
+        if isinstance(accepted, RejectedRequest):
+            return accepted
+        with dispatcher.count_in_flight(accepted.worker):
             try:
-                body = await taken.answer.read_whole()
+                body = await accepted.response.read_whole()
             finally:
-                taken.answer.close()
-        head = taken.answer.head
+                accepted.response.close()
+        head = accepted.response.head
         if isinstance(body, bytes) and (head.signed or head.status not in SUCCESS):
-            dispatcher.answered(taken.worker)
-            await caller.answer(head, body)
+            dispatcher.record_response(accepted.worker)
+            await caller.respond(head, body)
             return None
         failure = body.failure if isinstance(body, CallInterrupted) else CallFailure.MALFORMED
-        dispatcher.failed(taken.worker, failure, attempts.request.request_id)
-        if not dispatcher.may_run_again(attempts):
+        dispatcher.record_failure(accepted.worker, failure, attempts.request.request_id)
+        if not dispatcher.may_retry(attempts):
             return RejectedRequest(Rejection.FAILED, failure.value)
--- a/src/foxwinch/serving/prompt.py
+++ b/src/foxwinch/serving/prompt.py
@@ -22,13 +22,13 @@
 
 
 async def load_prompt(
-    turns: TurnRecords, attempts: Attempts, deadline_at: float
+    turns: TurnRecords, attempts: Attempts, store_deadline_at: float
 ) -> Prompt | NoSuchTurn | Refused:
     """Return the prompt of a turn, with its stored history if the route retains turns."""
     request = attempts.request
     if not attempts.route.retained or request.previous_turn is None:
         return Prompt(request.body)
-    chain = await turns.chain(request.previous_turn, deadline_at)
+    chain = await turns.chain(request.previous_turn, store_deadline_at)
     if isinstance(chain, NoSuchTurn | Refused):
         return chain
     return Prompt(prompt_of(chain, request.body), chain)
--- a/src/foxwinch/serving/routing.py
+++ b/src/foxwinch/serving/routing.py
@@ -5,20 +5,20 @@
 from foxwinch.clock import Clock
 from foxwinch.core.routing.configuration import RoutingConfiguration
 from foxwinch.core.routing.directory import (
-    LastResort,
+    LastResortDeadlines,
     Worker,
     WorkerDirectory,
-    last_resort_after_outage,
-    last_resort_from,
+    last_resort_deadlines,
+    last_resort_deadlines_after_outage,
 )
 from foxwinch.log import EventLog
 from foxwinch.records.ports import RecordStore, RowsRead, StoredRow
 from foxwinch.records.watch import WAIT_SECONDS, TableWatch
 from foxwinch.serving.metrics import ServingMetrics
 
-FORGET_WORKERS_SECONDS = 30.0
+EVICT_WORKERS_SECONDS = 30.0
 """Time after which a removed worker is evicted from the directory."""
-LAPSE_SECONDS = 3.6
+EXPIRY_SECONDS = 3.6
 """Default time to live of a worker's entry: three heartbeat intervals."""
 log = EventLog("routing")
 
@@ -38,7 +38,7 @@
         decode_configuration: Callable[[StoredRow], RoutingConfiguration | None],
         decode_worker: Callable[[StoredRow], Worker | None],
         wait_seconds: float = WAIT_SECONDS,
-        expiry_seconds: float = LAPSE_SECONDS,
+        expiry_seconds: float = EXPIRY_SECONDS,
     ) -> None:
         """Create the tables; the decoders return None for rows that are not usable.
 
@@ -56,12 +56,12 @@
             store,
             clock,
             configuration_table,
-            self._take_configuration,
+            self._on_configuration_rows,
             wait_seconds,
             (configuration_key,),
         )
         self.workers_watch = TableWatch(
-            store, clock, workers_table, self._take_workers, wait_seconds
+            store, clock, workers_table, self._on_worker_rows, wait_seconds
         )
         for watch in (self.configuration_watch, self.workers_watch):
             metrics.watch_age_seconds.labels(watch.table).set_function(watch.age_seconds)
@@ -85,17 +85,17 @@
         return self.workers_watch.age_seconds()
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether a configuration and workers are known, so that requests can be served."""
         return self._configuration is not None and bool(self._directory.all_workers())
 
-    def put_in_force(self, configuration: RoutingConfiguration, source: str) -> None:
+    def activate(self, configuration: RoutingConfiguration, source: str) -> None:
         """Apply a configuration unless the current one is the same version or newer."""
         current = self._configuration
         if current is not None and configuration.version <= current.version:
             return
         self._configuration = configuration
-        self._directory.name_services(configuration.services)
+        self._directory.set_services(configuration.services)
         self._metrics.configuration_version.set(configuration.version)
         log.info(
             "configuration_in_force",
@@ -105,17 +105,17 @@
             routes=len(configuration.routes),
         )
 
-    def _take_configuration(self, read: RowsRead, whole: bool) -> None:
+    def _on_configuration_rows(self, read: RowsRead, is_full: bool) -> None:
         for row in read.rows:
             configuration = self._decode_configuration(row)
             if configuration is not None:
-                self.put_in_force(configuration, "store")
+                self.activate(configuration, "store")
 
-    def _take_workers(self, read: RowsRead, whole: bool) -> None:
-        last_resort = self._last_resort()
+    def _on_worker_rows(self, read: RowsRead, is_full: bool) -> None:
+        last_resort = self._last_resort_deadlines()
         for refused in read.unreadable:
-            self._directory.refuse(refused.key, refused.version)
-        found: list[tuple[Worker, int]] = []
+            self._directory.reject_entry(refused.key, refused.version)
+        listed: list[tuple[Worker, int]] = []
         for row in read.rows:
             if row.value is None:
                 self._directory.remove(row.row.key, row.version, last_resort)
@@ -123,26 +123,26 @@
                 continue
             worker = self._decode_worker(row)
             if worker is None:
-                self._directory.refuse(row.row.key, row.version)
+                self._directory.reject_entry(row.row.key, row.version)
                 continue
-            if whole:
-                found.append((worker, row.version))
+            if is_full:
+                listed.append((worker, row.version))
             else:
                 self._put_worker(worker, row.version, last_resort)
-        if whole:
-            self._directory.replace_all(found, read.version, last_resort)
-            log.info("workers_listed", count=len(found), list_version=read.version)
-        self._directory.forget_gone(self._clock.monotonic(), FORGET_WORKERS_SECONDS)
+        if is_full:
+            self._directory.replace_all(listed, read.version, last_resort)
+            log.info("workers_listed", count=len(listed), list_version=read.version)
+        self._directory.evict_removed(self._clock.monotonic(), EVICT_WORKERS_SECONDS)
 
-    def _last_resort(self) -> LastResort:
+    def _last_resort_deadlines(self) -> LastResortDeadlines:
         """Return the last-resort deadlines for workers that the current update shows as leaving."""
         now = self._clock.monotonic()
         since = self.workers_watch.changes_since
         if now - self._lapse_seconds < since:
-            return last_resort_from(since)
-        return last_resort_after_outage(since, now)
+            return last_resort_deadlines(since)
+        return last_resort_deadlines_after_outage(since, now)
 
-    def _put_worker(self, worker: Worker, version: int, last_resort: LastResort) -> None:
+    def _put_worker(self, worker: Worker, version: int, last_resort: LastResortDeadlines) -> None:
         self._directory.put(worker, version, last_resort)
         log.info(
             "worker_listed",
--- a/src/foxwinch/serving/stream.py
+++ b/src/foxwinch/serving/stream.py
@@ -14,7 +14,7 @@
 from foxwinch.core.streams import EventFramer, StreamEvent
 from foxwinch.log import EventLog
 from foxwinch.records.turns import TurnRecords
-from foxwinch.serving.attempts import Attempts, Dispatcher, Taken
+from foxwinch.serving.attempts import AcceptedCall, Attempts, Dispatcher
 from foxwinch.serving.messages import (
     Caller,
     CallFailure,
@@ -25,7 +25,7 @@
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.prompt import Prompt
 
-MAX_LINES = 20_000
+MAX_CONVERSATIONS = 20_000
 SUCCESS = range(200, 300)
 log = EventLog("streams")
 
@@ -37,17 +37,17 @@
     tokens_per_event: int
     events: int = 0
     last_event_id: int | None = None
-    begun: bool = False
+    has_started: bool = False
     data: list[bytes] = field(default_factory=list)
     """Data of the events, collected only if the turn is retained."""
-    caller_has: int | None = None
+    last_received_id: int | None = None
     """Id of the last event that the caller received in an earlier request."""
 
-    def had(self, event: StreamEvent) -> bool:
+    def was_received(self, event: StreamEvent) -> bool:
         """Return whether the caller received an event in an earlier request."""
-        if self.caller_has is None or event.event_id is None:
+        if self.last_received_id is None or event.event_id is None:
             return False
-        return event.event_id <= self.caller_has
+        return event.event_id <= self.last_received_id
 
     @property
     def tokens(self) -> int:
@@ -55,10 +55,10 @@
         return self.events * self.tokens_per_event
 
 
-class _Ended(StrEnum):
+class _StreamResult(StrEnum):
     COMPLETE = "complete"
     BROKEN = "broken"
-    PASSED_ON = "passed_on"
+    FORWARDED = "passed_on"
     """The response was not a stream and was forwarded as a single body."""
 
 
@@ -88,81 +88,83 @@
         if attempts.route.retained:
             # The stored turn must be complete, so the worker runs it from the start, and events
             # that the caller already has are not sent again.
-            summary.caller_has = attempts.request.last_event_id
+            summary.last_received_id = attempts.request.last_event_id
         else:
             attempts.last_event_id = attempts.request.last_event_id
         try:
-            async with asyncio.timeout(max(0.0, attempts.end_at - self._clock.monotonic())):
-                rejected = await self._try_workers(attempts, prompt, caller, summary)
+            async with asyncio.timeout(max(0.0, attempts.deadline_at - self._clock.monotonic())):
+                rejected = await self._serve_with_retries(attempts, prompt, caller, summary)
         except TimeoutError:
             rejected = RejectedRequest(Rejection.LATE, "time_over")
         if rejected is None:
             return "answered"
-        if summary.begun:
-            caller.break_off()
+        if summary.has_started:
+            caller.abort()
         else:
             await caller.reject(rejected)
         return rejected.reason
 
-    async def _try_workers(
+    async def _serve_with_retries(
         self, attempts: Attempts, prompt: Prompt, caller: Caller, summary: StreamSummary
     ) -> RejectedRequest | None:
         while True:
-            taken = await self._dispatcher.offer(attempts, self._last_worker(attempts))
-            if isinstance(taken, RejectedRequest):
-                return taken
-            with self._dispatcher.counted(taken.worker):
+            accepted = await self._dispatcher.dispatch(attempts, self._last_worker(attempts))
+            if isinstance(accepted, RejectedRequest):
+                return accepted
+            with self._dispatcher.count_in_flight(accepted.worker):
                 try:
-                    ended = await self._pass_on(taken, attempts, caller, summary)
+                    result = await self._forward(accepted, attempts, caller, summary)
                 finally:
-                    taken.answer.close()
-            if ended is _Ended.PASSED_ON:
+                    accepted.response.close()
+            if result is _StreamResult.FORWARDED:
                 return None
-            if ended is _Ended.COMPLETE:
-                return await self._complete(taken, attempts, prompt, caller, summary)
-            self._dispatcher.failed(
-                taken.worker, CallFailure.CONNECTION_LOST, attempts.request.request_id
+            if result is _StreamResult.COMPLETE:
+                return await self._finish_stream(accepted, attempts, prompt, caller, summary)
+            self._dispatcher.record_failure(
+                accepted.worker, CallFailure.CONNECTION_LOST, attempts.request.request_id
             )
-            if not self._dispatcher.may_run_again(attempts):
+            if not self._dispatcher.may_retry(attempts):
                 return RejectedRequest(Rejection.FAILED, CallFailure.CONNECTION_LOST.value)
             if summary.last_event_id is not None:
                 attempts.last_event_id = summary.last_event_id
 
-    async def _pass_on(
-        self, taken: Taken, attempts: Attempts, caller: Caller, summary: StreamSummary
-    ) -> _Ended:
-        head = taken.answer.head
+    async def _forward(
+        self, accepted: AcceptedCall, attempts: Attempts, caller: Caller, summary: StreamSummary
+    ) -> _StreamResult:
+        head = accepted.response.head
         if head.status not in SUCCESS:
-            return await self._pass_failure(taken, caller, summary)
+            return await self._forward_error(accepted, caller, summary)
         if not head.signed:
-            return _Ended.BROKEN
+            return _StreamResult.BROKEN
         framer = EventFramer()
-        async for piece in taken.answer.pieces():
-            if isinstance(piece, CallInterrupted):
-                return _Ended.BROKEN
-            events = framer.feed(piece)
+        async for chunk in accepted.response.chunks():
+            if isinstance(chunk, CallInterrupted):
+                return _StreamResult.BROKEN
+            events = framer.feed(chunk)
             if not events:
                 continue
-            if not summary.begun:
-                summary.begun = True
+            if not summary.has_started:
+                summary.has_started = True
                 await caller.begin(head)
-                took = self._clock.monotonic() - attempts.request.received_at
-                self._metrics.first_seconds.labels("stream").observe(took)
-            new = self._count(events, attempts, summary)
-            if new:
-                await caller.send(b"".join(event.raw for event in new))
-        if framer.pending or not summary.begun:
-            return _Ended.BROKEN
-        return _Ended.COMPLETE
-
-    async def _pass_failure(self, taken: Taken, caller: Caller, summary: StreamSummary) -> _Ended:
-        body = await taken.answer.read_whole()
-        if summary.begun or isinstance(body, CallInterrupted):
-            return _Ended.BROKEN
-        await caller.answer(taken.answer.head, body)
-        return _Ended.PASSED_ON
-
-    def _count(
+                elapsed_seconds = self._clock.monotonic() - attempts.request.received_at
+                self._metrics.first_seconds.labels("stream").observe(elapsed_seconds)
+            unsent_events = self._count_events(events, attempts, summary)
+            if unsent_events:
+                await caller.send(b"".join(event.raw for event in unsent_events))
+        if framer.pending or not summary.has_started:
+            return _StreamResult.BROKEN
+        return _StreamResult.COMPLETE
+
+    async def _forward_error(
+        self, accepted: AcceptedCall, caller: Caller, summary: StreamSummary
+    ) -> _StreamResult:
+        body = await accepted.response.read_whole()
+        if summary.has_started or isinstance(body, CallInterrupted):
+            return _StreamResult.BROKEN
+        await caller.respond(accepted.response.head, body)
+        return _StreamResult.FORWARDED
+
+    def _count_events(
         self, events: list[StreamEvent], attempts: Attempts, summary: StreamSummary
     ) -> list[StreamEvent]:
         """Count events and return those that the caller does not have.
@@ -170,35 +172,35 @@
         Events are counted before they are sent, because tokens count as spent once the caller may
         have received them.
         """
-        new: list[StreamEvent] = []
+        unsent_events: list[StreamEvent] = []
         for event in events:
-            if not summary.had(event):
+            if not summary.was_received(event):
                 summary.events += 1
-                new.append(event)
+                unsent_events.append(event)
             if event.event_id is not None:
                 summary.last_event_id = event.event_id
             if attempts.route.retained:
                 summary.data.append(event.data)
-        return new
+        return unsent_events
 
-    async def _complete(
+    async def _finish_stream(
         self,
-        taken: Taken,
+        accepted: AcceptedCall,
         attempts: Attempts,
         prompt: Prompt,
         caller: Caller,
         summary: StreamSummary,
     ) -> RejectedRequest | None:
-        self._dispatcher.answered(taken.worker)
-        self._remember(attempts, taken)
+        self._dispatcher.record_response(accepted.worker)
+        self._remember_worker(attempts, accepted)
         if attempts.route.retained:
-            rejected = await self._store(attempts, prompt, summary)
+            rejected = await self._store_turn(attempts, prompt, summary)
             if rejected is not None:
                 return rejected
         await caller.finish()
         return None
 
-    async def _store(
+    async def _store_turn(
         self, attempts: Attempts, prompt: Prompt, summary: StreamSummary
     ) -> RejectedRequest | None:
         request = attempts.request
@@ -210,7 +212,7 @@
             output_of(summary.data),
             kept_until_ms,
         )
-        refused = await self._turns.write(turn, attempts.end_at)
+        refused = await self._turns.write(turn, attempts.deadline_at)
         if refused is None:
             return None
         log.warning(
@@ -225,11 +227,11 @@
         program = attempts.request.program
         return self._last_workers.get(program.conversation_id) if program is not None else None
 
-    def _remember(self, attempts: Attempts, taken: Taken) -> None:
+    def _remember_worker(self, attempts: Attempts, accepted: AcceptedCall) -> None:
         program = attempts.request.program
         if program is None:
             return
-        while len(self._last_workers) >= MAX_LINES:
+        while len(self._last_workers) >= MAX_CONVERSATIONS:
             self._last_workers.pop(next(iter(self._last_workers)))
         self._last_workers.pop(program.conversation_id, None)
-        self._last_workers[program.conversation_id] = taken.worker.incarnation
+        self._last_workers[program.conversation_id] = accepted.worker.incarnation
--- a/tests/test_platform_node.py
+++ b/tests/test_platform_node.py
@@ -499,5 +499,5 @@
         site.list_worker(0, born=3)
         await until(sound, ["w0/3"])
         assert (await site.ask(node, UNSAFE, "r3")).status == 200
-        assert node.node.dispatcher.loads.of("w0/3").failures == 0
-        assert node.node.dispatcher.loads.of("w0/2").failures == 1
+        assert node.node.dispatcher.loads.get_load("w0/3").failures == 0
+        assert node.node.dispatcher.loads.get_load("w0/2").failures == 1
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -24,10 +24,14 @@
     assert [route.name for route in read.routes] == ["stream", "kept", "safe", "unsafe"]
     kept = read.routes[1]
     assert (kept.kind, kept.retained, kept.retain_seconds) == (RouteKind.STREAM, True, 60.0)
-    assert (kept.timeout_seconds, kept.target_seconds, kept.event_gap_seconds) == (3.0, 0.2, 0.3)
+    assert (kept.timeout_seconds, kept.latency_target_seconds, kept.event_gap_seconds) == (
+        3.0,
+        0.2,
+        0.3,
+    )
     assert read.services["s"].tokens_per_event == 25
-    assert read.bounds.body_bytes == 200_000
-    assert read.bounds.idle_seconds == RequestLimits().idle_seconds
+    assert read.request_limits.body_bytes == 200_000
+    assert read.request_limits.idle_seconds == RequestLimits().idle_seconds
 
 
 WRONG_ROUTES = {
@@ -50,7 +54,7 @@
 def test_a_service_or_limits_that_are_wrong_hide_nothing_else():
     read = decoded(services=[{"name": 7}, {"name": "s"}], limits=["none"])
     assert list(read.services) == ["s"]
-    assert read.bounds == RequestLimits()
+    assert read.request_limits == RequestLimits()
     assert len(read.routes) == len(routes())
 
 
--- a/tests/test_program_budgets.py
+++ b/tests/test_program_budgets.py
@@ -18,7 +18,7 @@
 from foxwinch.service_tasks import ServiceTasks
 from virtual_clock import VirtualClock
 
-MOST = 100
+MAX_TURN_TOKENS = 100
 pytestmark = pytest.mark.looptime
 
 
@@ -36,7 +36,7 @@
 
     async def reserve(self, request_id, budget, program="p", seconds=1.0):
         now = self.clock.monotonic()
-        reserve = Reserve(request_id, MOST, budget)
+        reserve = Reserve(request_id, MAX_TURN_TOKENS, budget)
         return await self.ledger.reserve(program, reserve, now + seconds, now + 3.0)
 
 
@@ -60,7 +60,7 @@
     return BudgetRecord.decode(model.value(row))
 
 
-async def test_a_turn_is_reserved_and_told_after_quiet(model, nodes):
+async def test_used_tokens_are_reported_after_an_idle_period(model, nodes):
     assert isinstance(await nodes[0].reserve("r1", 1000), Reserved)
     nodes[0].ledger.settle("p", "r1", 40)
     await asyncio.sleep(3.0)
@@ -69,7 +69,7 @@
     assert nodes[0].ledger.programs == 0
 
 
-async def test_the_next_turns_need_no_call(model, nodes):
+async def test_following_turns_need_no_store_call(model, nodes):
     await nodes[0].reserve("r1", 2000)
     nodes[0].ledger.settle("p", "r1", 40)
     model.moods.mood = Mood.SILENT
@@ -80,17 +80,17 @@
         nodes[0].ledger.settle("p", f"r{number}", 40)
 
 
-async def test_a_spent_budget_is_told_as_such(nodes):
+async def test_spent_budget_is_exhausted(nodes):
     for number in range(3):
         assert isinstance(await nodes[0].reserve(f"r{number}", 350), Reserved)
-        nodes[0].ledger.settle("p", f"r{number}", MOST)
+        nodes[0].ledger.settle("p", f"r{number}", MAX_TURN_TOKENS)
     assert isinstance(await nodes[0].reserve("r9", 350), Exhausted)
 
 
-async def test_a_budget_that_is_spent_for_good_is_told_without_asking_the_store(model, nodes):
+async def test_spent_budget_is_exhausted_without_a_store_call(model, nodes):
     for number in range(3):
         await nodes[0].reserve(f"r{number}", 350)
-        nodes[0].ledger.settle("p", f"r{number}", MOST)
+        nodes[0].ledger.settle("p", f"r{number}", MAX_TURN_TOKENS)
     assert isinstance(await nodes[0].reserve("r9", 350), Exhausted)
     await asyncio.sleep(3.0)
     assert nodes[0].ledger.programs == 0
@@ -102,15 +102,15 @@
     assert model.calls.writes == before
 
 
-async def test_a_turn_that_still_fits_is_not_taken_for_spent(nodes):
+async def test_turn_that_still_fits_is_not_exhausted(nodes):
     for number in range(2):
         await nodes[0].reserve(f"r{number}", 300)
-        nodes[0].ledger.settle("p", f"r{number}", MOST)
+        nodes[0].ledger.settle("p", f"r{number}", MAX_TURN_TOKENS)
     await asyncio.sleep(3.0)
     assert isinstance(await nodes[0].reserve("r9", 300), Reserved)
 
 
-async def test_what_others_hold_is_no_reason_for_a_final_refusal(nodes):
+async def test_leases_of_other_nodes_cause_no_final_refusal(nodes):
     assert isinstance(await nodes[0].reserve("r1", 250), Reserved)
     assert isinstance(await nodes[1].reserve("r2", 250), Reserved)
     refused = await nodes[2].reserve("r3", 250, seconds=0.5)
@@ -122,7 +122,7 @@
     assert isinstance(await nodes[2].reserve("r4", 250, seconds=5.0), Reserved)
 
 
-async def test_a_dead_nodes_lease_counts_as_spent_once_it_is_over(model, nodes):
+async def test_lease_of_a_crashed_node_counts_as_spent_once_expired(model, nodes):
     await nodes[0].reserve("r1", 450)
     await nodes[0].tasks.stop()
     held = sum(lease.tokens for lease in stored(model).leases.values())
@@ -131,7 +131,7 @@
     assert stored(model).spent == held
 
 
-async def test_a_lease_that_is_over_is_not_used(model, nodes):
+async def test_expired_lease_is_not_used(model, nodes):
     await nodes[0].reserve("r1", 2000)
     nodes[0].ledger.settle("p", "r1", 10)
     model.moods.mood = Mood.SILENT
@@ -139,7 +139,7 @@
     assert isinstance(await nodes[0].reserve("r2", 2000), Refused)
 
 
-async def test_a_lost_answer_neither_doubles_nor_loses_a_reservation(model, nodes):
+async def test_lost_response_neither_duplicates_nor_loses_a_reservation(model, nodes):
     model.moods.mood = Mood.LOSING
     reserving = asyncio.ensure_future(nodes[0].reserve("r1", 1000, seconds=5.0))
     await asyncio.sleep(0.3)
@@ -171,7 +171,7 @@
     assert asyncio.get_running_loop().time() - began <= 1.0
 
 
-async def test_a_store_that_is_down_is_not_stormed(model, nodes):
+async def test_call_rate_is_limited_while_the_store_is_unavailable(model, nodes):
     for program in range(40):
         await nodes[0].reserve("r", 1000, program=f"p{program}")
         nodes[0].ledger.settle(f"p{program}", "r", 10)
@@ -193,19 +193,19 @@
 @given(seed=st.integers(0, 2**32), budget=st.integers(300, 1500))
 @example(seed=128, budget=300)  # An unconfirmed change was matched to an earlier account's change.
 @example(seed=306, budget=400)  # An expired lease was written off before the store accepted it.
-def test_no_budget_is_overspent_whatever_the_store_does(seed, budget):
+def test_no_budget_is_overspent_under_store_faults(seed, budget):
     """Run turns at three nodes while store faults change and nodes crash."""
     import looptime
 
     loop = looptime.new_event_loop()
     try:
-        used = loop.run_until_complete(_play(random.Random(seed), budget))
+        used = loop.run_until_complete(_run_turns(random.Random(seed), budget))
     finally:
         loop.close()
     assert used <= budget
 
 
-async def _play(rng, budget):
+async def _run_turns(rng, budget):
     clock = VirtualClock()
     model = RecordStoreModel(clock)
     nodes = [Node(model, clock, f"n{number}") for number in range(3)]
@@ -219,7 +219,7 @@
         outcome = await node.reserve(f"r{number}", budget, seconds=0.8)
         if not isinstance(outcome, Reserved):
             return
-        used = rng.choice([0, 20, MOST])
+        used = rng.choice([0, 20, MAX_TURN_TOKENS])
         spent += used
         await asyncio.sleep(rng.uniform(0.0, 2.5))
         if rng.random() < 0.9:
--- a/tests/test_program_machine.py
+++ b/tests/test_program_machine.py
@@ -257,7 +257,7 @@
 
     @precondition(lambda self: any(p.queue for p in self.programs.values()))
     @rule(data=st.data())
-    def client_goes(self, data):
+    def client_disconnects(self, data):
         queued = [(n, c) for n, p in self.programs.items() for c in p.queue]
         self.forget(*data.draw(st.sampled_from(queued)))
 
--- a/tests/test_program_table.py
+++ b/tests/test_program_table.py
@@ -124,7 +124,7 @@
     assert rebuilt.ledger.reserved.tokens == 0
 
 
-def test_late_doubled_and_unknown_outcomes_change_nothing(table):
+def test_late_duplicate_and_unknown_outcomes_change_nothing(table):
     run(table, intent(1, user("a")))
     before = state_of(table)
     assert isinstance(table.apply(outcome(intent(1), text="other")), Ignored)
--- a/tests/test_program_trees.py
+++ b/tests/test_program_trees.py
@@ -36,12 +36,12 @@
     def __init__(self):
         self.clock = VirtualClock()
         self.store = RecordStoreModel(self.clock)
-        self.ways = {}
+        self.connections = {}
 
     def node(self, name, store=None):
-        self.ways[name] = InProcessRecords(self.store, self.clock)
-        address = f"127.0.0.1:{7000 + len(self.ways)}"
-        return RecordTreeStore(store or self.ways[name], self.clock, NodeId(name), address)
+        self.connections[name] = InProcessRecords(self.store, self.clock)
+        address = f"127.0.0.1:{7000 + len(self.connections)}"
+        return RecordTreeStore(store or self.connections[name], self.clock, NodeId(name), address)
 
 
 @pytest.fixture
@@ -61,7 +61,7 @@
     assert taken.journal.batches == 2
 
 
-async def test_asking_for_a_program_that_was_never_written_writes_nothing(world):
+async def test_opening_an_unknown_program_writes_nothing(world):
     opened = await world.node("a").open(ROOT)
     assert isinstance(opened, OpenedTree)
     assert await opened.journal.confirm() is None
@@ -69,7 +69,7 @@
     assert await world.node("b").read(ROOT) == []
 
 
-async def test_a_node_that_was_replaced_finds_out_by_its_next_append_or_read(world):
+async def test_replaced_node_is_fenced_on_its_next_append_or_confirm(world):
     first, second = world.node("a"), world.node("b")
     old = (await first.open(ROOT)).journal
     await old.append([record("one")])
@@ -81,7 +81,7 @@
     assert texts(await first.read(ROOT)) == ["one", "two"]
 
 
-async def test_two_nodes_that_begin_the_same_program_do_not_both_write(world):
+async def test_only_one_of_two_concurrent_nodes_writes(world):
     first = (await world.node("a").open(ROOT)).journal
     second = (await world.node("b").open(ROOT)).journal
     outcomes = await asyncio.gather(first.append([record("a")]), second.append([record("b")]))
@@ -89,31 +89,31 @@
     assert texts(await world.node("c").read(ROOT)) == ["a"]
 
 
-async def test_a_lost_answer_of_an_append_is_settled_by_sending_it_again(world):
+async def test_append_with_a_lost_response_is_resolved_by_a_retry(world):
     trees = world.node("a")
     journal = (await trees.open(ROOT)).journal
     await journal.append([record("one")])
-    world.ways["a"].gate.faults = ServiceFaults(lose_answers=1)
+    world.connections["a"].gate.faults = ServiceFaults(lose_answers=1)
     assert await journal.append([record("two")]) is None
     assert await journal.append([record("three")]) is None
     assert texts(await trees.read(ROOT)) == ["one", "two", "three"]
 
 
-async def test_an_append_given_up_that_took_effect_is_told_before_the_next_one(world):
+async def test_abandoned_append_that_took_effect_is_reported_before_the_next_one(world):
     trees = world.node("a")
     journal = (await trees.open(ROOT)).journal
     late = []
     journal.on_late_append(late.extend)
-    world.ways["a"].gate.faults = LOST
+    world.connections["a"].gate.faults = LOST
     refused = await journal.append([record("one")])
     assert refused.run_state is RunState.UNKNOWN
-    world.ways["a"].gate.faults = ServiceFaults()
+    world.connections["a"].gate.faults = ServiceFaults()
     assert await journal.append([record("two")]) is None
     assert texts(late) == ["one"]
     assert texts(await trees.read(ROOT)) == ["one", "two"]
 
 
-async def test_an_append_that_the_store_does_late_never_comes_after_a_newer_one(world):
+async def test_delayed_append_never_follows_a_newer_one(world):
     trees = world.node("a", world.store)
     journal = (await trees.open(ROOT)).journal
     await journal.append([record("one")])
@@ -128,34 +128,34 @@
     assert texts(await trees.read(ROOT)) == [*found, "three"]
 
 
-async def test_a_takeover_whose_answer_was_lost_is_in_force(world):
+async def test_takeover_with_a_lost_response_takes_effect(world):
     first, second = world.node("a"), world.node("b")
     await (await first.open(ROOT)).journal.append([record("one")])
-    world.ways["b"].gate.faults = ServiceFaults(lose_answers=2)
+    world.connections["b"].gate.faults = ServiceFaults(lose_answers=2)
     taken = await second.open(ROOT, over=NodeId("a"))
     assert texts(taken.records) == ["one"]
     assert await taken.journal.append([record("two")]) is None
 
 
-async def test_a_store_that_is_down_refuses_truthfully(world):
+async def test_unavailable_store_is_refused_with_the_correct_run_state(world):
     trees = world.node("a")
     journal = (await trees.open(ROOT)).journal
-    world.ways["a"].gate.faults = ServiceFaults(down=True)
+    world.connections["a"].gate.faults = ServiceFaults(down=True)
     refused = await journal.append([record("one")])
     assert (refused.reason, refused.run_state) == (Reason.STORE_UNAVAILABLE, RunState.NOT_RUN)
     assert (await trees.open(ROOT)).run_state is RunState.NOT_RUN
-    world.ways["a"].gate.faults = ServiceFaults()
+    world.connections["a"].gate.faults = ServiceFaults()
     assert await journal.append([record("one")]) is None
 
 
-async def test_a_restarted_node_serves_what_its_former_life_served(world):
+async def test_restarted_node_serves_the_trees_of_its_former_incarnation(world):
     before = RecordTreeStore(world.store, world.clock, NodeId("a-1"), "127.0.0.1:7001")
     await (await before.open(ROOT)).journal.append([record("one")])
     after = RecordTreeStore(world.store, world.clock, NodeId("a-2"), "127.0.0.1:7001")
     assert texts((await after.open(ROOT)).records) == ["one"]
 
 
-async def test_large_records_lie_in_several_rows_and_too_large_ones_are_refused(world):
+async def test_large_records_span_rows_and_oversized_ones_are_refused(world):
     trees = world.node("a")
     journal = (await trees.open(ROOT)).journal
     assert await journal.append([record("large", 200_000)]) is None
@@ -165,7 +165,7 @@
     assert texts(await trees.read(ROOT)) == ["large", "small"]
 
 
-async def test_a_removed_tree_leaves_no_row_and_can_begin_again(world):
+async def test_removed_tree_leaves_no_row_and_can_be_created_again(world):
     trees = world.node("a")
     journal = (await trees.open(ROOT)).journal
     for number in range(150):
@@ -179,12 +179,12 @@
     assert texts(await trees.read(ROOT)) == ["again"]
 
 
-async def test_a_removal_cut_short_leaves_an_empty_tree_that_can_be_removed(world):
+async def test_interrupted_removal_leaves_an_empty_tree_that_can_be_removed(world):
     trees = world.node("a")
     journal = (await trees.open(ROOT)).journal
     for number in range(3):
         await journal.append([record(str(number))])
-    world.ways["a"].read = _down
+    world.connections["a"].read = _down
     assert isinstance(await journal.remove(), Refused)
     later = world.node("b")
     taken = await later.open(ROOT, over=NodeId("a"))
@@ -199,7 +199,7 @@
     return Refused(Reason.STORE_UNAVAILABLE, RunState.NOT_RUN, "down")
 
 
-async def test_nodes_tell_who_serves_the_trees_of_a_partition(world):
+async def test_trees_of_a_partition_are_listed_with_their_nodes(world):
     trees = world.node("a")
     await (await trees.open(ROOT)).journal.append([record("one")])
     served = await trees.served(partition_of(ROOT))
@@ -209,12 +209,12 @@
 @pytest.mark.parametrize("seed", range(40))
 async def test_no_acknowledged_record_is_lost_and_none_is_written_after_a_takeover(seed):
     """Append and take over from several nodes under all faults of their store connections."""
-    world, chance = World(), random.Random(seed)
+    world, rng = World(), random.Random(seed)
     nodes = [world.node(f"n{number}") for number in range(3)]
     journals, acknowledged, refused_for_good = {}, [], set()
     for step in range(60):
-        number = chance.randrange(3)
-        world.ways[f"n{number}"].gate.faults = chance.choice(
+        number = rng.randrange(3)
+        world.connections[f"n{number}"].gate.faults = rng.choice(
             [
                 ServiceFaults(),
                 ServiceFaults(lose_answer_probability=0.5, duplicate_probability=0.3),
@@ -222,8 +222,8 @@
                 ServiceFaults(down=True),
             ]
         )
-        if chance.random() < 0.25 or number not in journals:
-            other = NodeId(f"n{chance.randrange(3)}")
+        if rng.random() < 0.25 or number not in journals:
+            other = NodeId(f"n{rng.randrange(3)}")
             opened = await nodes[number].open(ROOT, over=other)
             if isinstance(opened, OpenedTree):
                 journals[number] = opened.journal
@@ -234,7 +234,7 @@
             acknowledged.append(str(step))
         elif refused.run_state is RunState.NOT_RUN:
             refused_for_good.add(str(step))
-    for way in world.ways.values():
+    for way in world.connections.values():
         way.gate.faults = ServiceFaults()
     await asyncio.sleep(30)
     found = texts(await nodes[0].read(ROOT))
--- a/tests/test_record_watch.py
+++ b/tests/test_record_watch.py
@@ -20,11 +20,11 @@
 from virtual_clock import VirtualClock
 
 pytestmark = pytest.mark.looptime
-NEW_ANSWER_SECONDS = 0.1
+NEW_RESPONSE_SECONDS = 0.1
 """Time for a new connection and its first response, several times that of the platform's store."""
 
 
-class Seen:
+class WatchRecorder:
     """A running watch and the changes that it delivered."""
 
     def __init__(self, model, keys=()):
@@ -56,24 +56,24 @@
 async def watching(model, keys=()):
     """Run a watch within the test, because fixtures are set up outside its virtual time."""
     model.put("t", "a", b"1")
-    watched = Seen(model, keys)
+    recorder = WatchRecorder(model, keys)
     await asyncio.sleep(0.1)
-    yield watched
-    await watched.tasks.stop()
+    yield recorder
+    await recorder.tasks.stop()
 
 
 async def test_changes_and_removals_arrive(model):
-    async with watching(model) as seen:
-        assert seen.values == {"a": b"1"}
+    async with watching(model) as recorder:
+        assert recorder.values == {"a": b"1"}
         model.put("t", "b", b"2")
         model.put("other", "c", b"3")
         model.remove("t", "a")
         await asyncio.sleep(0.1)
-        assert seen.values == {"b": b"2"}
+        assert recorder.values == {"b": b"2"}
 
 
-async def test_a_lost_history_is_made_good(model):
-    async with watching(model) as seen:
+async def test_watch_recovers_from_truncated_history(model):
+    async with watching(model) as recorder:
         model.moods.mood = Mood.BUSY
         await asyncio.sleep(1.0)
         model.remove("t", "a")
@@ -81,11 +81,11 @@
         model.forget_history()
         model.moods.mood = Mood.WELL
         await asyncio.sleep(3.0)
-        assert seen.values == {"b": b"2"}
+        assert recorder.values == {"b": b"2"}
 
 
-async def test_an_old_read_never_takes_the_table_back(model):
-    async with watching(model) as seen:
+async def test_stale_read_never_reverts_the_table(model):
+    async with watching(model) as recorder:
         model.hold_reads()
         model.put("t", "a", b"2")
         await asyncio.sleep(0.1)
@@ -93,15 +93,15 @@
         model.put("t", "a", b"3")
         model.forget_history()
         await asyncio.sleep(2.0)
-        assert seen.values == {"a": b"3"}
+        assert recorder.values == {"a": b"3"}
         model.moods.stale_reads = False
         await asyncio.sleep(2.0)
-        assert seen.values == {"a": b"3"}
-        assert seen.versions == sorted(seen.versions)
+        assert recorder.values == {"a": b"3"}
+        assert recorder.versions == sorted(recorder.versions)
 
 
 @asynccontextmanager
-async def deaf_while_reads_are_old(model):
+async def disconnected_then_stale_reads(model):
     """Hide changes made within the context: the watch is disconnected, then history is truncated.
 
     Reads stay stale afterwards.
@@ -116,52 +116,52 @@
     model.moods.mood = Mood.WELL
 
 
-async def test_a_removal_of_a_deaf_moment_is_heard_while_reads_are_old(model):
-    async with watching(model) as seen:
-        async with deaf_while_reads_are_old(model):
+async def test_missed_removal_arrives_despite_stale_reads(model):
+    async with watching(model) as recorder:
+        async with disconnected_then_stale_reads(model):
             model.remove("t", "a")
         await asyncio.sleep(4.0)
-        assert seen.values == {}
+        assert recorder.values == {}
 
 
-async def test_a_row_that_is_asked_for_by_name_is_heard_while_reads_are_old(model):
-    async with watching(model, keys=("b",)) as seen:
-        async with deaf_while_reads_are_old(model):
+async def test_missed_row_with_a_watched_key_arrives_despite_stale_reads(model):
+    async with watching(model, keys=("b",)) as recorder:
+        async with disconnected_then_stale_reads(model):
             model.put("t", "b", b"2")
         await asyncio.sleep(4.0)
-        assert seen.values == {"a": b"1", "b": b"2"}
+        assert recorder.values == {"a": b"1", "b": b"2"}
 
 
-async def test_a_new_row_of_a_deaf_moment_is_heard_once_reads_are_new(model):
-    async with watching(model) as seen:
-        async with deaf_while_reads_are_old(model):
+async def test_missed_new_row_arrives_once_reads_are_current(model):
+    async with watching(model) as recorder:
+        async with disconnected_then_stale_reads(model):
             model.put("t", "b", b"2")
         await asyncio.sleep(4.0)
-        assert seen.watch.age_seconds() > 4.0
+        assert recorder.watch.age_seconds() > 4.0
         model.moods.stale_reads = False
         await asyncio.sleep(2.0)
-        assert seen.values == {"a": b"1", "b": b"2"}
-        assert seen.watch.age_seconds() < 2.5
+        assert recorder.values == {"a": b"1", "b": b"2"}
+        assert recorder.watch.age_seconds() < 2.5
 
 
-async def test_a_table_of_more_rows_than_a_transaction_takes_is_read_until_it_is_new(model):
+async def test_table_beyond_the_condition_limit_is_read_until_it_is_current(model):
     for number in range(MAX_CONDITIONS):
         model.put("t", f"k{number}", b"1")
-    async with watching(model) as seen:
-        async with deaf_while_reads_are_old(model):
+    async with watching(model) as recorder:
+        async with disconnected_then_stale_reads(model):
             model.put("t", "a", b"2")
         await asyncio.sleep(4.0)
-        assert seen.values["a"] == b"1"
+        assert recorder.values["a"] == b"1"
         model.moods.stale_reads = False
         await asyncio.sleep(2.0)
-        assert seen.values["a"] == b"2"
+        assert recorder.values["a"] == b"2"
 
 
 @pytest.mark.parametrize("nodes", [1, 3])
-async def test_while_reads_are_old_the_store_is_asked_seldom(model, nodes):
+async def test_call_rate_is_limited_while_reads_are_stale(model, nodes):
     async with watching(model):
-        others = [Seen(model) for _ in range(nodes - 1)]
-        async with deaf_while_reads_are_old(model):
+        other_recorders = [WatchRecorder(model) for _ in range(nodes - 1)]
+        async with disconnected_then_stale_reads(model):
             model.put("t", "b", b"2")
         await asyncio.sleep(3.0)
         before = replace(model.calls)
@@ -169,65 +169,65 @@
         assert model.calls.writes - before.writes <= 10 * nodes
         assert model.calls.reads - before.reads <= 60 * nodes
         assert model.calls.feeds == before.feeds
-        for other in others:
-            await other.tasks.stop()
+        for other_recorder in other_recorders:
+            await other_recorder.tasks.stop()
 
 
-async def test_news_are_as_old_as_the_gap_in_the_watch(model):
-    async with watching(model) as seen:
+async def test_changes_since_covers_the_gap_in_the_watch(model):
+    async with watching(model) as recorder:
         await asyncio.sleep(5.0)
         model.put("t", "a", b"2")
         await asyncio.sleep(0.1)
         now = asyncio.get_running_loop().time()
-        assert seen.since[0] == float("-inf")
-        assert now - seen.since[-1] < 0.2
+        assert recorder.since[0] == float("-inf")
+        assert now - recorder.since[-1] < 0.2
         model.moods.mood = Mood.BUSY
         await asyncio.sleep(4.0)
-        gone = asyncio.get_running_loop().time()
+        outage_end = asyncio.get_running_loop().time()
         model.put("t", "a", b"3")
         model.moods.mood = Mood.WELL
         await asyncio.sleep(1.0)
-        assert seen.values == {"a": b"3"}
-        assert gone - seen.since[-1] > 2.0
+        assert recorder.values == {"a": b"3"}
+        assert outage_end - recorder.since[-1] > 2.0
 
 
-async def test_a_transaction_that_is_refused_does_not_keep_a_new_read_away(model):
-    async with watching(model) as seen:
+async def test_refused_transaction_does_not_block_a_current_read(model):
+    async with watching(model) as recorder:
         model.moods.partitions = frozenset([""])
         model.put("t", "a", b"2")
         model.forget_history()
         await asyncio.sleep(1.0)
-        assert seen.values == {"a": b"2"}
+        assert recorder.values == {"a": b"2"}
 
 
 @pytest.mark.parametrize("mood", [Mood.BUSY, Mood.LIMITED, Mood.SILENT])
-async def test_its_age_tells_how_long_the_store_is_gone(model, mood):
-    async with watching(model) as seen:
+async def test_age_grows_while_the_store_is_unavailable(model, mood):
+    async with watching(model) as recorder:
         await asyncio.sleep(2.5)
-        assert seen.watch.age_seconds() < 2.5
+        assert recorder.watch.age_seconds() < 2.5
         model.moods.mood = mood
         await asyncio.sleep(10.0)
-        assert seen.watch.age_seconds() > 7.0
+        assert recorder.watch.age_seconds() > 7.0
         model.moods.mood = Mood.WELL
         model.put("t", "a", b"9")
         await asyncio.sleep(4.0)
-        assert seen.values == {"a": b"9"}
+        assert recorder.values == {"a": b"9"}
 
 
 # Guards against changes that arrive late after an outage, delayed by the hold time of calls.
 @pytest.mark.parametrize("away_seconds", [1.9, 4.0, 4.5, 7.3])
-async def test_a_store_that_was_silent_is_heard_soon_after_its_return(model, away_seconds):
-    async with watching(model) as seen:
+async def test_changes_arrive_soon_after_an_unresponsive_store_recovers(model, away_seconds):
+    async with watching(model) as recorder:
         await asyncio.sleep(3.0)
         model.moods.mood = Mood.SILENT
         await asyncio.sleep(away_seconds + 2 * WAIT_SECONDS)
         model.moods.mood = Mood.WELL
         model.put("t", "a", b"2")
-        await asyncio.sleep(ANSWER_SECONDS + RETRY_BACKOFF.cap_seconds + NEW_ANSWER_SECONDS)
-        assert seen.values == {"a": b"2"}
+        await asyncio.sleep(ANSWER_SECONDS + RETRY_BACKOFF.cap_seconds + NEW_RESPONSE_SECONDS)
+        assert recorder.values == {"a": b"2"}
 
 
-async def test_a_store_that_is_down_is_asked_seldom(model):
+async def test_call_rate_is_limited_while_the_store_is_down(model):
     async with watching(model):
         model.moods.mood = Mood.BUSY
         await asyncio.sleep(1.0)
@@ -239,14 +239,14 @@
 # Guards against a late configuration: the hold time, response timeout, backoff waits and connect
 # timeout of one lost call and one failed attempt together exceeded the bound.
 @pytest.mark.parametrize("bound_seconds", [3.0, 4.0, 10.0])
-def test_the_longest_way_back_from_a_silent_connection_fits_the_bound(bound_seconds):
+def test_longest_recovery_from_an_unresponsive_connection_is_within_the_bound(bound_seconds):
     lost = watch_wait_seconds(bound_seconds) + ANSWER_SECONDS
     waits = sum(RETRY_BACKOFF.wait_seconds(attempt, 1.0) for attempt in range(2))
-    assert lost + waits + CONNECT_SECONDS + NEW_ANSWER_SECONDS <= bound_seconds
+    assert lost + waits + CONNECT_SECONDS + NEW_RESPONSE_SECONDS <= bound_seconds
 
 
 @pytest.mark.parametrize("seconds", [2.0, 3.0, 4.0])
-async def test_a_lost_answer_of_a_watch_is_noticed_in_time(seconds):
+async def test_lost_response_of_a_watch_is_detected_in_time(seconds):
     clock = VirtualClock()
     model = RecordStoreModel(clock)
     model.put("t", "a", b"1")
--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -11,12 +11,12 @@
 from platform_site import SAFE, PlatformSite, configuration, until
 from virtual_clock import VirtualClock
 
-KEPT_CONNECTIONS = 8
+IDLE_CONNECTIONS = 8
 WATCHES = 2
 STREAM_ANSWER = Answer(body=None, pieces=events(1, 3))
 
 
-def sited(*workers):
+def platform_with_workers(*workers):
     site = PlatformSite(list(workers))
     site.model.put("op", "config", configuration())
     return site
@@ -26,7 +26,7 @@
     return node.node.routing.configuration.version
 
 
-def held_calls_lost(node):
+def lost_watch_calls(node):
     """Return the number of held watch calls that ended without a response."""
     counter = node.node.metrics.store_calls.labels("rows-feed", "store_unavailable")
     return counter._value.get()
@@ -34,8 +34,8 @@
 
 # Guards against a late configuration: a watch that timed out on an unresponsive connection retried
 # on another unresponsive connection from the pool.
-async def test_a_watch_does_not_wait_again_on_a_kept_connection_that_went_silent():
-    async with sited(FakeWorker(STREAM_ANSWER)) as site:
+async def test_watch_does_not_retry_on_an_unresponsive_idle_connection():
+    async with platform_with_workers(FakeWorker(STREAM_ANSWER)) as site:
         node = await site.start_node()
 
         async def programs():
@@ -44,7 +44,7 @@
         site.model.moods.delay_seconds = 0.1
         turns = (
             site.turn(node, f"r{number}", Program=f"p{number}")
-            for number in range(KEPT_CONNECTIONS)
+            for number in range(IDLE_CONNECTIONS)
         )
         assert {reply.status for reply in await asyncio.gather(*turns)} == {200}
         site.model.moods.delay_seconds = 0.0
@@ -52,17 +52,17 @@
         site.store_proxy.silence()
         site.model.put("op", "config", configuration(version=2))
         while await version_in_force(node) != 2:
-            assert held_calls_lost(node) <= WATCHES
+            assert lost_watch_calls(node) <= WATCHES
             await asyncio.sleep(0.01)
 
 
-UNREADABLE_DOCUMENTS = {
+UNDECODABLE_ROWS = {
     "value is no base64": {"value": "abc"},
     "value is a number": {"value": 7},
     "value is missing": {"value": None},
     "version is missing": {"ver": None},
 }
-UNREADABLE_ENTRIES = {
+MALFORMED_ENTRIES = {
     "bytes of no encoding": b"\xff\xfe\x00",
     "a list": b"[]",
     "nothing": b"",
@@ -92,14 +92,14 @@
     return changes if isinstance(changes, bytes) else site.entry_of(number, **changes)
 
 
-async def until_listed(node, slots):
+async def wait_until_listed(node, slots):
     """Wait until exactly these workers are listed; `slots` maps worker ids to slots."""
     directory = node.node.routing.directory
 
-    async def heard():
+    async def listed():
         return {worker.worker_id: worker.slots for worker in directory.all_workers()}
 
-    await until(heard, slots)
+    await until(listed, slots)
 
 
 async def statuses(site, node, count, first=0):
@@ -108,54 +108,54 @@
 
 # Guards against drains that went unnoticed while one row of the worker list could not be decoded.
 @pytest.mark.parametrize("found", ["on the first read", "as a change"])
-@pytest.mark.parametrize("document", UNREADABLE_DOCUMENTS.values(), ids=UNREADABLE_DOCUMENTS)
-async def test_a_row_that_cannot_be_decoded_hides_no_drain(document, found):
-    async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
+@pytest.mark.parametrize("document", UNDECODABLE_ROWS.values(), ids=UNDECODABLE_ROWS)
+async def test_undecodable_row_hides_no_drain(document, found):
+    async with platform_with_workers(FakeWorker(Answer()), FakeWorker(Answer())) as site:
         site.handlers.foreign["x"] = document
         if found == "on the first read":
             site.model.put("servers", "x", b"{}")
         node = await site.start_node()
         site.model.put("servers", "x", b"{}")
         site.list_worker(0, state="draining")
-        await until_listed(node, {"w1": 4})
+        await wait_until_listed(node, {"w1": 4})
 
 
 # Guards against malformed entries of other writers that ended the watch or counted as workers.
-@pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
-async def test_an_entry_that_names_no_worker_is_passed_over_and_the_others_hold(entry):
-    async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
+@pytest.mark.parametrize("entry", MALFORMED_ENTRIES.values(), ids=MALFORMED_ENTRIES)
+async def test_malformed_entry_is_skipped_and_others_are_applied(entry):
+    async with platform_with_workers(FakeWorker(Answer()), FakeWorker(Answer())) as site:
         node = await site.start_node()
         site.model.put("servers", "x", entry_of(site, 0, entry))
         site.list_worker(1, slots=5)
-        await until_listed(node, {"w0": 4, "w1": 5})
+        await wait_until_listed(node, {"w0": 4, "w1": 5})
         assert await statuses(site, node, 4) == [200] * 4
 
 
 # Guards against sending requests to a worker whose newest entry is malformed or says that it left.
-@pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
-async def test_a_worker_whose_entry_becomes_unreadable_gets_no_work(entry):
-    async with sited(FakeWorker(Answer()), FakeWorker(Answer())) as site:
+@pytest.mark.parametrize("entry", MALFORMED_ENTRIES.values(), ids=MALFORMED_ENTRIES)
+async def test_worker_whose_entry_becomes_malformed_gets_no_work(entry):
+    async with platform_with_workers(FakeWorker(Answer()), FakeWorker(Answer())) as site:
         node = await site.start_node()
         site.model.put("servers", "w0", entry_of(site, 0, entry))
         site.list_worker(1, slots=5)
-        await until_listed(node, {"w1": 5})
+        await wait_until_listed(node, {"w1": 5})
         assert await statuses(site, node, 4) == [200] * 4
         assert site.workers[0].received == []
 
 
 # Guards against an entry of another writer that displaced the worker at the same address.
-async def test_an_entry_of_an_unknown_service_displaces_no_worker_at_its_address():
-    async with sited(FakeWorker(Answer())) as site:
+async def test_entry_of_an_unknown_service_displaces_no_worker():
+    async with platform_with_workers(FakeWorker(Answer())) as site:
         node = await site.start_node()
         site.model.put("servers", "x", entry_of(site, 0, {"service": "nobody"}))
-        await until_listed(node, {"w0": 4, "x": 4})
+        await wait_until_listed(node, {"w0": 4, "x": 4})
         assert await statuses(site, node, 4) == [200] * 4
 
 
 # Guards against a missed change: it was made while the watch was disconnected, the history was then
 # truncated, and stale reads hid it as long as they lasted.
 @pytest.mark.looptime
-async def test_a_change_of_a_deaf_moment_is_heard_while_reads_are_old():
+async def test_missed_change_arrives_despite_stale_reads():
     clock = VirtualClock()
     model = RecordStoreModel(clock)
     model.moods.delay_seconds = 0.004
@@ -182,8 +182,8 @@
 
 
 # Guards against a node that kept running on stale state after the task of a watch had ended.
-async def test_a_watch_that_fails_ends_the_process():
-    async with sited(FakeWorker(Answer())) as site:
+async def test_failed_watch_ends_the_process():
+    async with platform_with_workers(FakeWorker(Answer())) as site:
         node = await site.start_node()
         running = asyncio.ensure_future(node.run())
         routing = node.node.routing
