--- a/src/foxwinch/bench/cluster_fuzz/planted.py
+++ b/src/foxwinch/bench/cluster_fuzz/planted.py
@@ -108,8 +108,8 @@
     trees: Any = node.node.parts.records.trees
     begin = trees.open
 
-    async def opened(root: ProgramId, over: NodeId | None = None) -> Any:
-        found = await begin(root, over)
+    async def opened(root: ProgramId, previous_owner: NodeId | None = None) -> Any:
+        found = await begin(root, previous_owner)
         if isinstance(found, OpenedTree):
             _lose_outcomes_of(found.journal)
         return found
--- a/src/foxwinch/bench/unit_costs.py
+++ b/src/foxwinch/bench/unit_costs.py
@@ -24,7 +24,7 @@
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.records.ports import StoredRow
 from foxwinch.records.program_trees import TreeHead
-from foxwinch.records.tree_rows import batch_writes, records_of
+from foxwinch.records.tree_rows import batch_writes, decode_records
 
 ROUNDS = 5
 NODES_OF_A_REGION = 71
@@ -97,7 +97,7 @@
             writes = batch_writes(root, 0, [record])
             assert writes is not None
             rows = [StoredRow(write.row, write.value, 1) for write in writes]
-            assert records_of(root, rows, head) is not None
+            assert decode_records(root, rows, head) is not None
             size = sum(len(write.value or b"") for write in writes)
 
     return AppendCost(record_bytes, median_seconds(appends, run), size)
--- a/src/foxwinch/commands/tree_takeover.py
+++ b/src/foxwinch/commands/tree_takeover.py
@@ -39,7 +39,7 @@
                     await self._look(partition_name(number))
 
     async def _look(self, partition: str) -> None:
-        served = await self._owner.ports.trees.served(partition)
+        served = await self._owner.ports.trees.list_trees(partition)
         if isinstance(served, Refused):
             return
         for root, node in self._orphans(served):
--- a/src/foxwinch/core/records/account.py
+++ b/src/foxwinch/core/records/account.py
@@ -12,15 +12,15 @@
 
 LEASE_MS = 15_000
 """Duration of a lease: longer than common outages of the store plus some turns."""
-TURNS_AHEAD = 4
+ADVANCE_TURNS = 4
 """Number of further turns, each at its maximum, that a lease covers beyond the open ones."""
-OTHERS_SHARE = 2
+ADVANCE_DIVISOR = 2
 """Divisor of the free tokens that limits what is leased in advance, because other nodes serve the
 program too."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reserve:
+class ReservationRequest:
     """A request to reserve `tokens` within `budget`."""
 
     request_id: str
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class RecordChange:
     """A change of the budget record, as this node sends it to the store."""
 
     sequence: int
@@ -56,7 +56,7 @@
     """This node's lease after the change."""
     used: int
     """Tokens used by this node that the change counts as spent, reported or in an expired lease."""
-    granted: tuple[Reserve, ...]
+    granted: tuple[ReservationRequest, ...]
     exhausted: dict[str, Exhausted]
     blocked: dict[str, Blocked]
     valid_until: float
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class ClockBounds:
     """Bounds on the store's clock as known by this node."""
 
     store_earliest_ms: int
@@ -76,19 +76,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ahead:
+class AdvanceLease:
     """Parameters of the lease for future turns."""
 
-    most: int
+    max_turn_tokens: int
     """Maximum number of tokens of one turn."""
     budget: int
 
     def tokens(self, free: int) -> int:
         """Return how many of the free tokens to lease in advance."""
-        if self.most <= 0:
+        if self.max_turn_tokens <= 0:
             return 0
-        turns = max(0, min(TURNS_AHEAD, free // OTHERS_SHARE // self.most))
-        return turns * self.most
+        turns = max(0, min(ADVANCE_TURNS, free // ADVANCE_DIVISOR // self.max_turn_tokens))
+        return turns * self.max_turn_tokens
 
 
 @dataclass(slots=True)
@@ -107,33 +107,33 @@
     """End of the lease on the node's monotonic clock."""
     used: int = 0
     """Spent tokens that have not been reported to the store."""
-    open: dict[str, int] = field(default_factory=dict)
+    open_turns: dict[str, int] = field(default_factory=dict)
     """Reserved tokens of each open turn, by request id."""
     written_off: set[str] = field(default_factory=set)
     """Open turns whose tokens already count as spent because their lease has expired."""
-    doubtful: dict[int, Change] = field(default_factory=dict)
+    unconfirmed: dict[int, RecordChange] = field(default_factory=dict)
     """Unconfirmed changes by sequence number: sent and without a response."""
 
     def available(self) -> int:
         """Return the tokens free for a new turn, whichever unconfirmed changes were applied."""
-        cover = self.lease
-        for change in self.doubtful.values():
-            granted = sum(reserve.tokens for reserve in change.granted)
-            cover = min(cover, change.tokens + change.used - granted)
-        return cover - self.used - sum(self.open.values())
-
-    def try_reserve(self, request: Reserve, end_at: float) -> bool:
-        """Reserve tokens from the lease for a turn that ends by `end_at`."""
-        if request.request_id in self.open:
+        covered_tokens = self.lease
+        for change in self.unconfirmed.values():
+            granted = sum(request.tokens for request in change.granted)
+            covered_tokens = min(covered_tokens, change.tokens + change.used - granted)
+        return covered_tokens - self.used - sum(self.open_turns.values())
+
+    def try_reserve(self, request: ReservationRequest, turn_deadline_at: float) -> bool:
+        """Reserve tokens from the lease for a turn that ends by `turn_deadline_at`."""
+        if request.request_id in self.open_turns:
             return True
-        if end_at > self.valid_until or self.available() < request.tokens:
+        if turn_deadline_at > self.valid_until or self.available() < request.tokens:
             return False
-        self.open[request.request_id] = request.tokens
+        self.open_turns[request.request_id] = request.tokens
         return True
 
     def settle(self, request_id: str, used: int) -> None:
         """Close a turn and count what it used; a second call has no effect."""
-        if self.open.pop(request_id, None) is None:
+        if self.open_turns.pop(request_id, None) is None:
             return
         if request_id in self.written_off:
             self.written_off.discard(request_id)
@@ -141,78 +141,85 @@
             self.used += used
 
     @property
-    def owes(self) -> bool:
+    def needs_store_update(self) -> bool:
         """Whether the store must be updated once the program is idle."""
-        return self.lease > 0 or self.used > 0 or bool(self.doubtful)
-
-    def plan(self, waiting: tuple[Reserve, ...], ahead: Ahead | None, times: Times) -> Change:
+        return self.lease > 0 or self.used > 0 or bool(self.unconfirmed)
+
+    def plan(
+        self,
+        waiting: tuple[ReservationRequest, ...],
+        advance_lease: AdvanceLease | None,
+        clock_bounds: ClockBounds,
+    ) -> RecordChange:
         """Return the change that reports used tokens and leases what `waiting` needs.
 
-        With `ahead` it also leases tokens for future turns; without it, all other tokens are
-        returned.
+        With `advance_lease` it also leases tokens for future turns; without it, all other tokens
+        are returned.
         """
         own = self.record.leases.get(self.node)
-        over = own is not None and own.expires_ms <= times.store_earliest_ms
-        base = self.record.expired(times.store_earliest_ms)
+        is_expired = own is not None and own.expires_ms <= clock_bounds.store_earliest_ms
+        base = self.record.with_expired_leases_spent(clock_bounds.store_earliest_ms)
         others = base.leased_to_others(self.node)
-        told = 0 if over else self.used
-        spent = base.spent + told
-        verdict = _Verdict(0 if over else self._covered_open())
-        for reserve in waiting:
-            verdict.judge(reserve, spent, others)
-        tokens = verdict.under_way
-        if ahead is not None:
-            tokens += ahead.tokens(ahead.budget - spent - others - tokens)
+        reported = 0 if is_expired else self.used
+        spent = base.spent + reported
+        decisions = _ReservationDecisions(0 if is_expired else self._leased_open_tokens())
+        for request in waiting:
+            decisions.decide(request, spent, others)
+        tokens = decisions.open_tokens
+        if advance_lease is not None:
+            tokens += advance_lease.tokens(advance_lease.budget - spent - others - tokens)
         sequence = next(self.sequences)
-        lease = Lease(tokens, times.store_earliest_ms + LEASE_MS, sequence)
-        return Change(
+        lease = Lease(tokens, clock_bounds.store_earliest_ms + LEASE_MS, sequence)
+        return RecordChange(
             sequence=sequence,
             version=self.version,
-            record=base.changed(self.node, told, lease),
+            record=base.with_lease(self.node, reported, lease),
             tokens=tokens,
             used=self.used,
-            granted=tuple(verdict.granted),
-            exhausted=verdict.exhausted,
-            blocked=verdict.blocked,
-            valid_until=times.lease_valid_until,
-            written_off=frozenset(self.open) if over else frozenset(),
+            granted=tuple(decisions.granted),
+            exhausted=decisions.exhausted,
+            blocked=decisions.blocked,
+            valid_until=clock_bounds.lease_valid_until,
+            written_off=frozenset(self.open_turns) if is_expired else frozenset(),
         )
 
-    def sent(self, change: Change) -> None:
+    def mark_sent(self, change: RecordChange) -> None:
         """Record that a change is sent: from now on it may have been applied."""
-        self.doubtful[change.sequence] = change
+        self.unconfirmed[change.sequence] = change
 
-    def refused(self, change: Change) -> None:
+    def mark_refused(self, change: RecordChange) -> None:
         """Record that a change was not applied and never will be."""
-        self.doubtful.pop(change.sequence, None)
+        self.unconfirmed.pop(change.sequence, None)
 
-    def written(self, change: Change, version: int) -> None:
+    def mark_applied(self, change: RecordChange, version: int) -> None:
         """Record that a change was applied; no other unconfirmed change can be applied later."""
         self.record, self.version = change.record, version
-        self._apply(change)
-        self.doubtful.clear()
+        self._adopt_change(change)
+        self.unconfirmed.clear()
 
-    def conflicted(self, record: BudgetRecord, version: int) -> Change | None:
+    def reconcile(self, record: BudgetRecord, version: int) -> RecordChange | None:
         """Adopt the stored record and return the unconfirmed change that it contains, if any."""
         self.record, self.version = record, version
         own = record.leases.get(self.node)
-        applied = self.doubtful.get(own.sequence) if own is not None else None
+        applied = self.unconfirmed.get(own.sequence) if own is not None else None
         if own is None:
             self._write_off()
         elif applied is not None:
-            self._apply(applied)
-        self.doubtful.clear()
+            self._adopt_change(applied)
+        self.unconfirmed.clear()
         return applied
 
-    def _covered_open(self) -> int:
+    def _leased_open_tokens(self) -> int:
         return sum(
-            tokens for request_id, tokens in self.open.items() if request_id not in self.written_off
+            tokens
+            for request_id, tokens in self.open_turns.items()
+            if request_id not in self.written_off
         )
 
-    def _apply(self, change: Change) -> None:
+    def _adopt_change(self, change: RecordChange) -> None:
         self.lease = change.tokens
         self.used -= change.used
-        self.written_off.update(change.written_off & self.open.keys())
+        self.written_off.update(change.written_off & self.open_turns.keys())
         self.valid_until = change.valid_until
 
     def _write_off(self) -> None:
@@ -220,25 +227,25 @@
         self.lease = 0
         self.used = 0
         self.valid_until = 0.0
-        self.written_off.update(self.open)
+        self.written_off.update(self.open_turns)
 
 
 @dataclass(slots=True)
-class _Verdict:
+class _ReservationDecisions:
     """The reservations that fit, judged in order."""
 
-    under_way: int
-    granted: list[Reserve] = field(default_factory=list)
+    open_tokens: int
+    granted: list[ReservationRequest] = field(default_factory=list)
     exhausted: dict[str, Exhausted] = field(default_factory=dict)
     blocked: dict[str, Blocked] = field(default_factory=dict)
 
-    def judge(self, reserve: Reserve, spent: int, others: int) -> None:
+    def decide(self, request: ReservationRequest, spent: int, others: int) -> None:
         """Grant, block or reject one reservation."""
-        needed = spent + self.under_way + reserve.tokens
-        if needed > reserve.budget:
-            self.exhausted[reserve.request_id] = Exhausted(spent + self.under_way)
-        elif needed + others > reserve.budget:
-            self.blocked[reserve.request_id] = Blocked(others)
+        needed = spent + self.open_tokens + request.tokens
+        if needed > request.budget:
+            self.exhausted[request.request_id] = Exhausted(spent + self.open_tokens)
+        elif needed + others > request.budget:
+            self.blocked[request.request_id] = Blocked(others)
         else:
-            self.granted.append(reserve)
-            self.under_way += reserve.tokens
+            self.granted.append(request)
+            self.open_tokens += request.tokens
--- a/src/foxwinch/core/records/budget.py
+++ b/src/foxwinch/core/records/budget.py
@@ -33,13 +33,17 @@
         """Return the tokens leased to nodes other than `node`."""
         return sum(lease.tokens for holder, lease in self.leases.items() if holder != node)
 
-    def expired(self, now_ms: int) -> "BudgetRecord":
+    def with_expired_leases_spent(self, now_ms: int) -> "BudgetRecord":
         """Return the record with expired leases counted as spent."""
-        over = sum(lease.tokens for lease in self.leases.values() if lease.expires_ms <= now_ms)
-        kept = {node: lease for node, lease in self.leases.items() if lease.expires_ms > now_ms}
-        return BudgetRecord(self.spent + over, kept)
+        expired_tokens = sum(
+            lease.tokens for lease in self.leases.values() if lease.expires_ms <= now_ms
+        )
+        valid_leases = {
+            node: lease for node, lease in self.leases.items() if lease.expires_ms > now_ms
+        }
+        return BudgetRecord(self.spent + expired_tokens, valid_leases)
 
-    def changed(self, node: str, used: int, lease: Lease) -> "BudgetRecord":
+    def with_lease(self, node: str, used: int, lease: Lease) -> "BudgetRecord":
         """Return the record after a node reported its use and took a new lease."""
         return BudgetRecord(self.spent + used, {**self.leases, node: lease})
 
--- a/src/foxwinch/core/records/turn.py
+++ b/src/foxwinch/core/records/turn.py
@@ -40,7 +40,7 @@
         )
 
 
-def prompt_of(chain: tuple[Turn, ...], new_input: bytes) -> bytes:
+def build_prompt(chain: tuple[Turn, ...], new_input: bytes) -> bytes:
     """Return the prompt: input and output of each turn, oldest first, then the new input."""
     parts: list[bytes] = []
     for turn in chain:
@@ -49,6 +49,6 @@
     return b"".join(parts)
 
 
-def output_of(event_data: list[bytes]) -> bytes:
+def join_output(event_data: list[bytes]) -> bytes:
     """Return the output of a turn, assembled from its events' data."""
     return b"".join(data + b"\n" for data in event_data)
--- a/src/foxwinch/node/local.py
+++ b/src/foxwinch/node/local.py
@@ -12,7 +12,7 @@
 from foxwinch.limits.ports import Admitted
 from foxwinch.outcomes import Refused
 from foxwinch.records.program_trees import (
-    Applied,
+    LateAppendCallback,
     OpenedTree,
     OwnedElsewhere,
     ProgramTreeStore,
@@ -33,7 +33,7 @@
         """How many times it has been appended to."""
         return self._batches
 
-    def on_late_append(self, applied: Applied) -> None:
+    def on_late_append(self, callback: LateAppendCallback) -> None:
         """Accept a listener that will never be called: no append is ever in doubt."""
 
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
@@ -60,7 +60,7 @@
         self._records: dict[ProgramId, list[JournalRecord]] = {}
 
     async def open(
-        self, root: ProgramId, over: NodeId | None = None
+        self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> OpenedTree | OwnedElsewhere | Refused:
         """Return the program tree."""
         records = self._records.setdefault(root, [])
@@ -70,7 +70,7 @@
         """Return a program tree's records."""
         return list(self._records.get(root, ()))
 
-    async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
+    async def list_trees(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
         """Return nothing: there is no other node whose program trees could be left behind."""
         return ()
 
--- a/src/foxwinch/platform/store_client.py
+++ b/src/foxwinch/platform/store_client.py
@@ -38,7 +38,7 @@
     RowWrite,
     Written,
 )
-from foxwinch.records.watch import ANSWER_SECONDS
+from foxwinch.records.watch import RESPONSE_GRACE_SECONDS
 from foxwinch.serving.metrics import ServingMetrics
 
 KEPT_SECONDS = 10.0
@@ -133,7 +133,7 @@
             AFTER_VERSION: str(after_version),
             HELD_MS: str(int(1e3 * wait_seconds)),
         }
-        timeout_seconds = wait_seconds + ANSWER_SECONDS
+        timeout_seconds = wait_seconds + RESPONSE_GRACE_SECONDS
         answer = await self._ask("GET", STORE_CHANGES, query, None, timeout_seconds)
         if isinstance(answer, Refused):
             return answer
--- a/src/foxwinch/records/program_trees.py
+++ b/src/foxwinch/records/program_trees.py
@@ -13,7 +13,7 @@
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.outcomes import Refused
 
-Applied = Callable[[Sequence[JournalRecord]], None]
+LateAppendCallback = Callable[[Sequence[JournalRecord]], None]
 """Callback for records whose append took effect after it was abandoned."""
 
 
@@ -47,7 +47,7 @@
         """Return the number of batches appended to the journal."""
 
     @abstractmethod
-    def on_late_append(self, applied: Applied) -> None:
+    def on_late_append(self, callback: LateAppendCallback) -> None:
         """Set the callback for records whose append took effect after it was abandoned."""
 
     @abstractmethod
@@ -80,14 +80,14 @@
 
     @abstractmethod
     async def open(
-        self, root: ProgramId, over: NodeId | None = None
+        self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> OpenedTree | OwnedElsewhere | Refused:
-        """Start serving a program tree, or take it over from node `over` if that one serves it."""
+        """Start serving a program tree, taking it over if `previous_owner` serves it."""
 
     @abstractmethod
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
         """Read a program tree's journal without serving it."""
 
     @abstractmethod
-    async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
+    async def list_trees(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
         """Return the program trees of a partition, each with the node that serves it."""
--- a/src/foxwinch/records/retry.py
+++ b/src/foxwinch/records/retry.py
@@ -8,7 +8,7 @@
 from foxwinch.outcomes import Reason, Refused, not_run
 
 STORE_BACKOFF = Backoff(base_seconds=0.05, cap_seconds=0.4)
-CALL_SECONDS = 0.8
+CALL_TIMEOUT_SECONDS = 0.8
 """Timeout of one call. A slow store still responds within it; a call to an unresponsive store is
 retried on another connection."""
 MIN_CALL_SECONDS = 0.03
@@ -27,19 +27,19 @@
     `call` takes its timeout in seconds and must be idempotent.
     """
     attempt = 0
-    last: Refused | None = None
+    last_refusal: Refused | None = None
     while True:
-        left = deadline_at - clock.monotonic()
-        if left < MIN_CALL_SECONDS:
-            return last or not_run(
+        remaining_seconds = deadline_at - clock.monotonic()
+        if remaining_seconds < MIN_CALL_SECONDS:
+            return last_refusal or not_run(
                 Reason.DEADLINE, "the deadline passed before the store could be called"
             )
-        outcome = await call(min(left, CALL_SECONDS))
+        outcome = await call(min(remaining_seconds, CALL_TIMEOUT_SECONDS))
         if not isinstance(outcome, Refused):
             return outcome
-        last = outcome
+        last_refusal = outcome
         wait = STORE_BACKOFF.wait_seconds(attempt, 0.5 + 0.5 * clock.uniform())
         attempt += 1
         if clock.monotonic() + wait > deadline_at:
-            return last
+            return last_refusal
         await clock.sleep(wait)
--- a/src/foxwinch/records/store_probe.py
+++ b/src/foxwinch/records/store_probe.py
@@ -8,13 +8,13 @@
 from foxwinch.records.ports import RowKey
 from foxwinch.records.store_state import ObservedStore
 
-PROBE_SECONDS = 0.4
+PROBE_INTERVAL_SECONDS = 0.4
 """Maximum interval between probes and timeout of a probe: two probes fit into the time after which
 a node counts as isolated."""
 MAX_PROBES = 2
 """Maximum number of probes; after them the retries of the watches detect when the store is back."""
-NO_KEY = "~"
-NO_KEY_END = "~\x01"
+ABSENT_KEY = "~"
+ABSENT_KEY_END = "~\x01"
 
 
 class StoreProbe:
@@ -24,16 +24,18 @@
         """Create a probe of `table`; `store` itself records the responses."""
         self._store = store
         self._clock = clock
-        self._row = RowKey(table, "", NO_KEY)
+        self._row = RowKey(table, "", ABSENT_KEY)
 
     async def run(self) -> None:
         """Probe the store whenever its last call failed; run until cancelled."""
         while True:
-            await self._store.wait_until_lost()
+            await self._store.wait_until_unavailable()
             for _ in range(MAX_PROBES):
-                await self._clock.sleep(PROBE_SECONDS * (0.5 + 0.5 * self._clock.uniform()))
-                if not self._store.lost_seconds():
+                await self._clock.sleep(
+                    PROBE_INTERVAL_SECONDS * (0.5 + 0.5 * self._clock.uniform())
+                )
+                if not self._store.unavailable_seconds():
                     break
-                await self._store.read(self._row, NO_KEY_END, PROBE_SECONDS)
-            while self._store.lost_seconds():
-                await self._clock.sleep(PROBE_SECONDS)
+                await self._store.read(self._row, ABSENT_KEY_END, PROBE_INTERVAL_SECONDS)
+            while self._store.unavailable_seconds():
+                await self._clock.sleep(PROBE_INTERVAL_SECONDS)
--- a/src/foxwinch/records/tree_rows.py
+++ b/src/foxwinch/records/tree_rows.py
@@ -11,11 +11,11 @@
 from foxwinch.records.partitions import partition_of
 from foxwinch.records.ports import RowKey, RowWrite, StoredRow
 from foxwinch.records.program_trees import TreeHead
-from foxwinch.records.turns import PIECE_BYTES
+from foxwinch.records.turns import MAX_CHUNK_BYTES
 
 HEADS_TABLE = "families"
 JOURNALS_TABLE = "journals"
-MAX_PIECES = 12
+MAX_CHUNKS = 12
 """Maximum number of rows of a batch: about 720 kB in base64, below the store's limit of 1 MB per
 transaction."""
 SEPARATOR = "/"
@@ -24,22 +24,22 @@
 BATCH_DIGITS = 8
 
 
-def head_row(root: ProgramId) -> RowKey:
+def head_key(root: ProgramId) -> RowKey:
     """Return the row key of a program tree's head."""
     return RowKey(HEADS_TABLE, partition_of(root), root)
 
 
-def first_batch(root: ProgramId) -> RowKey:
+def batches_start_key(root: ProgramId) -> RowKey:
     """Return the start of the key range of a program tree's batches."""
     return RowKey(JOURNALS_TABLE, partition_of(root), root + SEPARATOR)
 
 
-def after_batches(root: ProgramId) -> str:
+def batches_end_key(root: ProgramId) -> str:
     """Return the end of the key range of a program tree's batches, exclusive."""
     return root + AFTER_SEPARATOR
 
 
-def head_of(stored: StoredRow) -> TreeHead | None:
+def decode_head(stored: StoredRow) -> TreeHead | None:
     """Decode a head row; return None if it is malformed."""
     if stored.value is None:
         return TreeHead(0, 0, NodeId(""), "", "")
@@ -66,7 +66,7 @@
         token=head.token,
         first=head.first,
     )
-    return RowWrite(head_row(root), message.SerializeToString())
+    return RowWrite(head_key(root), message.SerializeToString())
 
 
 def batch_writes(
@@ -74,41 +74,43 @@
 ) -> list[RowWrite] | None:
     """Return the rows of a batch, or None if it exceeds the size of a transaction."""
     data = JournalBatch(records=records).SerializeToString()
-    pieces = [data[at : at + PIECE_BYTES] for at in range(0, len(data), PIECE_BYTES)] or [b""]
-    if len(pieces) > MAX_PIECES:
+    chunks = [data[at : at + MAX_CHUNK_BYTES] for at in range(0, len(data), MAX_CHUNK_BYTES)] or [
+        b""
+    ]
+    if len(chunks) > MAX_CHUNKS:
         return None
     return [
-        RowWrite(_piece_row(root, number, index, len(pieces)), piece)
-        for index, piece in enumerate(pieces)
+        RowWrite(_chunk_key(root, number, index, len(chunks)), chunk)
+        for index, chunk in enumerate(chunks)
     ]
 
 
-def records_of(
+def decode_records(
     root: ProgramId, rows: Sequence[StoredRow], head: TreeHead
 ) -> list[JournalRecord] | None:
     """Join the batches of a journal; return None if one is missing, as in a stale read."""
     numbers = range(head.first, head.batches)
-    pieces: dict[int, list[bytes]] = {}
+    chunks: dict[int, list[bytes]] = {}
     expected: dict[int, int] = {}
     for row in rows:
-        number, count = _place_of(row.row.key, root)
-        pieces.setdefault(number, []).append(row.value or b"")
+        number, count = _parse_chunk_key(row.row.key, root)
+        chunks.setdefault(number, []).append(row.value or b"")
         expected[number] = count
-    if any(len(pieces.get(number, ())) != expected.get(number) for number in numbers):
+    if any(len(chunks.get(number, ())) != expected.get(number) for number in numbers):
         return None
     return [
         record
         for number in numbers
-        for record in JournalBatch.FromString(b"".join(pieces[number])).records
+        for record in JournalBatch.FromString(b"".join(chunks[number])).records
     ]
 
 
-def _piece_row(root: ProgramId, number: int, index: int, count: int) -> RowKey:
+def _chunk_key(root: ProgramId, number: int, index: int, count: int) -> RowKey:
     key = f"{root}{SEPARATOR}{number:0{BATCH_DIGITS}d}{SEPARATOR}{index:02d}.{count:02d}"
     return RowKey(JOURNALS_TABLE, partition_of(root), key)
 
 
-def _place_of(key: str, root: ProgramId) -> tuple[int, int]:
+def _parse_chunk_key(key: str, root: ProgramId) -> tuple[int, int]:
     """Return the batch number of a row and the number of rows in that batch."""
-    number, _, piece = key[len(root) + 1 :].partition(SEPARATOR)
-    return int(number), int(piece.partition(".")[2])
+    number, _, chunk = key[len(root) + 1 :].partition(SEPARATOR)
+    return int(number), int(chunk.partition(".")[2])
--- a/src/foxwinch/records/tree_store.py
+++ b/src/foxwinch/records/tree_store.py
@@ -15,26 +15,28 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.records.ports import Conflict, RecordStore, RowCondition, RowKey, Written
 from foxwinch.records.program_trees import OpenedTree, OwnedElsewhere, ProgramTreeStore, TreeHead
-from foxwinch.records.retry import CALL_SECONDS, retry_until
+from foxwinch.records.retry import CALL_TIMEOUT_SECONDS, retry_until
 from foxwinch.records.tree_journal import StoredJournal
 from foxwinch.records.tree_rows import (
     HEADS_TABLE,
-    after_batches,
-    first_batch,
-    head_of,
-    head_row,
+    batches_end_key,
+    batches_start_key,
+    decode_head,
+    decode_records,
+    head_key,
     head_write,
-    records_of,
 )
 
-OPEN_SECONDS = 3.0
+OPEN_TIMEOUT_SECONDS = 3.0
 """Maximum time that a request waits for its program tree to be read."""
 LAST_KEY = "\U0010ffff"
 UNREADABLE = Refused(
-    Reason.INTERNAL, RunState.NOT_RUN, "the program family's head row cannot be decoded"
+    Reason.INTERNAL, RunState.NOT_RUN, "the program tree's head row cannot be decoded"
 )
 STALE = not_run(Reason.STORE_UNAVAILABLE, "the store returned a stale journal", 0.2)
-RACED = not_run(Reason.NOT_OWNER, "another node took over the program family at the same time", 0.1)
+TAKEOVER_LOST = not_run(
+    Reason.NOT_OWNER, "another node took over the program tree at the same time", 0.1
+)
 log = EventLog("families")
 
 
@@ -47,106 +49,108 @@
         self._clock = clock
         self._node = node
         self._address = address
-        self._numbers = itertools.count(1)
+        self._token_numbers = itertools.count(1)
 
     async def open(
-        self, root: ProgramId, over: NodeId | None = None
+        self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> OpenedTree | OwnedElsewhere | Refused:
         """Start serving a program tree; nothing is written for a tree without a row.
 
         A tree that is served at this node's address is taken over as well, because the process that
         had the address before no longer runs.
         """
-        deadline_at = self._clock.monotonic() + OPEN_SECONDS
-        head = await self._head(root, deadline_at)
+        deadline_at = self._clock.monotonic() + OPEN_TIMEOUT_SECONDS
+        head = await self._read_head(root, deadline_at)
         if isinstance(head, Refused):
             return head
         if head.version and head.node != self._node:
-            if head.node != over and head.address != self._address:
+            if head.node != previous_owner and head.address != self._address:
                 return OwnedElsewhere(head.node, head.address)
-            taken = await self._take(root, head, deadline_at)
-            if not isinstance(taken, TreeHead):
-                return taken
-            head = taken
-        records = await self._records(root, head, deadline_at)
+            taken_head = await self._take_over(root, head, deadline_at)
+            if not isinstance(taken_head, TreeHead):
+                return taken_head
+            head = taken_head
+        records = await self._read_records(root, head, deadline_at)
         if isinstance(records, Refused):
             return records
-        journal = StoredJournal(self._store, self._clock, root, head, self._token)
+        journal = StoredJournal(self._store, self._clock, root, head, self._new_token)
         return OpenedTree(journal, records)
 
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
         """Read a program tree's journal without serving it."""
-        deadline_at = self._clock.monotonic() + OPEN_SECONDS
-        head = await self._head(root, deadline_at)
+        deadline_at = self._clock.monotonic() + OPEN_TIMEOUT_SECONDS
+        head = await self._read_head(root, deadline_at)
         if isinstance(head, Refused):
             return head
-        return await self._records(root, head, deadline_at)
+        return await self._read_records(root, head, deadline_at)
 
-    async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
+    async def list_trees(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
         """Return the program trees of a partition, each with the node that serves it."""
         first = RowKey(HEADS_TABLE, partition, "")
-        read = await self._store.read(first, LAST_KEY, CALL_SECONDS)
+        read = await self._store.read(first, LAST_KEY, CALL_TIMEOUT_SECONDS)
         if isinstance(read, Refused):
             return read
-        heads = ((ProgramId(row.row.key), head_of(row)) for row in read.rows)
+        heads = ((ProgramId(row.row.key), decode_head(row)) for row in read.rows)
         return [(root, head.node) for root, head in heads if head is not None and head.version]
 
-    async def _head(self, root: ProgramId, deadline_at: float) -> TreeHead | Refused:
+    async def _read_head(self, root: ProgramId, deadline_at: float) -> TreeHead | Refused:
         """Read the head by a transaction; unlike a plain read it is never stale."""
-        condition = RowCondition(head_row(root), 0)
+        condition = RowCondition(head_key(root), 0)
 
-        async def ask(timeout_seconds: float) -> Written | Conflict | Refused:
+        async def read_head(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (), timeout_seconds)
 
-        answer = await retry_until(self._clock, deadline_at, ask)
-        if isinstance(answer, Refused):
-            return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
-        if isinstance(answer, Written):
+        result = await retry_until(self._clock, deadline_at, read_head)
+        if isinstance(result, Refused):
+            return not_run(result.reason, result.detail, result.retry_after_seconds)
+        if isinstance(result, Written):
             return TreeHead(0, 0, self._node, self._address, "")
-        return head_of(answer.rows[0]) or UNREADABLE
+        return decode_head(result.rows[0]) or UNREADABLE
 
-    async def _take(
+    async def _take_over(
         self, root: ProgramId, head: TreeHead, deadline_at: float
     ) -> TreeHead | OwnedElsewhere | Refused:
         """Write this node into the head; after a lost response the token shows who wrote it."""
-        wanted = head._replace(node=self._node, address=self._address, token=self._token())
-        condition = RowCondition(head_row(root), head.version)
+        new_head = head._replace(node=self._node, address=self._address, token=self._new_token())
+        condition = RowCondition(head_key(root), head.version)
 
         async def write(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact(
-                (condition,), (head_write(root, wanted),), timeout_seconds
+                (condition,), (head_write(root, new_head),), timeout_seconds
             )
 
-        answer = await retry_until(self._clock, deadline_at, write)
-        if isinstance(answer, Refused):
-            return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
-        if isinstance(answer, Written):
-            log.info("family_taken_over", family=root, from_node=head.node, version=answer.version)
-            return wanted._replace(version=answer.version)
-        found = head_of(answer.rows[0])
+        result = await retry_until(self._clock, deadline_at, write)
+        if isinstance(result, Refused):
+            return not_run(result.reason, result.detail, result.retry_after_seconds)
+        if isinstance(result, Written):
+            log.info("family_taken_over", family=root, from_node=head.node, version=result.version)
+            return new_head._replace(version=result.version)
+        found = decode_head(result.rows[0])
         if found is None:
             return UNREADABLE
-        if found.token == wanted.token:
+        if found.token == new_head.token:
             return found
-        return OwnedElsewhere(found.node, found.address) if found.version else RACED
+        return OwnedElsewhere(found.node, found.address) if found.version else TAKEOVER_LOST
 
-    async def _records(
+    async def _read_records(
         self, root: ProgramId, head: TreeHead, deadline_at: float
     ) -> list[JournalRecord] | Refused:
         if head.first == head.batches:
             return []
 
-        async def ask(timeout_seconds: float) -> list[JournalRecord] | Refused:
-            read = await self._store.read(first_batch(root), after_batches(root), timeout_seconds)
+        async def read_batches(timeout_seconds: float) -> list[JournalRecord] | Refused:
+            read = await self._store.read(
+                batches_start_key(root), batches_end_key(root), timeout_seconds
+            )
             if isinstance(read, Refused):
                 return read
-            records = records_of(root, read.rows, head)
+            records = decode_records(root, read.rows, head)
             return STALE if records is None else records
 
-        answer = await retry_until(self._clock, deadline_at, ask)
-        if isinstance(answer, Refused):
-            return not_run(answer.reason, answer.detail, answer.retry_after_seconds)
-        return answer
+        result = await retry_until(self._clock, deadline_at, read_batches)
+        if isinstance(result, Refused):
+            return not_run(result.reason, result.detail, result.retry_after_seconds)
+        return result
 
-    def _token(self) -> str:
-        return f"{self._node}/{next(self._numbers)}"
+    def _new_token(self) -> str:
+        return f"{self._node}/{next(self._token_numbers)}"
--- a/src/foxwinch/records/turns.py
+++ b/src/foxwinch/records/turns.py
@@ -28,14 +28,14 @@
 from foxwinch.records.retry import retry_until
 
 TURNS_TABLE = "turns"
-PIECE_BYTES = 45_000
+MAX_CHUNK_BYTES = 45_000
 """Maximum size of a chunk; in base64 it stays below the store's limit of 65,536 bytes per row."""
-PIECES_IN_TRANSACTION = 12
+MAX_CHUNKS_PER_TRANSACTION = 12
 """About 720 kB in base64, below the store's limit of 1 MB per transaction."""
 CACHE_BYTES = 24 * 1024 * 1024
-PIECE_COUNT = struct.Struct(">H")
+CHUNK_COUNT = struct.Struct(">H")
 """Header of the first chunk: the number of chunks."""
-AFTER_PIECES = "0"
+CHUNKS_END = "0"
 """The character after the slash, which ends the key range of a turn's rows."""
 
 
@@ -53,17 +53,17 @@
         """Create the access to the turns in `store`, with an empty cache."""
         self._store = store
         self._clock = clock
-        self._cache: LRUCache[str, Turn] = LRUCache(cache_bytes, getsizeof=_size_of)
+        self._cache: LRUCache[str, Turn] = LRUCache(cache_bytes, getsizeof=_cached_bytes)
 
     async def chain(
         self, request_id: str, deadline_at: float
     ) -> tuple[Turn, ...] | NoSuchTurn | Refused:
         """Return a turn and all turns before it, oldest first."""
-        last = await self._turn(request_id, deadline_at)
+        last = await self._load_turn(request_id, deadline_at)
         if not isinstance(last, Turn):
             return last
         earlier = await asyncio.gather(
-            *(self._turn(ancestor, deadline_at) for ancestor in last.ancestors)
+            *(self._load_turn(ancestor, deadline_at) for ancestor in last.ancestors)
         )
         chain: list[Turn] = []
         for turn in earlier:
@@ -75,22 +75,26 @@
     async def write(self, turn: Turn, deadline_at: float) -> Refused | None:
         """Store a turn and return None once it is committed; writing it again has no effect."""
         data = turn.encode()
-        pieces = [data[start : start + PIECE_BYTES] for start in range(0, len(data), PIECE_BYTES)]
-        pieces = pieces or [b""]
-        later = [
-            RowWrite(_row(turn.request_id, number), piece)
-            for number, piece in enumerate(pieces)
+        chunks = [
+            data[start : start + MAX_CHUNK_BYTES] for start in range(0, len(data), MAX_CHUNK_BYTES)
+        ]
+        chunks = chunks or [b""]
+        later_chunks = [
+            RowWrite(_row_key(turn.request_id, number), chunk)
+            for number, chunk in enumerate(chunks)
             if number > 0
         ]
-        first = RowWrite(_row(turn.request_id, 0), PIECE_COUNT.pack(len(pieces)) + pieces[0])
+        first_chunk = RowWrite(
+            _row_key(turn.request_id, 0), CHUNK_COUNT.pack(len(chunks)) + chunks[0]
+        )
         # The first chunk is written last, so that its presence implies all others.
-        writes = [*later, first]
-        for start in range(0, len(writes), PIECES_IN_TRANSACTION):
-            batch = tuple(writes[start : start + PIECES_IN_TRANSACTION])
+        writes = [*later_chunks, first_chunk]
+        for start in range(0, len(writes), MAX_CHUNKS_PER_TRANSACTION):
+            batch = tuple(writes[start : start + MAX_CHUNKS_PER_TRANSACTION])
             refused = await self._write_batch(batch, deadline_at)
             if refused is not None:
                 return refused
-        self._keep(turn)
+        self._cache_turn(turn)
         return None
 
     async def _write_batch(self, batch: tuple[RowWrite, ...], deadline_at: float) -> Refused | None:
@@ -101,38 +105,38 @@
         )
         return outcome if isinstance(outcome, Refused) else None
 
-    def _keep(self, turn: Turn) -> None:
-        if _size_of(turn) <= self._cache.maxsize:
+    def _cache_turn(self, turn: Turn) -> None:
+        if _cached_bytes(turn) <= self._cache.maxsize:
             self._cache[turn.request_id] = turn
 
-    async def _turn(self, request_id: str, deadline_at: float) -> Turn | NoSuchTurn | Refused:
+    async def _load_turn(self, request_id: str, deadline_at: float) -> Turn | NoSuchTurn | Refused:
         cached = self._cache.get(request_id)
         if cached is not None:
             return cached
-        first = _row(request_id, 0)
+        first_chunk = _row_key(request_id, 0)
         read = await retry_until(
             self._clock,
             deadline_at,
             lambda timeout_seconds: self._store.read(
-                first, request_id + AFTER_PIECES, timeout_seconds
+                first_chunk, request_id + CHUNKS_END, timeout_seconds
             ),
         )
         if isinstance(read, Refused):
             return read
         turn = _assemble(request_id, read)
         if turn is not None:
-            self._keep(turn)
+            self._cache_turn(turn)
             return turn
         return await self._confirm_missing(request_id, deadline_at)
 
     async def _confirm_missing(self, request_id: str, deadline_at: float) -> NoSuchTurn | Refused:
         """Check by a transaction that the turn is missing; unlike a read it is never stale."""
-        condition = RowCondition(_row(request_id, 0), 0)
+        condition = RowCondition(_row_key(request_id, 0), 0)
 
-        async def ask(timeout_seconds: float) -> Written | Conflict | Refused:
+        async def check_row(timeout_seconds: float) -> Written | Conflict | Refused:
             return await self._store.transact((condition,), (), timeout_seconds)
 
-        outcome = await retry_until(self._clock, deadline_at, ask)
+        outcome = await retry_until(self._clock, deadline_at, check_row)
         if isinstance(outcome, Written):
             return NoSuchTurn(request_id)
         if isinstance(outcome, Conflict):
@@ -140,29 +144,29 @@
         return outcome
 
 
-def _row(request_id: str, piece: int) -> RowKey:
-    key = request_id if piece == 0 else f"{request_id}/{piece:04d}"
+def _row_key(request_id: str, chunk: int) -> RowKey:
+    key = request_id if chunk == 0 else f"{request_id}/{chunk:04d}"
     return RowKey(TURNS_TABLE, partition_of(request_id), key)
 
 
 def _assemble(request_id: str, read: RowsRead) -> Turn | None:
     """Join the chunks of a turn; return None if a chunk is missing or the data is malformed."""
     values = {row.row.key: row.value for row in read.rows}
-    first = values.get(request_id)
-    if first is None:
+    first_chunk = values.get(request_id)
+    if first_chunk is None:
         return None
-    (count,) = PIECE_COUNT.unpack_from(first)
-    pieces = [first[PIECE_COUNT.size :]]
+    (count,) = CHUNK_COUNT.unpack_from(first_chunk)
+    chunks = [first_chunk[CHUNK_COUNT.size :]]
     for number in range(1, count):
-        piece = values.get(_row(request_id, number).key)
-        if piece is None:
+        chunk = values.get(_row_key(request_id, number).key)
+        if chunk is None:
             return None
-        pieces.append(piece)
+        chunks.append(chunk)
     try:
-        return Turn.decode(request_id, b"".join(pieces))
+        return Turn.decode(request_id, b"".join(chunks))
     except DecodeError:
         return None
 
 
-def _size_of(turn: Turn) -> int:
+def _cached_bytes(turn: Turn) -> int:
     return len(turn.input) + len(turn.output) + 32 * len(turn.ancestors) + 256
--- a/src/foxwinch/records/watch.py
+++ b/src/foxwinch/records/watch.py
@@ -28,27 +28,27 @@
 
 WAIT_SECONDS = 2.0
 """Default time for which the store holds a call open (long poll)."""
-ANSWER_SECONDS = 0.8
+RESPONSE_GRACE_SECONDS = 0.8
 """Time after the end of a held call at which its response counts as lost: the time that a slow
 store takes for other calls."""
 RECOVERY_SECONDS = 1.0
 """Recovery time after a lost call: two backoff waits, an attempt whose connect times out after half
 a second, and a response."""
 MIN_WAIT_SECONDS = 0.5
-READ_SECONDS = 1.0
+READ_TIMEOUT_SECONDS = 1.0
 RETRY_BACKOFF = Backoff(base_seconds=0.1, cap_seconds=0.6)
-ASK_SECONDS = 1.0
+QUERY_INTERVAL_SECONDS = 1.0
 """Minimum interval between transactions that query the newest version: half of the time in which a
 drain must be noticed. All nodes lose history at once and query one partition, so the rate is
 limited."""
-NO_KEY = "~"
+ABSENT_KEY = "~"
 """Key of a row that no table contains."""
 log = EventLog("watch")
 
 
 def watch_wait_seconds(seconds: float) -> float:
     """Return the longest hold time with which a lost call is recovered within `seconds`."""
-    return max(MIN_WAIT_SECONDS, seconds - ANSWER_SECONDS - RECOVERY_SECONDS)
+    return max(MIN_WAIT_SECONDS, seconds - RESPONSE_GRACE_SECONDS - RECOVERY_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,11 +64,11 @@
         store: RecordStore,
         clock: Clock,
         table: str,
-        take: Callable[[RowsRead, bool], None],
+        on_rows: Callable[[RowsRead, bool], None],
         wait_seconds: float = WAIT_SECONDS,
         keys: tuple[str, ...] = (),
     ) -> None:
-        """Create a watch that calls `take` with rows and whether they are the full table.
+        """Create a watch that calls `on_rows` with rows and whether they are the full table.
 
         Calls are held open for `wait_seconds`: a longer time means fewer calls, but a lost response
         is noticed later. After a truncated history, `keys` are queried even if no read has
@@ -78,21 +78,21 @@
         self._store = store
         self._clock = clock
         self._table = table
-        self._take = take
+        self._on_rows = on_rows
         self._keys = keys
         self._version = 0
         self._row_versions: dict[str, int] = {}
         self._removed: dict[str, int] = {}
         """Versions of removals that a stale read may not reflect."""
-        self._lost_at: int | None = None
+        self._history_lost_at: int | None = None
         """Version after which the history was truncated; None once changes arrive again."""
         self._newest: int | None = None
         """Version from which on a full read is complete after the history was truncated."""
-        self._asked_at = float("-inf")
+        self._queried_at = float("-inf")
         self._interrupted = True
         """Whether a call has failed since the table was last confirmed as up to date."""
         self._confirmed_at: float | None = None
-        self._lost_since: float | None = None
+        self._unavailable_since: float | None = None
 
     @property
     def table(self) -> str:
@@ -124,49 +124,49 @@
     async def run(self) -> None:
         """Watch the table until cancelled."""
         attempt = 0
-        hearing = False
+        watching_changes = False
         while True:
-            outcome = await (self._hear() if hearing else self._read_whole())
+            outcome = await (self._wait_for_changes() if watching_changes else self._read_full())
             if isinstance(outcome, RowsRead):
-                attempt = 0 if hearing else attempt
-                hearing = True
-                self._note_regained()
+                attempt = 0 if watching_changes else attempt
+                watching_changes = True
+                self._log_recovery()
                 continue
             self._interrupted = True
             if isinstance(outcome, Refused):
-                self._note_lost(outcome)
+                self._log_outage(outcome)
             else:
-                hearing = False
+                watching_changes = False
             wait = RETRY_BACKOFF.wait_seconds(attempt, 0.3 + 0.7 * self._clock.uniform())
             attempt += 1
             await self._clock.sleep(wait)
 
-    async def _hear(self) -> RowsRead | _StaleRead | HistoryLost | Refused:
+    async def _wait_for_changes(self) -> RowsRead | _StaleRead | HistoryLost | Refused:
         """Wait for changes and apply them.
 
         After a failed call the next one is not held open, which shows early whether the store is
         back.
         """
         wait_seconds = 0.0 if self._interrupted else self._wait_seconds
-        heard = await self._store.changes(self._table, self._version, wait_seconds)
-        if isinstance(heard, HistoryLost):
+        received = await self._store.changes(self._table, self._version, wait_seconds)
+        if isinstance(received, HistoryLost):
             log.info("history_lost", table=self._table, version=self._version)
-            self._lost_at = self._version
-        elif isinstance(heard, RowsRead):
-            if heard.version < self._version:
+            self._history_lost_at = self._version
+        elif isinstance(received, RowsRead):
+            if received.version < self._version:
                 return _StaleRead()
-            self._version = heard.version
-            self._lost_at = self._newest = None
-            self._take_changes(heard)
+            self._version = received.version
+            self._history_lost_at = self._newest = None
+            self._apply_changes(received)
             self._removed.clear()
-            self._note_confirmed()
-        return heard
+            self._mark_confirmed()
+        return received
 
-    async def _read_whole(self) -> RowsRead | _StaleRead | Refused:
+    async def _read_full(self) -> RowsRead | _StaleRead | Refused:
         """Read the full table; after a truncated history, query the newest version first."""
-        if self._lost_at is not None:
-            await self._ask_newest()
-        read = await self._store.read_table(self._table, READ_SECONDS)
+        if self._history_lost_at is not None:
+            await self._query_newest()
+        read = await self._store.read_table(self._table, READ_TIMEOUT_SECONDS)
         if isinstance(read, Refused):
             return read
         log.info(
@@ -182,28 +182,28 @@
             return _StaleRead()
         if read.version < (self._newest or self._version):
             # The read lacks changes but may contain new rows.
-            self._take_changes(read)
+            self._apply_changes(read)
         else:
-            self._take_whole(read)
-            self._note_confirmed()
-        if self._lost_at is not None and read.version <= self._lost_at:
+            self._apply_full_read(read)
+            self._mark_confirmed()
+        if self._history_lost_at is not None and read.version <= self._history_lost_at:
             return _StaleRead()
         self._version = read.version
         return read
 
-    async def _ask_newest(self) -> None:
+    async def _query_newest(self) -> None:
         """Apply changes of the known rows and get the version that reads must reach."""
         now = self._clock.monotonic()
-        if now - self._asked_at < ASK_SECONDS:
+        if now - self._queried_at < QUERY_INTERVAL_SECONDS:
             return
-        self._asked_at = now
+        self._queried_at = now
         keys = {**dict.fromkeys(self._keys, ABSENT_VERSION), **self._row_versions}
         if not keys or len(keys) > MAX_CONDITIONS:
-            keys = {NO_KEY: ABSENT_VERSION}
+            keys = {ABSENT_KEY: ABSENT_VERSION}
         conditions = tuple(
             RowCondition(RowKey(self._table, "", key), version) for key, version in keys.items()
         )
-        outcome = await self._store.transact(conditions, (), READ_SECONDS)
+        outcome = await self._store.transact(conditions, (), READ_TIMEOUT_SECONDS)
         if isinstance(outcome, Refused):
             log.info("newest_version_unknown", table=self._table, detail=outcome.detail)
             return
@@ -220,20 +220,20 @@
         rows = tuple(
             row if row.value is not None else replace(row, version=outcome.version)
             for row in outcome.rows
-            if row.row.key != NO_KEY
+            if row.row.key != ABSENT_KEY
         )
-        self._take_changes(
+        self._apply_changes(
             RowsRead(rows, False, outcome.version, outcome.now_ms, outcome.unreadable)
         )
 
-    def _take_whole(self, read: RowsRead) -> None:
+    def _apply_full_read(self, read: RowsRead) -> None:
         self._row_versions = {row.row.key: row.version for row in read.rows}
         self._removed.clear()
-        self._take(read, True)
+        self._on_rows(read, True)
 
-    def _take_changes(self, read: RowsRead) -> None:
+    def _apply_changes(self, read: RowsRead) -> None:
         """Apply the rows that are newer than the known ones."""
-        rows = tuple(row for row in read.rows if self._is_news(row))
+        rows = tuple(row for row in read.rows if self._is_newer(row))
         for row in rows:
             if row.value is None:
                 self._row_versions.pop(row.row.key, None)
@@ -244,27 +244,27 @@
         for refused in read.unreadable:
             self._row_versions.pop(refused.key, None)
         if rows or read.unreadable:
-            self._take(replace(read, rows=rows), False)
+            self._on_rows(replace(read, rows=rows), False)
 
-    def _is_news(self, row: StoredRow) -> bool:
+    def _is_newer(self, row: StoredRow) -> bool:
         key = row.row.key
-        seen = self._row_versions.get(key, self._removed.get(key, ABSENT_VERSION))
-        return row.version > seen
+        known_version = self._row_versions.get(key, self._removed.get(key, ABSENT_VERSION))
+        return row.version > known_version
 
-    def _note_confirmed(self) -> None:
+    def _mark_confirmed(self) -> None:
         self._confirmed_at = self._clock.monotonic()
         self._interrupted = False
 
-    def _note_regained(self) -> None:
-        if self._lost_since is None:
+    def _log_recovery(self) -> None:
+        if self._unavailable_since is None:
             return
-        away = self._clock.monotonic() - self._lost_since
-        self._lost_since = None
-        log.info("store_regained", table=self._table, away_ms=int(1e3 * away))
+        outage_seconds = self._clock.monotonic() - self._unavailable_since
+        self._unavailable_since = None
+        log.info("store_regained", table=self._table, away_ms=int(1e3 * outage_seconds))
 
-    def _note_lost(self, refused: Refused) -> None:
-        if self._lost_since is None:
-            self._lost_since = self._clock.monotonic()
+    def _log_outage(self, refused: Refused) -> None:
+        if self._unavailable_since is None:
+            self._unavailable_since = self._clock.monotonic()
             log.warning(
                 "store_lost",
                 table=self._table,
--- a/src/foxwinch/serving/handler.py
+++ b/src/foxwinch/serving/handler.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from foxwinch.clock import Clock
-from foxwinch.core.records.account import Exhausted, Reserve
+from foxwinch.core.records.account import Exhausted, ReservationRequest
 from foxwinch.core.routing.configuration import Route, RouteKind, RoutingConfiguration
 from foxwinch.log import EventLog, age_ms
 from foxwinch.outcomes import Refused
@@ -148,7 +148,7 @@
         request = attempts.request
         if request.program is None or request.budget_tokens is None or request.model is None:
             return None
-        operation = Reserve(
+        operation = ReservationRequest(
             request.request_id, request.model.output_tokens_maximum, request.budget_tokens
         )
         outcome = await self._budgets.reserve(
--- a/src/foxwinch/serving/node.py
+++ b/src/foxwinch/serving/node.py
@@ -70,7 +70,7 @@
 
         When the store is down for all nodes, all are isolated and requests go to all of them.
         """
-        return self._store.lost_seconds() > ISOLATION_SECONDS
+        return self._store.unavailable_seconds() > ISOLATION_SECONDS
 
     def start(self) -> None:
         """Start the watches of the configuration and the workers."""
@@ -107,7 +107,7 @@
         self._closed = True
         while self._clock.monotonic() < deadline_at and self._running:
             await self._clock.sleep(POLL_SECONDS)
-        self.budgets.give_back_all()
+        self.budgets.release_all()
         while self.budgets.programs and self._clock.monotonic() < deadline_at:
             await self._clock.sleep(POLL_SECONDS)
         log.info(
--- a/src/foxwinch/serving/prompt.py
+++ b/src/foxwinch/serving/prompt.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from foxwinch.core.records.turn import Turn, prompt_of
+from foxwinch.core.records.turn import Turn, build_prompt
 from foxwinch.outcomes import Refused
 from foxwinch.records.turns import NoSuchTurn, TurnRecords
 from foxwinch.serving.attempts import Attempts
@@ -31,4 +31,4 @@
     chain = await turns.chain(request.previous_turn, store_deadline_at)
     if isinstance(chain, NoSuchTurn | Refused):
         return chain
-    return Prompt(prompt_of(chain, request.body), chain)
+    return Prompt(build_prompt(chain, request.body), chain)
--- a/src/foxwinch/serving/stream.py
+++ b/src/foxwinch/serving/stream.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 
 from foxwinch.clock import Clock
-from foxwinch.core.records.turn import Turn, output_of
+from foxwinch.core.records.turn import Turn, join_output
 from foxwinch.core.streams import EventFramer, StreamEvent
 from foxwinch.log import EventLog
 from foxwinch.records.turns import TurnRecords
@@ -209,7 +209,7 @@
             request.request_id,
             prompt.ancestors,
             request.body,
-            output_of(summary.data),
+            join_output(summary.data),
             kept_until_ms,
         )
         refused = await self._turns.write(turn, attempts.deadline_at)
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -86,8 +86,8 @@
     def batches(self):
         return len(self.records)
 
-    def on_late_append(self, applied):
-        self.applied = applied
+    def on_late_append(self, callback):
+        self.late_append_callback = callback
 
     async def append(self, records):
         await asyncio.sleep(0.001)
@@ -116,18 +116,18 @@
         self.elsewhere = None
         self.taken_over = []
 
-    async def open(self, root, over=None):
+    async def open(self, root, previous_owner=None):
         await asyncio.sleep(0.001)
-        if self.elsewhere is not None and self.elsewhere.node != over:
+        if self.elsewhere is not None and self.elsewhere.node != previous_owner:
             return self.elsewhere
-        if over is not None:
-            self.taken_over.append(over)
+        if previous_owner is not None:
+            self.taken_over.append(previous_owner)
         return OpenedTree(self.journal, list(self.records))
 
     async def read(self, root):
         return list(self.records)
 
-    async def served(self, partition):
+    async def list_trees(self, partition):
         return []
 
 
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -30,10 +30,10 @@
 async def adopted_by(rig, members, holder):
     """Let a node look over every partition once; return what it has taken over."""
 
-    async def served(partition):
+    async def list_trees(partition):
         return [(PROGRAM, NodeId(holder))] if partition == partition_of(PROGRAM) else []
 
-    rig.trees.served = served
+    rig.trees.list_trees = list_trees
     adoption = TreeTakeover(rig.owner, members)
     await adoption.start()
     await asyncio.sleep(LOOK_SECONDS + 1.0)
--- a/tests/test_program_budgets.py
+++ b/tests/test_program_budgets.py
@@ -7,7 +7,7 @@
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
-from foxwinch.core.records.account import Exhausted, Reserve
+from foxwinch.core.records.account import Exhausted, ReservationRequest
 from foxwinch.core.records.budget import BudgetRecord, Lease
 from foxwinch.emulator.record_store import Mood, RecordStoreModel
 from foxwinch.outcomes import Refused, RunState
@@ -36,7 +36,7 @@
 
     async def reserve(self, request_id, budget, program="p", seconds=1.0):
         now = self.clock.monotonic()
-        reserve = Reserve(request_id, MAX_TURN_TOKENS, budget)
+        reserve = ReservationRequest(request_id, MAX_TURN_TOKENS, budget)
         return await self.ledger.reserve(program, reserve, now + seconds, now + 3.0)
 
 
--- a/tests/test_program_commands.py
+++ b/tests/test_program_commands.py
@@ -268,7 +268,7 @@
     missed.CopyFrom(rig.journal.records[0])
     missed.program_created.program_id = PROGRAM + "~child"
     missed.program_created.parent_program_id = PROGRAM
-    rig.journal.applied([*rig.journal.records, missed])
+    rig.journal.late_append_callback([*rig.journal.records, missed])
     assert (await call)[0] == TEXT
     assert rig.owner.held(PROGRAM).table.find(PROGRAM + "~child") is not None
     assert [m.content for m in rig.program().history] == ["hello", TEXT]
--- a/tests/test_program_trees.py
+++ b/tests/test_program_trees.py
@@ -56,7 +56,7 @@
     assert await opened.journal.append([record("one"), record("two")]) is None
     assert await opened.journal.append([record("three")]) is None
     assert await second.open(ROOT) == OwnedElsewhere(NodeId("a"), "127.0.0.1:7001")
-    taken = await second.open(ROOT, over=NodeId("a"))
+    taken = await second.open(ROOT, previous_owner=NodeId("a"))
     assert texts(taken.records) == ["one", "two", "three"]
     assert taken.journal.batches == 2
 
@@ -73,7 +73,7 @@
     first, second = world.node("a"), world.node("b")
     old = (await first.open(ROOT)).journal
     await old.append([record("one")])
-    new = (await second.open(ROOT, over=NodeId("a"))).journal
+    new = (await second.open(ROOT, previous_owner=NodeId("a"))).journal
     assert (await old.confirm()).reason is Reason.FENCED
     refused = await old.append([record("late")])
     assert (refused.reason, refused.run_state) == (Reason.FENCED, RunState.NOT_RUN)
@@ -132,7 +132,7 @@
     first, second = world.node("a"), world.node("b")
     await (await first.open(ROOT)).journal.append([record("one")])
     world.connections["b"].gate.faults = ServiceFaults(lose_answers=2)
-    taken = await second.open(ROOT, over=NodeId("a"))
+    taken = await second.open(ROOT, previous_owner=NodeId("a"))
     assert texts(taken.records) == ["one"]
     assert await taken.journal.append([record("two")]) is None
 
@@ -187,7 +187,7 @@
     world.connections["a"].read = _down
     assert isinstance(await journal.remove(), Refused)
     later = world.node("b")
-    taken = await later.open(ROOT, over=NodeId("a"))
+    taken = await later.open(ROOT, previous_owner=NodeId("a"))
     assert taken.records == []
     assert await taken.journal.append([record("new")]) is None
     assert texts(await later.read(ROOT)) == ["new"]
@@ -202,7 +202,7 @@
 async def test_trees_of_a_partition_are_listed_with_their_nodes(world):
     trees = world.node("a")
     await (await trees.open(ROOT)).journal.append([record("one")])
-    served = await trees.served(partition_of(ROOT))
+    served = await trees.list_trees(partition_of(ROOT))
     assert served == [(ROOT, NodeId("a"))]
 
 
@@ -224,7 +224,7 @@
         )
         if rng.random() < 0.25 or number not in journals:
             other = NodeId(f"n{rng.randrange(3)}")
-            opened = await nodes[number].open(ROOT, over=other)
+            opened = await nodes[number].open(ROOT, previous_owner=other)
             if isinstance(opened, OpenedTree):
                 journals[number] = opened.journal
                 assert set(acknowledged) <= set(texts(opened.records))
--- a/tests/test_record_watch.py
+++ b/tests/test_record_watch.py
@@ -10,7 +10,7 @@
 from foxwinch.platform.connections import CONNECT_SECONDS
 from foxwinch.records.ports import MAX_CONDITIONS
 from foxwinch.records.watch import (
-    ANSWER_SECONDS,
+    RESPONSE_GRACE_SECONDS,
     RETRY_BACKOFF,
     WAIT_SECONDS,
     TableWatch,
@@ -223,7 +223,9 @@
         await asyncio.sleep(away_seconds + 2 * WAIT_SECONDS)
         model.moods.mood = Mood.WELL
         model.put("t", "a", b"2")
-        await asyncio.sleep(ANSWER_SECONDS + RETRY_BACKOFF.cap_seconds + NEW_RESPONSE_SECONDS)
+        await asyncio.sleep(
+            RESPONSE_GRACE_SECONDS + RETRY_BACKOFF.cap_seconds + NEW_RESPONSE_SECONDS
+        )
         assert recorder.values == {"a": b"2"}
 
 
@@ -240,7 +242,7 @@
 # timeout of one lost call and one failed attempt together exceeded the bound.
 @pytest.mark.parametrize("bound_seconds", [3.0, 4.0, 10.0])
 def test_longest_recovery_from_an_unresponsive_connection_is_within_the_bound(bound_seconds):
-    lost = watch_wait_seconds(bound_seconds) + ANSWER_SECONDS
+    lost = watch_wait_seconds(bound_seconds) + RESPONSE_GRACE_SECONDS
     waits = sum(RETRY_BACKOFF.wait_seconds(attempt, 1.0) for attempt in range(2))
     assert lost + waits + CONNECT_SECONDS + NEW_RESPONSE_SECONDS <= bound_seconds
 
