--- a/src/foxwinch/commands/call_lifecycle.py
+++ b/src/foxwinch/commands/call_lifecycle.py
@@ -103,7 +103,7 @@
 
     def step(self, state: CallState) -> None:
         """Note a step of the call."""
-        self.tree.table.step(self.program, self.running.call_id, state)
+        self.tree.table.transition(self.program, self.running.call_id, state)
 
     async def commit_outcome(self, outcome: CallOutcome, final: FinalEvent) -> None:
         """Commit the outcome, then tell the end."""
@@ -153,7 +153,7 @@
             tree.table.drop_uncommitted(program.program_id)
             del tree.uncommitted[program.program_id]
         elif self.single_call and not program.keys:
-            tree.table.forget(program.program_id)
+            tree.table.remove_finished(program.program_id)
 
     def _closing_records(self, outcome: CallOutcome) -> list[JournalRecord]:
         records = [JournalRecord(call_outcome=outcome)]
--- a/src/foxwinch/commands/program_owner.py
+++ b/src/foxwinch/commands/program_owner.py
@@ -17,7 +17,7 @@
 from foxwinch.commands.served_tree import ServedTree, lost_tree
 from foxwinch.commands.tool_call import ToolCallDriver
 from foxwinch.core.program.identity import is_single_call
-from foxwinch.core.program.recovery import Recovery, decide, unknown_outcome
+from foxwinch.core.program.recovery import Recovery, decide_recovery, unknown_outcome
 from foxwinch.core.program.state import Call, Program
 from foxwinch.core.program.table import ProgramTable
 from foxwinch.identifiers import CallId, NodeId, ProgramId
@@ -188,7 +188,7 @@
         running.cancellable = False
         running.rerun = True
         life = CallLifecycle(self.ports, held, running, is_single_call(program.program_id))
-        decision = decide(call, now)
+        decision = decide_recovery(call, now)
         self.log.info("call_recovered", call=call.call_id, decision=decision)
         if decision is Recovery.RUN_AGAIN and self._run_again(life, call):
             return
--- a/src/foxwinch/commands/sweep.py
+++ b/src/foxwinch/commands/sweep.py
@@ -41,7 +41,7 @@
                 if program.program_id not in held.ending:
                     self._owner.spawn_task(self._abandon(held, program, cause))
             elif not program.children and _expired(program, wall):
-                held.table.forget(program.program_id)
+                held.table.remove_finished(program.program_id)
 
     async def _remove_if_over(self, held: ServedTree) -> None:
         """Drop a program tree without programs, and remove what the store still keeps of it."""
--- a/src/foxwinch/commands/views.py
+++ b/src/foxwinch/commands/views.py
@@ -13,7 +13,7 @@
     ProgramEvent,
     ToolFinished,
 )
-from foxwinch.core.program.history import from_history
+from foxwinch.core.program.history import decode_message
 from foxwinch.core.program.state import Call, Program
 from foxwinch.identifiers import ProgramId, WorkerId
 from foxwinch.outcomes import Reason, Refused, RunState
@@ -111,7 +111,7 @@
     """Cut the answer as it was sent; tool calls come whole with the last empty chunk."""
     answer = outcome.answer[0] if outcome.answer else HistoryMessage()
     lengths = list(outcome.chunk_lengths)
-    tool_calls = tuple(from_history(answer).get("tool_calls") or ()) if answer.extra_json else ()
+    tool_calls = tuple(decode_message(answer).get("tool_calls") or ()) if answer.extra_json else ()
     last_empty = max((i for i, length in enumerate(lengths) if length == 0), default=None)
     position = 0
     for index, length in enumerate(lengths):
--- a/src/foxwinch/core/program/admission.py
+++ b/src/foxwinch/core/program/admission.py
@@ -26,18 +26,18 @@
             Reason.INVALID_REQUEST,
             f"the history would exceed {intent.history_limit_bytes} bytes",
         )
-    expired = _wall_time_exhausted(program, now_seconds)
-    if expired is not None:
-        return expired
-    admitted = _admitted(program, intent, appended, now_seconds)
+    wall_time_refusal = _wall_time_exhausted(program, now_seconds)
+    if wall_time_refusal is not None:
+        return wall_time_refusal
+    admitted = _build_admitted(program, intent, appended, now_seconds)
     budget = program.created.budget
-    in_a_row = program.repeats if call_signature(admitted) == program.last_signature else 0
-    if in_a_row >= budget.repeated_calls:
-        return not_run(Reason.LOOP_DETECTED, f"{in_a_row} identical consecutive calls")
+    consecutive_calls = program.repeats if call_signature(admitted) == program.last_signature else 0
+    if consecutive_calls >= budget.repeated_calls:
+        return not_run(Reason.LOOP_DETECTED, f"{consecutive_calls} identical consecutive calls")
     reserved = Amount.from_record(admitted.reserved)
     shortage = reserve(program.ledgers(), reserved)
     if shortage is not None:
-        return _exhausted(shortage)
+        return _budget_exhausted(shortage)
     program.waiting.pop(intent.call_id, None)
     program.calls[intent.call_id] = Call(admitted, CallState.ADMITTED)
     program.active = intent.call_id
@@ -84,7 +84,7 @@
     return not_run(Reason.BUDGET_EXHAUSTED, "budget: the program's wall time is used up")
 
 
-def _admitted(
+def _build_admitted(
     program: Program, intent: CallIntent, appended: list[HistoryMessage], now_seconds: float
 ) -> CallAdmitted:
     return CallAdmitted(
@@ -95,7 +95,7 @@
         target=intent.target,
         repeatable=intent.repeatable,
         appended=appended,
-        reserved=_reservation(program, intent, appended).to_record(),
+        reserved=_max_spending(program, intent, appended).to_record(),
         history_length=len(program.history),
         request_hash=intent.request_hash,
         parameters_json=intent.parameters_json,
@@ -105,7 +105,7 @@
     )
 
 
-def _reservation(program: Program, intent: CallIntent, appended: list[HistoryMessage]) -> Amount:
+def _max_spending(program: Program, intent: CallIntent, appended: list[HistoryMessage]) -> Amount:
     """Return the maximum that the call can spend."""
     tokens = 0
     if intent.kind == CallAdmitted.MODEL:
@@ -113,9 +113,9 @@
     return Amount(tokens, 1, intent.call_cost + tokens * intent.cost_per_token)
 
 
-def _exhausted(shortage: Shortage) -> Refused:
+def _budget_exhausted(shortage: Shortage) -> Refused:
     return not_run(
         Reason.BUDGET_EXHAUSTED,
-        f"budget: the call may need {shortage.asked:g} {shortage.field}, "
+        f"budget: the call may need {shortage.requested:g} {shortage.field}, "
         f"{shortage.available:g} available",
     )
--- a/src/foxwinch/core/program/budget.py
+++ b/src/foxwinch/core/program/budget.py
@@ -46,7 +46,7 @@
 
     field: str
     """`tokens`, `calls` or `cost`."""
-    asked: float
+    requested: float
     available: float
 
 
@@ -60,15 +60,15 @@
 
     def shortage(self, amount: Amount) -> Shortage | None:
         """Return the first resource that a reservation exceeds, or None if it fits."""
-        held = self.spent.plus(self.reserved)
+        committed = self.spent.plus(self.reserved)
         checks: tuple[tuple[str, float, float], ...] = (
-            ("calls", amount.calls, self.budget.calls - held.calls),
-            ("tokens", amount.tokens, self.budget.tokens - held.tokens),
-            ("cost", amount.cost, self.budget.cost - held.cost),
+            ("calls", amount.calls, self.budget.calls - committed.calls),
+            ("tokens", amount.tokens, self.budget.tokens - committed.tokens),
+            ("cost", amount.cost, self.budget.cost - committed.cost),
         )
-        for field, asked, available in checks:
-            if asked > available:
-                return Shortage(field, asked, max(0, available))
+        for field, requested, available in checks:
+            if requested > available:
+                return Shortage(field, requested, max(0, available))
         return None
 
 
--- a/src/foxwinch/core/program/history.py
+++ b/src/foxwinch/core/program/history.py
@@ -10,7 +10,7 @@
 """Upper bound on the tokens that a chat template adds to each message."""
 
 
-def to_history(message: dict[str, Any]) -> HistoryMessage:
+def encode_message(message: dict[str, Any]) -> HistoryMessage:
     """Return the canonical form of a message in the chat-completions format.
 
     Null fields count as absent; content that is not a string is stored with the extra fields.
@@ -30,7 +30,7 @@
     )
 
 
-def from_history(message: HistoryMessage) -> dict[str, Any]:
+def decode_message(message: HistoryMessage) -> dict[str, Any]:
     """Return a message in the chat-completions format."""
     document: dict[str, Any] = {"role": message.role, "content": message.content}
     if message.extra_json:
@@ -50,8 +50,8 @@
 
     Return None if `history` is a prefix of `messages`.
     """
-    for index, held in enumerate(history):
-        if index >= len(messages) or held != messages[index]:
+    for index, expected_message in enumerate(history):
+        if index >= len(messages) or expected_message != messages[index]:
             return index
     return None
 
--- a/src/foxwinch/core/program/recovery.py
+++ b/src/foxwinch/core/program/recovery.py
@@ -20,12 +20,12 @@
     """The call may have run; it is never rerun and never reported as `not_run`."""
 
 
-def decide(call: Call, now_seconds: float) -> Recovery:
+def decide_recovery(call: Call, now_seconds: float) -> Recovery:
     """Return the recovery action for a call; `now_seconds` is wall time."""
     admitted = call.admitted
-    young = now_seconds - admitted.admitted_at_seconds <= RERUN_LIMIT_SECONDS
-    rerun_kind = admitted.kind in (CallAdmitted.MODEL, CallAdmitted.TOOL)
-    if admitted.repeatable and admitted.idempotency_key and young and rerun_kind:
+    is_recent = now_seconds - admitted.admitted_at_seconds <= RERUN_LIMIT_SECONDS
+    is_rerunnable_kind = admitted.kind in (CallAdmitted.MODEL, CallAdmitted.TOOL)
+    if admitted.repeatable and admitted.idempotency_key and is_recent and is_rerunnable_kind:
         return Recovery.RUN_AGAIN
     return Recovery.UNKNOWN
 
--- a/src/foxwinch/core/program/state.py
+++ b/src/foxwinch/core/program/state.py
@@ -37,7 +37,7 @@
 
 ENDED_STATES = frozenset({CallState.FINISHED, CallState.REFUSED, CallState.OUTCOME_UNKNOWN})
 
-ALLOWED_STEPS: dict[CallState, frozenset[CallState]] = {
+ALLOWED_TRANSITIONS: dict[CallState, frozenset[CallState]] = {
     CallState.ADMITTED: frozenset({CallState.GRANTED, CallState.RUNNING, CallState.COMMITTING}),
     CallState.GRANTED: frozenset({CallState.ADMITTED, CallState.RUNNING, CallState.COMMITTING}),
     CallState.RUNNING: frozenset({CallState.ADMITTED, CallState.COMMITTING}),
@@ -75,7 +75,7 @@
         return Amount.from_record(self.admitted.reserved)
 
     @property
-    def may_run_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether the same request may be rerun after this call has ended."""
         if self.outcome is None or self.outcome.result == CallOutcome.SUCCEEDED:
             return False
--- a/src/foxwinch/core/program/table.py
+++ b/src/foxwinch/core/program/table.py
@@ -20,7 +20,7 @@
 from foxwinch.core.program.history import token_bound
 from foxwinch.core.program.requests import AlreadyEnded, AlreadyRunning, Applied, Ignored, Queued
 from foxwinch.core.program.state import (
-    ALLOWED_STEPS,
+    ALLOWED_TRANSITIONS,
     RESULT_STATES,
     Call,
     CallState,
@@ -72,9 +72,9 @@
     ) -> Queued | AlreadyRunning | AlreadyEnded | Refused:
         """Append a call to its program's queue, or find the call with its idempotency key."""
         if key and key in program.keys:
-            known = self._find_by_key(program, key, request_hash)
-            if known is not None:
-                return known
+            existing = self._find_by_key(program, key, request_hash)
+            if existing is not None:
+                return existing
         if program.finished is not None:
             return not_run(Reason.PROGRAM_FINISHED, "the program has finished or was abandoned")
         program.waiting[call_id] = WaitingCall(call_id, key, request_hash)
@@ -86,12 +86,12 @@
         """Remove a call whose intent was not committed and release its reservation."""
         waiting = program.waiting.pop(call_id, None)
         if waiting is not None:
-            _forget_key(program, waiting.idempotency_key, call_id)
+            _restore_key(program, waiting.idempotency_key, call_id)
         call = program.calls.get(call_id)
         if call is not None and call.outcome is None:
             settle(program.ledgers(), call.reserved, Amount())
             del program.calls[call_id]
-            _forget_key(program, call.admitted.idempotency_key, call_id)
+            _restore_key(program, call.admitted.idempotency_key, call_id)
             if program.active == call_id:
                 program.active = None
 
@@ -101,15 +101,15 @@
             return None
         return next(iter(program.waiting), None)
 
-    def step(self, program: Program, call_id: CallId, state: CallState) -> bool:
+    def transition(self, program: Program, call_id: CallId, state: CallState) -> bool:
         """Change the state of a running call; return False if the transition is not allowed."""
         call = program.calls.get(call_id)
-        if call is None or state not in ALLOWED_STEPS.get(call.state, ()):
+        if call is None or state not in ALLOWED_TRANSITIONS.get(call.state, ()):
             return False
         call.state = state
         return True
 
-    def forget(self, program_id: ProgramId) -> None:
+    def remove_finished(self, program_id: ProgramId) -> None:
         """Drop a finished program from memory."""
         program = self._programs.get(program_id)
         if program is not None and program.finished is not None:
@@ -128,18 +128,18 @@
         waiting = program.waiting.get(call_id)
         call = program.calls.get(call_id)
         if waiting is not None:
-            held_hash = waiting.request_hash
+            existing_hash = waiting.request_hash
         elif call is not None:
-            held_hash = call.admitted.request_hash
+            existing_hash = call.admitted.request_hash
         else:
             return None
-        if held_hash != request_hash:
+        if existing_hash != request_hash:
             return not_run(
                 Reason.CONFLICT, "the idempotency key was used before with a different request"
             )
         if call is None or call.outcome is None:
             return AlreadyRunning(call_id)
-        if call.may_run_again and program.finished is None:
+        if call.may_retry and program.finished is None:
             return None
         return AlreadyEnded(call)
 
@@ -210,12 +210,14 @@
         program.history.extend(snapshot.history)
         program.history_tokens = snapshot.history_tokens
         program.ledger.spent = Amount.from_record(snapshot.spent)
-        for held in snapshot.calls:
-            call = admit(program, held.admitted)
+        for call_snapshot in snapshot.calls:
+            call = admit(program, call_snapshot.admitted)
             call.committed = True
-            if held.HasField("outcome"):
-                call.outcome = held.outcome
-                call.state = RESULT_STATES.get(held.outcome.result, CallState.OUTCOME_UNKNOWN)
+            if call_snapshot.HasField("outcome"):
+                call.outcome = call_snapshot.outcome
+                call.state = RESULT_STATES.get(
+                    call_snapshot.outcome.result, CallState.OUTCOME_UNKNOWN
+                )
                 settle(program.ledgers(), call.reserved, Amount())
                 program.active = None
         program.last_signature = snapshot.last_signature
@@ -258,7 +260,7 @@
         program.history_tokens += token_bound(admitted.appended) + token_bound(outcome.answer)
 
 
-def _forget_key(program: Program, key: str, call_id: CallId) -> None:
+def _restore_key(program: Program, key: str, call_id: CallId) -> None:
     """Map a key back to the call that it referred to before `call_id`, as a recovery would."""
     if not key or program.keys.get(key) != call_id:
         return
--- a/src/foxwinch/core/streams.py
+++ b/src/foxwinch/core/streams.py
@@ -28,19 +28,19 @@
 
     def __init__(self) -> None:
         """Start with an empty buffer."""
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def pending(self) -> bool:
         """Whether the buffer contains an incomplete event."""
-        return bool(self._rest)
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Add bytes and return the events that are now complete."""
-        whole, separator, self._rest = (self._rest + data).rpartition(EVENT_END)
+        complete_events, separator, self._buffer = (self._buffer + data).rpartition(EVENT_END)
         if not separator:
             return []
-        return [_parse(block) for block in whole.split(EVENT_END) if block.strip(b"\n")]
+        return [_parse(block) for block in complete_events.split(EVENT_END) if block.strip(b"\n")]
 
 
 def _parse(block: bytes) -> StreamEvent:
@@ -51,9 +51,9 @@
             text = line[len(_ID) :].strip()
             event_id = int(text) if text.isdigit() else None
         elif line.startswith(_DATA):
-            data.append(_without_space(line[len(_DATA) :]))
+            data.append(_strip_leading_space(line[len(_DATA) :]))
     return StreamEvent(block + EVENT_END, event_id, b"\n".join(data))
 
 
-def _without_space(value: bytes) -> bytes:
+def _strip_leading_space(value: bytes) -> bytes:
     return value[1:] if value.startswith(b" ") else value
--- a/src/foxwinch/gateway/programs.py
+++ b/src/foxwinch/gateway/programs.py
@@ -15,7 +15,7 @@
     ToolCallRequest,
 )
 from foxwinch.core.program.call_events import ProgramDetails, ProgramEvent, ToolFinished
-from foxwinch.core.program.history import canonical_json, from_history
+from foxwinch.core.program.history import canonical_json, decode_message
 from foxwinch.core.program.identity import (
     NAME_PATTERN,
     NAME_RULE,
@@ -104,7 +104,7 @@
         details = await self._final(_history_request(caller, name))
         if not isinstance(details, ProgramDetails):
             return _refusal(details)
-        messages = [from_history(message) for message in details.history]
+        messages = [decode_message(message) for message in details.history]
         return web.json_response({"object": "history", "id": name, "messages": messages})
 
     async def _call(self, request: web.Request, caller: Caller, name: str) -> web.StreamResponse:
--- a/src/foxwinch/gateway/request_body.py
+++ b/src/foxwinch/gateway/request_body.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from foxwinch._generated.journal_pb2 import HistoryMessage
-from foxwinch.core.program.history import canonical_json, to_history
+from foxwinch.core.program.history import canonical_json, encode_message
 from foxwinch.gateway.errors import invalid_field
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.settings.process import CallerLimits
@@ -114,7 +114,7 @@
         wrong = _wrong_message(f"messages[{index}]", message)
         if wrong is not None:
             return wrong
-        found.append(to_history(message))
+        found.append(encode_message(message))
     return tuple(found)
 
 
--- a/src/foxwinch/gateway/respond.py
+++ b/src/foxwinch/gateway/respond.py
@@ -16,7 +16,7 @@
     ProgramEvent,
     ToolFinished,
 )
-from foxwinch.core.program.history import from_history
+from foxwinch.core.program.history import decode_message
 from foxwinch.core.program.identity import name_of
 from foxwinch.gateway.chat_format import ChunkEncoder, event, whole_answer
 from foxwinch.gateway.errors import error_document, error_response
@@ -103,7 +103,7 @@
     return {
         "object": "tool.result",
         "call_id": finished.call_id,
-        "message": from_history(finished.message),
+        "message": decode_message(finished.message),
     }
 
 
--- a/tests/test_program_machine.py
+++ b/tests/test_program_machine.py
@@ -18,7 +18,7 @@
 )
 from foxwinch.core.program.admission import start_call
 from foxwinch.core.program.history import MESSAGE_OVERHEAD_TOKENS
-from foxwinch.core.program.recovery import Recovery, decide, unknown_outcome
+from foxwinch.core.program.recovery import Recovery, decide_recovery, unknown_outcome
 from foxwinch.core.program.requests import (
     AlreadyEnded,
     AlreadyRunning,
@@ -290,7 +290,7 @@
             if expected.active is None:
                 continue
             call = self.calls[expected.active]
-            if decide(program.calls[expected.active], 1.0) is Recovery.RUN_AGAIN:
+            if decide_recovery(program.calls[expected.active], 1.0) is Recovery.RUN_AGAIN:
                 assert call.intent.repeatable
                 continue
             outcome = unknown_outcome(program, program.calls[expected.active], 1.0)
--- a/tests/test_program_table.py
+++ b/tests/test_program_table.py
@@ -16,7 +16,7 @@
 )
 from foxwinch.core.program.admission import start_call
 from foxwinch.core.program.lifetime import abandonment_reason
-from foxwinch.core.program.recovery import Recovery, decide
+from foxwinch.core.program.recovery import Recovery, decide_recovery
 from foxwinch.core.program.requests import (
     AlreadyEnded,
     AlreadyRunning,
@@ -230,7 +230,7 @@
     program = ProgramTable([created(), record]).find(PROGRAM)
     call = program.calls[asked.call_id]
     assert call.state is CallState.ADMITTED
-    assert decide(call, now) is expected
+    assert decide_recovery(call, now) is expected
 
 
 def test_abandoned_when_idle_over_time_or_parent_ended(table):
