--- a/src/foxwinch/core/routing/configuration.py
+++ b/src/foxwinch/core/routing/configuration.py
@@ -48,7 +48,7 @@
     resumable: bool = False
     retained: bool = False
     """Whether foxwinch stores the turns, so that a turn carries only its new input."""
-    retain_seconds: float = 0.0
+    retention_seconds: float = 0.0
     event_gap_seconds: float = 0.0
     """Maximum pause between events for a response to count as on time; 0 when not specified."""
 
@@ -64,7 +64,7 @@
 
     name: str
     health_path: str = "/"
-    connections_maximum: int = 0
+    max_connections: int = 0
     """Connections that one worker accepts from all callers together; 0 when not specified."""
     tokens_per_event: int = 1
     """Tokens counted for each stream event."""
--- a/src/foxwinch/core/routing/selection.py
+++ b/src/foxwinch/core/routing/selection.py
@@ -20,7 +20,7 @@
 """Time within which a worker with free slots starts to respond."""
 AVOIDED_COST = 10.0
 """Exceeds any load, so avoided workers are chosen last."""
-COLD_COST = 0.3
+WARMUP_COST = 0.3
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
     if worker.incarnation == criteria.last_worker:
         cost -= LAST_WORKER_DISCOUNT
     if worker.warmup_seconds > 0:
-        cost += COLD_COST
+        cost += WARMUP_COST
     cost += WAIT_COST_PER_SECOND * max(0.0, load.expected_wait_seconds(now) - IDLE_WAIT_SECONDS)
     if load.is_avoided(now):
         cost += AVOIDED_COST
--- a/src/foxwinch/platform/store_answers.py
+++ b/src/foxwinch/platform/store_answers.py
@@ -22,12 +22,12 @@
 from foxwinch.records.ports import (
     ABSENT_VERSION,
     Conflict,
+    MalformedRow,
     RowCondition,
     RowKey,
     RowsRead,
     RowWrite,
     StoredRow,
-    UnreadableRow,
     Written,
 )
 
@@ -108,10 +108,10 @@
 
 def _read_rows(
     entries: list[Any], newest: int
-) -> tuple[tuple[StoredRow, ...], tuple[UnreadableRow, ...]]:
+) -> tuple[tuple[StoredRow, ...], tuple[MalformedRow, ...]]:
     """Decode rows one by one; those that cannot be decoded hide none of the others."""
     rows: list[StoredRow] = []
-    unreadable: list[UnreadableRow] = []
+    unreadable: list[MalformedRow] = []
     for entry in entries:
         row = _read_row(entry, newest)
         if isinstance(row, StoredRow):
@@ -122,14 +122,14 @@
     return tuple(rows), tuple(unreadable)
 
 
-def _read_row(entry: Any, newest: int) -> StoredRow | UnreadableRow:
+def _read_row(entry: Any, newest: int) -> StoredRow | MalformedRow:
     """Decode one row; one that tells no version counts as the store's newest."""
     try:
         return _row(entry)
     except UNREADABLE as error:
         told = entry if isinstance(entry, dict) else {}
         key, version = told.get(ROW_KEY), told.get(ROW_VERSION)
-        return UnreadableRow(
+        return MalformedRow(
             key if isinstance(key, str) else "",
             version if isinstance(version, int) else newest,
             f"{type(error).__name__}: {error}",
--- a/src/foxwinch/platform/store_client.py
+++ b/src/foxwinch/platform/store_client.py
@@ -116,7 +116,7 @@
                     False,
                     pages[0].version,
                     read.now_ms,
-                    tuple(row for page in pages for row in page.unreadable),
+                    tuple(row for page in pages for row in page.malformed_rows),
                 )
             last_key = max((*(row.row.key for row in read.rows), *_keys(read)), default="")
             if last_key < query[FIRST_KEY] or not last_key:
@@ -222,4 +222,4 @@
 
 
 def _keys(read: RowsRead) -> tuple[str, ...]:
-    return tuple(row.key for row in read.unreadable)
+    return tuple(row.key for row in read.malformed_rows)
--- a/src/foxwinch/platform/translation.py
+++ b/src/foxwinch/platform/translation.py
@@ -135,7 +135,7 @@
         backends=_backends(entry),
         resumable=bool(entry.resumable),
         retained=bool(entry.retained),
-        retain_seconds=entry.retain_seconds or 0.0,
+        retention_seconds=entry.retain_seconds or 0.0,
         event_gap_seconds=(entry.event_gap_ms or 0.0) / 1e3,
     )
 
@@ -152,7 +152,7 @@
     return Service(
         name=entry.name,
         health_path=entry.health_path or "/",
-        connections_maximum=entry.connections_maximum or 0,
+        max_connections=entry.connections_maximum or 0,
         tokens_per_event=engine.tokens_per_event or 1,
         slots=engine.slots or 1,
     )
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -99,7 +99,7 @@
             "Content-Length" in response.headers or "Transfer-Encoding" in response.headers
         )
 
-    async def read_whole(self) -> bytes | CallInterrupted:
+    async def read_body(self) -> bytes | CallInterrupted:
         """Read the body."""
         try:
             body = await self._response.content.read()
--- a/src/foxwinch/records/budgets.py
+++ b/src/foxwinch/records/budgets.py
@@ -274,11 +274,11 @@
                 self._adopt_row(program, result)
             case Written():
                 account.mark_applied(change, result.version)
-                self._remember_spent(program)
+                self._cache_spent(program)
                 await self._resolve_waiting(program, change)
         return None
 
-    def _remember_spent(self, program: _ProgramState) -> None:
+    def _cache_spent(self, program: _ProgramState) -> None:
         spent = program.account.record.spent
         self._spent[program.row.key] = max(spent, self._spent.get(program.row.key, 0))
 
@@ -289,7 +289,7 @@
             if row.row.key == program.row.key and row.value is not None:
                 record, version = BudgetRecord.decode(row.value), row.version
         applied = program.account.reconcile(record, version)
-        self._remember_spent(program)
+        self._cache_spent(program)
         if applied is not None:
             self._grant(program, applied)
 
--- a/src/foxwinch/records/ports.py
+++ b/src/foxwinch/records/ports.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UnreadableRow:
+class MalformedRow:
     """A row whose value is not in the store's encoding."""
 
     key: str
@@ -79,7 +79,7 @@
     version: int
     """The store's newest version."""
     now_ms: int
-    unreadable: tuple[UnreadableRow, ...] = ()
+    malformed_rows: tuple[MalformedRow, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
     more: bool
     version: int
     now_ms: int
-    unreadable: tuple[UnreadableRow, ...] = ()
+    malformed_rows: tuple[MalformedRow, ...] = ()
     """Rows that cannot be decoded; the others are returned nevertheless."""
 
 
--- a/src/foxwinch/records/tree_store.py
+++ b/src/foxwinch/records/tree_store.py
@@ -30,7 +30,7 @@
 OPEN_TIMEOUT_SECONDS = 3.0
 """Maximum time that a request waits for its program tree to be read."""
 LAST_KEY = "\U0010ffff"
-UNREADABLE = Refused(
+MALFORMED_HEAD = Refused(
     Reason.INTERNAL, RunState.NOT_RUN, "the program tree's head row cannot be decoded"
 )
 STALE = not_run(Reason.STORE_UNAVAILABLE, "the store returned a stale journal", 0.2)
@@ -105,7 +105,7 @@
             return not_run(result.reason, result.detail, result.retry_after_seconds)
         if isinstance(result, Written):
             return TreeHead(0, 0, self._node, self._address, "")
-        return decode_head(result.rows[0]) or UNREADABLE
+        return decode_head(result.rows[0]) or MALFORMED_HEAD
 
     async def _take_over(
         self, root: ProgramId, head: TreeHead, deadline_at: float
@@ -127,7 +127,7 @@
             return new_head._replace(version=result.version)
         found = decode_head(result.rows[0])
         if found is None:
-            return UNREADABLE
+            return MALFORMED_HEAD
         if found.token == new_head.token:
             return found
         return OwnedElsewhere(found.node, found.address) if found.version else TAKEOVER_LOST
--- a/src/foxwinch/records/watch.py
+++ b/src/foxwinch/records/watch.py
@@ -223,7 +223,7 @@
             if row.row.key != ABSENT_KEY
         )
         self._apply_changes(
-            RowsRead(rows, False, outcome.version, outcome.now_ms, outcome.unreadable)
+            RowsRead(rows, False, outcome.version, outcome.now_ms, outcome.malformed_rows)
         )
 
     def _apply_full_read(self, read: RowsRead) -> None:
@@ -241,9 +241,9 @@
             else:
                 self._removed.pop(row.row.key, None)
                 self._row_versions[row.row.key] = row.version
-        for refused in read.unreadable:
-            self._row_versions.pop(refused.key, None)
-        if rows or read.unreadable:
+        for malformed in read.malformed_rows:
+            self._row_versions.pop(malformed.key, None)
+        if rows or read.malformed_rows:
             self._on_rows(replace(read, rows=rows), False)
 
     def _is_newer(self, row: StoredRow) -> bool:
--- a/src/foxwinch/serving/attempts.py
+++ b/src/foxwinch/serving/attempts.py
@@ -199,7 +199,7 @@
                 return await self._workers.call(worker, call)
         except TimeoutError:
             return CallInterrupted(
-                CallFailure.SILENT, f"no response within {timeout_seconds:.2f} s"
+                CallFailure.UNRESPONSIVE, f"no response within {timeout_seconds:.2f} s"
             )
 
     def _response_timeout_seconds(self, attempts: Attempts, remaining_seconds: float) -> float:
@@ -218,9 +218,9 @@
     def _is_late(self, request: ServiceRequest) -> bool:
         """Return whether the request's program has passed its deadline."""
         program = request.program
-        if program is None or program.finish_seconds is None:
+        if program is None or program.seconds_to_deadline is None:
             return False
-        return self._clock.monotonic() - request.received_at >= program.finish_seconds
+        return self._clock.monotonic() - request.received_at >= program.seconds_to_deadline
 
     def _record_refusal(self, worker: Worker, refused: CallRefused, request_id: str) -> None:
         now = self._clock.monotonic()
--- a/src/foxwinch/serving/handler.py
+++ b/src/foxwinch/serving/handler.py
@@ -149,7 +149,7 @@
         if request.program is None or request.budget_tokens is None or request.model is None:
             return None
         operation = ReservationRequest(
-            request.request_id, request.model.output_tokens_maximum, request.budget_tokens
+            request.request_id, request.model.max_output_tokens, request.budget_tokens
         )
         outcome = await self._budgets.reserve(
             request.program.program_id, operation, store_deadline_at, attempts.deadline_at
@@ -221,7 +221,7 @@
         elapsed_seconds = self._clock.monotonic() - request.received_at
         kind = route.kind.value if route is not None else "none"
         self._metrics.requests.labels(kind, outcome).inc()
-        self._metrics.whole_seconds.labels(kind).observe(elapsed_seconds)
+        self._metrics.request_seconds.labels(kind).observe(elapsed_seconds)
         log.info(
             "request_ended",
             request=request.request_id,
--- a/src/foxwinch/serving/messages.py
+++ b/src/foxwinch/serving/messages.py
@@ -13,7 +13,7 @@
     program_id: str
     conversation_id: str
     """Id of a conversation within the program; each sub-agent has its own."""
-    finish_seconds: float | None
+    seconds_to_deadline: float | None
     """Time from the request's arrival to the program's deadline."""
 
 
@@ -22,8 +22,8 @@
     """What a model call states about its size."""
 
     prompt_tokens: int
-    output_tokens_maximum: int
-    output_tokens_guess: int | None
+    max_output_tokens: int
+    expected_output_tokens: int | None
     prompt_parts: tuple[tuple[str, int], ...]
     """Identifier and token count of each part of the prompt, in order."""
 
@@ -60,7 +60,7 @@
     """The worker rejected the request without running it."""
     WRONG_WORKER = "wrong_worker"
     """A different worker responded at the address."""
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     """The response timed out and another worker is tried; the request may have run."""
     CONNECTION_LOST = "broken_off"
     MALFORMED = "malformed"
@@ -98,7 +98,7 @@
 
     head: ResponseHead
 
-    async def read_whole(self) -> bytes | CallInterrupted:
+    async def read_body(self) -> bytes | CallInterrupted:
         """Read the complete body."""
         ...
 
--- a/src/foxwinch/serving/metrics.py
+++ b/src/foxwinch/serving/metrics.py
@@ -18,14 +18,14 @@
             ["kind", "outcome"],
             registry=self.registry,
         )
-        self.first_seconds = Histogram(
+        self.first_response_seconds = Histogram(
             "foxwinch_first_answer_seconds",
             "From the whole request to the first byte of its answer.",
             ["kind"],
             buckets=SECONDS_BUCKETS,
             registry=self.registry,
         )
-        self.whole_seconds = Histogram(
+        self.request_seconds = Histogram(
             "foxwinch_request_seconds",
             "From the whole request to the end of its answer.",
             ["kind"],
--- a/src/foxwinch/serving/plain.py
+++ b/src/foxwinch/serving/plain.py
@@ -39,7 +39,7 @@
             return accepted
         with dispatcher.count_in_flight(accepted.worker):
             try:
-                body = await accepted.response.read_whole()
+                body = await accepted.response.read_body()
             finally:
                 accepted.response.close()
         head = accepted.response.head
--- a/src/foxwinch/serving/routing.py
+++ b/src/foxwinch/serving/routing.py
@@ -49,7 +49,7 @@
         self._metrics = metrics
         self._decode_configuration = decode_configuration
         self._decode_worker = decode_worker
-        self._lapse_seconds = expiry_seconds
+        self._expiry_seconds = expiry_seconds
         self._configuration: RoutingConfiguration | None = None
         self._directory = WorkerDirectory()
         self.configuration_watch = TableWatch(
@@ -113,8 +113,8 @@
 
     def _on_worker_rows(self, read: RowsRead, is_full: bool) -> None:
         last_resort = self._last_resort_deadlines()
-        for refused in read.unreadable:
-            self._directory.reject_entry(refused.key, refused.version)
+        for malformed in read.malformed_rows:
+            self._directory.reject_entry(malformed.key, malformed.version)
         listed: list[tuple[Worker, int]] = []
         for row in read.rows:
             if row.value is None:
@@ -138,7 +138,7 @@
         """Return the last-resort deadlines for workers that the current update shows as leaving."""
         now = self._clock.monotonic()
         since = self.workers_watch.changes_since
-        if now - self._lapse_seconds < since:
+        if now - self._expiry_seconds < since:
             return last_resort_deadlines(since)
         return last_resort_deadlines_after_outage(since, now)
 
--- a/src/foxwinch/serving/stream.py
+++ b/src/foxwinch/serving/stream.py
@@ -147,7 +147,7 @@
                 summary.has_started = True
                 await caller.begin(head)
                 elapsed_seconds = self._clock.monotonic() - attempts.request.received_at
-                self._metrics.first_seconds.labels("stream").observe(elapsed_seconds)
+                self._metrics.first_response_seconds.labels("stream").observe(elapsed_seconds)
             unsent_events = self._count_events(events, attempts, summary)
             if unsent_events:
                 await caller.send(b"".join(event.raw for event in unsent_events))
@@ -158,7 +158,7 @@
     async def _forward_error(
         self, accepted: AcceptedCall, caller: Caller, summary: StreamSummary
     ) -> _StreamResult:
-        body = await accepted.response.read_whole()
+        body = await accepted.response.read_body()
         if summary.has_started or isinstance(body, CallInterrupted):
             return _StreamResult.BROKEN
         await caller.respond(accepted.response.head, body)
@@ -204,7 +204,7 @@
         self, attempts: Attempts, prompt: Prompt, summary: StreamSummary
     ) -> RejectedRequest | None:
         request = attempts.request
-        kept_until_ms = int(1e3 * (self._clock.wall() + attempts.route.retain_seconds))
+        kept_until_ms = int(1e3 * (self._clock.wall() + attempts.route.retention_seconds))
         turn = Turn(
             request.request_id,
             prompt.ancestors,
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -116,7 +116,7 @@
     server.spoiled[key] = spoiled
     read = await store.read_table("t", 5.0)
     assert [row.row.key for row in read.rows] == [other for other in server.keys if other != key]
-    assert [row.key for row in read.unreadable] == [key]
+    assert [row.key for row in read.malformed_rows] == [key]
 
 
 async def test_pages_without_a_key_to_go_on_from_are_refused(served):
@@ -132,4 +132,4 @@
     conditions = tuple(RowCondition(RowKey("t", "", key), 1) for key in ("a", "b"))
     conflict = await store.transact(conditions, (), 5.0)
     assert (conflict.version, [row.row.key for row in conflict.rows]) == (9, ["b"])
-    assert [row.key for row in conflict.unreadable] == ["a"]
+    assert [row.key for row in conflict.malformed_rows] == ["a"]
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -23,7 +23,7 @@
     assert read.version == 4
     assert [route.name for route in read.routes] == ["stream", "kept", "safe", "unsafe"]
     kept = read.routes[1]
-    assert (kept.kind, kept.retained, kept.retain_seconds) == (RouteKind.STREAM, True, 60.0)
+    assert (kept.kind, kept.retained, kept.retention_seconds) == (RouteKind.STREAM, True, 60.0)
     assert (kept.timeout_seconds, kept.latency_target_seconds, kept.event_gap_seconds) == (
         3.0,
         0.2,
