--- a/tests/test_program_trees.py
+++ b/tests/test_program_trees.py
@@ -56,9 +56,9 @@
     assert await opened.journal.append([record("one"), record("two")]) is None
     assert await opened.journal.append([record("three")]) is None
     assert await second.open(ROOT) == OwnedElsewhere(NodeId("a"), "127.0.0.1:7001")
-    taken = await second.open(ROOT, previous_owner=NodeId("a"))
-    assert texts(taken.records) == ["one", "two", "three"]
-    assert taken.journal.batches == 2
+    opened_tree = await second.open(ROOT, previous_owner=NodeId("a"))
+    assert texts(opened_tree.records) == ["one", "two", "three"]
+    assert opened_tree.journal.batches == 2
 
 
 async def test_opening_an_unknown_program_writes_nothing(world):
@@ -132,9 +132,9 @@
     first, second = world.node("a"), world.node("b")
     await (await first.open(ROOT)).journal.append([record("one")])
     world.connections["b"].gate.faults = ServiceFaults(lose_answers=2)
-    taken = await second.open(ROOT, previous_owner=NodeId("a"))
-    assert texts(taken.records) == ["one"]
-    assert await taken.journal.append([record("two")]) is None
+    opened_tree = await second.open(ROOT, previous_owner=NodeId("a"))
+    assert texts(opened_tree.records) == ["one"]
+    assert await opened_tree.journal.append([record("two")]) is None
 
 
 async def test_unavailable_store_is_refused_with_the_correct_run_state(world):
@@ -187,11 +187,11 @@
     world.connections["a"].read = _down
     assert isinstance(await journal.remove(), Refused)
     later = world.node("b")
-    taken = await later.open(ROOT, previous_owner=NodeId("a"))
-    assert taken.records == []
-    assert await taken.journal.append([record("new")]) is None
+    opened_tree = await later.open(ROOT, previous_owner=NodeId("a"))
+    assert opened_tree.records == []
+    assert await opened_tree.journal.append([record("new")]) is None
     assert texts(await later.read(ROOT)) == ["new"]
-    assert await taken.journal.remove() is None
+    assert await opened_tree.journal.remove() is None
     assert world.store.rows_of(JOURNALS_TABLE) == {}
 
 
@@ -234,8 +234,8 @@
             acknowledged.append(str(step))
         elif refused.run_state is RunState.NOT_RUN:
             refused_for_good.add(str(step))
-    for way in world.connections.values():
-        way.gate.faults = ServiceFaults()
+    for connection in world.connections.values():
+        connection.gate.faults = ServiceFaults()
     await asyncio.sleep(30)
     found = texts(await nodes[0].read(ROOT))
     assert set(acknowledged) <= set(found)
--- a/tests/test_record_watch.py
+++ b/tests/test_record_watch.py
@@ -35,8 +35,8 @@
         self.tasks = ServiceTasks("watch")
         self.tasks.start(self.watch.run())
 
-    def take(self, read, whole):
-        if whole:
+    def take(self, read, is_full):
+        if is_full:
             self.values.clear()
         self.versions.append(read.version)
         self.since.append(self.watch.changes_since)
@@ -252,11 +252,11 @@
     clock = VirtualClock()
     model = RecordStoreModel(clock)
     model.put("t", "a", b"1")
-    heard = asyncio.Event()
+    received_event = asyncio.Event()
 
     def take(read, _):
         if b"2" in [row.value for row in read.rows]:
-            heard.set()
+            received_event.set()
 
     wait_seconds = watch_wait_seconds(seconds)
     watch = TableWatch(model, clock, "t", take, wait_seconds)
@@ -267,6 +267,6 @@
     model.put("t", "a", b"2")
     model.moods.mood = Mood.WELL
     began = clock.monotonic()
-    await heard.wait()
+    await received_event.wait()
     following.cancel()
     assert clock.monotonic() - began <= seconds
--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -162,7 +162,7 @@
     model.put("t", "a", b"1")
     values = {}
 
-    def take(read, whole):
+    def take(read, is_full):
         values.update({row.row.key: row.value for row in read.rows})
 
     watch = TableWatch(model, clock, "t", take)
