--- a/src/foxwinch/core/routing/configuration.py
+++ b/src/foxwinch/core/routing/configuration.py
@@ -40,7 +40,7 @@
     """Maximum total time of a request."""
     latency_target_seconds: float
     """Latency target of a response, or of the first event of a stream."""
-    attempts: int
+    max_workers: int
     """Maximum number of workers that one request may run on."""
     priority: int
     """0 is the most urgent."""
--- a/src/foxwinch/platform/translation.py
+++ b/src/foxwinch/platform/translation.py
@@ -130,7 +130,7 @@
         kind=entry.kind,
         timeout_seconds=(entry.timeout_ms or TIMEOUT_DEFAULT_MS) / 1e3,
         latency_target_seconds=(entry.target_ms or TARGET_DEFAULT_MS) / 1e3,
-        attempts=entry.workers_maximum or ATTEMPTS_DEFAULT,
+        max_workers=entry.workers_maximum or ATTEMPTS_DEFAULT,
         priority=entry.priority or 0,
         backends=_backends(entry),
         resumable=bool(entry.resumable),
--- a/src/foxwinch/serving/attempts.py
+++ b/src/foxwinch/serving/attempts.py
@@ -119,7 +119,7 @@
     def may_retry(self, attempts: Attempts) -> bool:
         """Return whether a request that may have run may be sent to another worker."""
         route = attempts.route
-        return route.repeatable and len(attempts.possibly_ran_on) < max(1, route.attempts)
+        return route.repeatable and len(attempts.possibly_ran_on) < max(1, route.max_workers)
 
     @contextmanager
     def count_in_flight(self, worker: Worker) -> Iterator[None]:
@@ -204,7 +204,7 @@
 
     def _response_timeout_seconds(self, attempts: Attempts, remaining_seconds: float) -> float:
         """Return the timeout for the start of a worker's response, in seconds."""
-        may_retry_elsewhere = len(attempts.possibly_ran_on) + 1 < max(1, attempts.route.attempts)
+        may_retry_elsewhere = len(attempts.possibly_ran_on) + 1 < max(1, attempts.route.max_workers)
         if not attempts.route.repeatable or not may_retry_elsewhere:
             return remaining_seconds
         return min(
