--- a/src/foxwinch/core/limits/token_bucket.py
+++ b/src/foxwinch/core/limits/token_bucket.py
@@ -1,46 +1,46 @@
-"""A token bucket over a time that is given: the arithmetic of every rate limit.
+"""Token bucket without a clock of its own, used by every rate limit.
 
-The balance may go below zero by `reserve` and `charge`, so that work whose size is known only
-afterwards is paid for later.
+`reserve` and `charge` may take the balance below zero, so that work whose size is known only
+afterwards can be charged later.
 """
 
 from dataclasses import dataclass
 
 BALANCE_TOLERANCE = 1e-9
-"""Tokens; repeated additions of fractions must not refuse a whole token."""
+"""Tolerance in tokens, so that rounding of accumulated fractions does not withhold a token."""
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that grow at a rate up to a capacity; times are seconds on a monotonic clock."""
+    """A bucket that refills at a rate up to a capacity; times are monotonic seconds."""
 
     rate_per_second: float
     capacity: float
     balance: float
-    """Tokens at `updated_at_seconds`; below zero while more was reserved than had grown."""
+    """Tokens at `updated_at_seconds`; negative while more is reserved than has been refilled."""
     updated_at_seconds: float
 
     @classmethod
     def full(cls, rate_per_second: float, capacity: float, now: float) -> "TokenBucket":
-        """Return a bucket that starts full."""
+        """Return a full bucket."""
         return cls(rate_per_second, capacity, capacity, now)
 
     def available(self, now: float) -> float:
         """Return the balance at `now`."""
-        self._grow(now)
+        self._refill(now)
         return self.balance
 
     def try_take(self, amount: float, now: float) -> bool:
-        """Take `amount` if it is there; otherwise take nothing."""
-        self._grow(now)
+        """Take `amount` if it is available, otherwise nothing; return whether it was taken."""
+        self._refill(now)
         if self.balance + BALANCE_TOLERANCE < amount:
             return False
         self.balance -= amount
         return True
 
     def wait_seconds(self, amount: float, now: float) -> float:
-        """Return the time until `amount` is there; infinite when the bucket never holds it."""
-        self._grow(now)
+        """Return the time until `amount` is available; infinite if it never will be."""
+        self._refill(now)
         missing = amount - self.balance
         if missing <= BALANCE_TOLERANCE:
             return 0.0
@@ -49,8 +49,8 @@
         return missing / self.rate_per_second
 
     def reserve(self, amount: float, now: float) -> float:
-        """Take `amount` in any case and return how long to wait before it may be used."""
-        self._grow(now)
+        """Take `amount` unconditionally and return the seconds to wait before using it."""
+        self._refill(now)
         self.balance -= amount
         if self.balance >= -BALANCE_TOLERANCE:
             return 0.0
@@ -59,23 +59,23 @@
         return -self.balance / self.rate_per_second
 
     def charge(self, amount: float, now: float) -> None:
-        """Take `amount` even below zero; a negative amount gives tokens back."""
-        self._grow(now)
+        """Take `amount`, below zero if necessary; a negative amount returns tokens."""
+        self._refill(now)
         self.balance = min(self.capacity, self.balance - amount)
 
     def pause_for(self, seconds: float, now: float) -> None:
-        """Let nothing pass for `seconds`, as a server's Retry-After asks for."""
-        self._grow(now)
+        """Make no tokens available for `seconds`, as requested by a Retry-After header."""
+        self._refill(now)
         self.balance = min(self.balance, -seconds * self.rate_per_second)
 
     def change_rate(self, rate_per_second: float, capacity: float, now: float) -> None:
-        """Go on at another rate from `now`."""
-        self._grow(now)
+        """Change the rate and capacity as of `now`."""
+        self._refill(now)
         self.rate_per_second = rate_per_second
         self.capacity = capacity
         self.balance = min(self.balance, capacity)
 
-    def _grow(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         elapsed = now - self.updated_at_seconds
         if elapsed <= 0:
             return
--- a/src/foxwinch/workers/__init__.py
+++ b/src/foxwinch/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Coordinators of workers: grants, orders, drains, and the cache that they hold."""
+"""Coordinators of workers: grants, model orders, drains and cache transfers."""
--- a/src/foxwinch/workers/cache_evacuation.py
+++ b/src/foxwinch/workers/cache_evacuation.py
@@ -1,4 +1,4 @@
-"""Moves useful cache off a leaving worker, where copying is cheaper than computing it again."""
+"""Copies useful cache from a leaving worker where this is cheaper than recomputing it."""
 
 import asyncio
 from collections.abc import Iterable
@@ -13,58 +13,57 @@
 from foxwinch.log import EventLog
 from foxwinch.workers.pool_driver import copy_cache
 
-PROGRAMS_MOVED = 32
-"""The programs that ran last; a worker that leaves seldom gives time for more."""
-TRANSFER_SECONDS = 5.0
+MAX_COPIED_PROGRAMS = 32
+"""Limit of programs per leaving worker, which rarely allows time for more."""
+TRANSFER_TIMEOUT_SECONDS = 5.0
 
 log = EventLog("worker")
 
 
-def moving_pays() -> bool:
-    """Tell whether copying a block is predicted to cost less than computing it again."""
+def is_copy_cheaper() -> bool:
+    """Return whether copying a block is predicted to take less time than recomputing it."""
     return INITIAL_TRANSFER_BLOCK_SECONDS < PREFILL_TOKEN_SECONDS * BLOCK_TOKENS
 
 
 class CacheEvacuation:
-    """One task for each leaving worker; the moves go one after another to spare the link."""
+    """Runs one task per leaving worker, which copies sequentially to limit the load on the link."""
 
     def __init__(self, engine: EnginePort) -> None:
-        """Move by the engines' export and import."""
         self._engine = engine
         self._tasks: dict[WorkerId, asyncio.Task[None]] = {}
 
-    def begin(
+    def start(
         self, source: WorkerId, targets: list[WorkerId], programs: Iterable[ProgramId]
     ) -> None:
-        """Move the caches of `programs` to `targets` in turn; nothing without a target."""
-        if not targets or not moving_pays():
+        """Copy the caches of `programs` to `targets` round-robin, or nothing without a target."""
+        if not targets or not is_copy_cheaper():
             return
         self.cancel(source)
-        moving = self._move(source, targets, list(programs)[:PROGRAMS_MOVED])
-        self._tasks[source] = asyncio.get_running_loop().create_task(moving)
+        transfer = self._copy_caches(source, targets, list(programs)[:MAX_COPIED_PROGRAMS])
+        self._tasks[source] = asyncio.get_running_loop().create_task(transfer)
 
     def cancel(self, source: WorkerId) -> None:
-        """Stop moving: the worker is gone, or back."""
+        """Stop the transfers from a worker that has left or is no longer leaving."""
         task = self._tasks.pop(source, None)
         if task is not None:
             task.cancel()
 
     async def stop(self) -> None:
-        """Stop every move."""
+        """Stop all transfers."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         self._tasks.clear()
 
-    async def _move(
+    async def _copy_caches(
         self, source: WorkerId, targets: list[WorkerId], programs: list[ProgramId]
     ) -> None:
         moved = 0
-        for number, program_id in enumerate(programs):
-            target = targets[number % len(targets)]
+        for index, program_id in enumerate(programs):
+            target = targets[index % len(targets)]
             try:
-                async with asyncio.timeout(TRANSFER_SECONDS):
+                async with asyncio.timeout(TRANSFER_TIMEOUT_SECONDS):
                     moved += await copy_cache(self._engine, source, target, program_id)
             except TimeoutError:
                 break
--- a/src/foxwinch/workers/orders_service.py
+++ b/src/foxwinch/workers/orders_service.py
@@ -1,7 +1,8 @@
-"""Reconciles the models of all workers of a region with the configuration.
+"""Reconciliation of the models on all workers of a region with the configuration.
 
-Every node runs this service; the one that holds the region's orders epoch decides. The coordinators
-carry the orders out under their workers' epochs and refuse a decider that has been replaced.
+Every node runs this service, and the node that holds the orders epoch of the region issues the
+orders. The coordinators execute them under the epochs of their workers and reject orders of a
+replaced issuer.
 """
 
 import asyncio
@@ -22,29 +23,29 @@
 from foxwinch.workers.coordinator_directory import CoordinatorDirectory
 from foxwinch.workers.coordinator_service import CoordinatorService
 
-DECIDE_SECONDS = 2.0
-"""Period of comparing: reports lag by a second, and loading takes tens of seconds."""
-OLDEST_REPORT_SECONDS = 5.0
-"""A worker whose last report is older is left out: what it has loaded is not known."""
+RECONCILE_INTERVAL_SECONDS = 2.0
+"""Reconciliation period; reports lag by a second and loading takes tens of seconds."""
+MAX_REPORT_AGE_SECONDS = 5.0
+"""Maximum age of a report; workers with older reports are excluded as their models are unknown."""
 RETRY_SECONDS = 1.0
-"""Pause before an unanswered order is sent again under its token."""
-GIVE_UP_SECONDS = 300.0
-"""An order that could not be delivered for so long has failed; it may be decided anew."""
-UNDELIVERED = frozenset(
+"""Delay before an unanswered order is resent under its token."""
+DELIVERY_TIMEOUT_SECONDS = 300.0
+"""Delivery timeout, after which an order counts as failed and may be issued again."""
+DELIVERY_FAILURES = frozenset(
     {Reason.NOT_OWNER, Reason.PEER_UNREACHABLE, Reason.BACKEND_UNAVAILABLE, Reason.DRAINING}
 )
-"""Refusals that say nothing about the order itself."""
+"""Refusals caused by delivery rather than by the order itself."""
 
 log = EventLog("orders")
 
 
 def orders_resource(region: RegionName) -> Resource:
-    """Return the resource whose holder decides on the orders of a region."""
+    """Return the resource whose holder issues the orders of a region."""
     return Resource(f"orders/{region}", None)
 
 
 class OrdersService:
-    """Decides where this node holds the epoch, and delivers until answered."""
+    """Issues orders while this node holds the epoch, and resends them until they are answered."""
 
     def __init__(
         self,
@@ -56,7 +57,6 @@
         clock: Clock,
         policy: OrderPolicy,
     ) -> None:
-        """Have the orders epoch assigned among the nodes by `coordinator`."""
         self._resource = orders_resource(region)
         self._coordinator = coordinator
         self._directory = directory
@@ -70,26 +70,26 @@
         self._deliveries = ServiceTasks("order_deliveries")
         self._versions: dict[tuple[WorkerId, ModelName], str] = {}
         self._adapters: dict[WorkerId, set[tuple[ModelName, str]]] = {}
-        coordinator.hold_also(self._resource)
+        coordinator.add_resource(self._resource)
 
     async def start(self) -> None:
-        """Start deciding whenever this node holds the epoch."""
-        self._tasks.start(self._decide_for_ever())
+        """Start the reconciliation loop."""
+        self._tasks.start(self._reconcile_loop())
 
     async def stop(self) -> None:
-        """Stop; another node takes over and asks the workers what they have."""
+        """Stop issuing orders; another node takes over and reads the state of the workers."""
         await self._tasks.stop()
         await self._deliveries.stop()
 
-    async def _decide_for_ever(self) -> None:
+    async def _reconcile_loop(self) -> None:
         while True:
-            await self._follow_epoch()
+            await self._update_epoch()
             if self._reconciler is not None:
-                await self._decide(self._reconciler)
-            await self._clock.sleep(DECIDE_SECONDS)
+                await self._reconcile(self._reconciler)
+            await self._clock.sleep(RECONCILE_INTERVAL_SECONDS)
 
-    async def _follow_epoch(self) -> None:
-        """Begin anew under a new epoch: what an earlier decider did is read from the workers."""
+    async def _update_epoch(self) -> None:
+        """Reset the state after an epoch change; earlier results are read from the workers."""
         epoch = self._coordinator.epoch_of(self._resource.name)
         if epoch == self._epoch:
             return
@@ -101,13 +101,13 @@
         if epoch is not None:
             log.info("orders_epoch", epoch=epoch)
 
-    async def _decide(self, reconciler: OrderReconciler) -> None:
+    async def _reconcile(self, reconciler: OrderReconciler) -> None:
         snapshot = self._configuration.current()
         if isinstance(snapshot, Refused):
             return
         actual = await self._actual(snapshot.document)
         orders = reconciler.advance(
-            goals_of(snapshot.document),
+            model_goals(snapshot.document),
             actual,
             self._directory.queued(),
             self._clock.monotonic(),
@@ -125,13 +125,13 @@
 
     async def _actual(self, document: ClusterConfiguration) -> list[WorkerActual]:
         members = [self._directory.member(node) for node in sorted(self._directory.coordinators())]
-        asked = (self._client.describe(member) for member in members if member is not None)
-        answers = await asyncio.gather(*asked)
+        requests = (self._client.describe(member) for member in members if member is not None)
+        responses = await asyncio.gather(*requests)
         pools = {WorkerId(worker.name): worker.pool for worker in document.workers}
         found: dict[WorkerId, WorkerActual] = {}
-        for status in _statuses(answers):
+        for status in _statuses(responses):
             worker = WorkerId(status.worker)
-            if worker in pools and 0 <= status.report_age_seconds <= OLDEST_REPORT_SECONDS:
+            if worker in pools and 0 <= status.report_age_seconds <= MAX_REPORT_AGE_SECONDS:
                 found[worker] = self._worker_actual(status, pools[worker])
         return list(found.values())
 
@@ -153,27 +153,27 @@
     # --- delivery ----------------------------------------------------------------------------
 
     async def _deliver(self, order: Order, reconciler: OrderReconciler) -> None:
-        """Send an order under its token until it is answered or cannot be delivered."""
-        deadline_at = self._clock.monotonic() + GIVE_UP_SECONDS
+        """Resend an order under its token until it is answered or the delivery times out."""
+        deadline_at = self._clock.monotonic() + DELIVERY_TIMEOUT_SECONDS
         succeeded = False
         while self._clock.monotonic() < deadline_at:
-            answer = await self._send(order)
-            if answer is None:
+            response = await self._send(order)
+            if response is None:
                 succeeded = True
-                self._note(order)
+                self._record_done(order)
                 break
-            if answer.run_state is RunState.NOT_RUN and answer.reason not in UNDELIVERED:
-                log.warning("order_refused", token=order.token, reason=answer.reason)
+            if response.run_state is RunState.NOT_RUN and response.reason not in DELIVERY_FAILURES:
+                log.warning("order_refused", token=order.token, reason=response.reason)
                 break
             await self._clock.sleep(RETRY_SECONDS)
         reconciler.completed(order.token, succeeded, self._clock.monotonic())
 
     async def _send(self, order: Order) -> Refused | None:
-        """Return None when the order was carried out."""
+        """Send an order, and return None if it was executed."""
         node = self._directory.coordinator_of(order.worker)
         member = None if node is None else self._directory.member(node)
         if member is None:
-            return Refused(Reason.NOT_OWNER, RunState.NOT_RUN, "the worker has no steward")
+            return Refused(Reason.NOT_OWNER, RunState.NOT_RUN, "the worker has no coordinator")
         message = WorkerOrder(
             token=order.token,
             orders_epoch=self._epoch or 0,
@@ -182,11 +182,11 @@
             model=order.model,
             value=order.value,
         )
-        answer = await self._client.order(member, message)
-        return answer if isinstance(answer, Refused) else None
+        response = await self._client.order(member, message)
+        return response if isinstance(response, Refused) else None
 
-    def _note(self, order: Order) -> None:
-        """Remember what reports do not tell: versions and adapters."""
+    def _record_done(self, order: Order) -> None:
+        """Record versions and adapters, which load reports do not contain."""
         log.info("order_done", token=order.token, worker=order.worker, kind=order.kind)
         adapters = self._adapters.setdefault(order.worker, set())
         match order.kind:
@@ -200,8 +200,8 @@
                 self._versions.pop((order.worker, order.model), None)
 
 
-def goals_of(document: ClusterConfiguration) -> list[ModelGoal]:
-    """Return what a configuration wants of each model."""
+def model_goals(document: ClusterConfiguration) -> list[ModelGoal]:
+    """Return the goal states of the models in a configuration."""
     return [
         ModelGoal(
             model=ModelName(model.name),
@@ -214,7 +214,7 @@
     ]
 
 
-def _statuses(answers: Iterable[StewardedWorkers | Refused]) -> Iterable[StewardedWorker]:
-    for answer in answers:
-        if not isinstance(answer, Refused):
-            yield from answer.workers
+def _statuses(responses: Iterable[StewardedWorkers | Refused]) -> Iterable[StewardedWorker]:
+    for response in responses:
+        if not isinstance(response, Refused):
+            yield from response.workers
--- a/src/foxwinch/workers/worker_drains.py
+++ b/src/foxwinch/workers/worker_drains.py
@@ -1,4 +1,4 @@
-"""Workers that are leaving, from every source: operators, the machine list, reports, refusals."""
+"""Workers to which no new calls are sent, by operators, the machine list or refusals."""
 
 from collections.abc import Callable
 
@@ -15,18 +15,20 @@
 from foxwinch.storage.ports import MachinePort
 from foxwinch.workers.coordinator_directory import worker_resource
 
-LIST_SECONDS = 1.0
-"""Period of reading the machine list: a leaving worker gets no new work within 3 s of it."""
-REFUSALS_NEEDED = 2
-"""Refusals of different programs without a run in between; one alone may be about the call."""
+LIST_INTERVAL_SECONDS = 1.0
+"""Polling period of the machine list; a leaving worker gets no new calls within 3 s."""
+REFUSAL_THRESHOLD = 2
+"""Consecutive refusals of different programs that pause a worker, because a single one may be
+specific to the call."""
 REFUSAL_PAUSE_SECONDS = 3.0
-"""A worker that refuses gets nothing for so long, unless its reports say more meanwhile."""
+"""Time for which a worker that refuses calls gets no new ones, in which its load reports may state
+that it is leaving."""
 
 log = EventLog("worker")
 
 
 class WorkerDrains:
-    """Knows which workers get no new work, and why."""
+    """Tracks the workers that get no new calls, and the reasons."""
 
     def __init__(
         self,
@@ -35,7 +37,11 @@
         clock: Clock,
         on_change: Callable[[], None],
     ) -> None:
-        """`on_change` is called when a source has changed; `machines` is None without a list."""
+        """Create the tracker.
+
+        `on_change` is called after a change in any source. `machines` is None without a machine
+        list.
+        """
         self._gossip = gossip
         self._machines = machines
         self._clock = clock
@@ -46,19 +52,19 @@
         self._tasks = ServiceTasks("worker_drains")
 
     def start(self) -> None:
-        """Start reading the machine list."""
+        """Start polling the machine list."""
         self._gossip.subscribe(GossipKind.LEAVING, lambda entry: self._on_change())
         if self._machines is not None:
-            reading = self._read_for_ever(self._machines)
-            self._tasks.start(reading)
+            loop = self._machine_list_loop(self._machines)
+            self._tasks.start(loop)
 
     async def stop(self) -> None:
-        """Stop reading."""
+        """Stop polling."""
         await self._tasks.stop()
 
     def reason(self, worker: WorkerId) -> str | None:
-        """Return why a worker gets no new work, or None; its own report is not among these."""
-        if self._ordered(worker):
+        """Return why a worker gets no new calls, or None; load reports are not considered."""
+        if self._is_drained_by_operator(worker):
             return "operator"
         if worker in self._listed:
             return "machine_list"
@@ -66,25 +72,25 @@
             return "refusals"
         return None
 
-    def refused(self, worker: WorkerId, program_id: ProgramId) -> None:
-        """Take in that the worker refused a program's call without running it."""
+    def record_refusal(self, worker: WorkerId, program_id: ProgramId) -> None:
+        """Record that the worker refused a program's call without running it."""
         programs = self._refusing.setdefault(worker, set())
         programs.add(program_id)
-        if len(programs) >= REFUSALS_NEEDED:
+        if len(programs) >= REFUSAL_THRESHOLD:
             programs.clear()
             self._paused_until[worker] = self._clock.monotonic() + REFUSAL_PAUSE_SECONDS
             log.info("worker_paused", worker=worker, cause="refusals")
             self._on_change()
 
-    def ran(self, worker: WorkerId) -> None:
-        """Take in that the worker ran a call."""
+    def record_run(self, worker: WorkerId) -> None:
+        """Record that the worker has run a call."""
         self._refusing.pop(worker, None)
 
-    def _ordered(self, worker: WorkerId) -> bool:
+    def _is_drained_by_operator(self, worker: WorkerId) -> bool:
         entry = self._gossip.entries(GossipKind.LEAVING).get(worker_resource(worker))
         return entry is not None and _is_draining(entry)
 
-    async def _read_for_ever(self, machines: MachinePort) -> None:
+    async def _machine_list_loop(self, machines: MachinePort) -> None:
         while True:
             listed = await machines.machines()
             if not isinstance(listed, Refused):
@@ -93,7 +99,7 @@
                     log.info("workers_leaving", workers=",".join(sorted(leaving)))
                     self._listed = leaving
                     self._on_change()
-            await self._clock.sleep(LIST_SECONDS)
+            await self._clock.sleep(LIST_INTERVAL_SECONDS)
 
 
 def _is_draining(entry: GossipEntry) -> bool:
@@ -106,7 +112,7 @@
 
 
 def drain_entry(gossip: GossipView, worker: WorkerId, draining: bool) -> GossipEntry:
-    """Return the entry that drains a worker or takes it back, above every version heard of."""
+    """Return an entry that starts or ends a worker drain, with a version above the known one."""
     key = worker_resource(worker)
     known = gossip.entries(GossipKind.LEAVING).get(key)
     version = 1 if known is None else known.version + 1
--- a/tests/configuration_cluster.py
+++ b/tests/configuration_cluster.py
@@ -1,4 +1,4 @@
-"""Configuration services of several nodes on virtual time, with gossip and calls that can fail."""
+"""Configuration services of several nodes on virtual time, with unreliable gossip and calls."""
 
 import asyncio
 import itertools
@@ -50,12 +50,12 @@
 
 
 class FakeNode(NoPeers):
-    """One node's gossip, calls and membership; `heard` is what the oracle needs."""
+    """One node's gossip, calls and membership; the oracle uses `highest_received`."""
 
     def __init__(self, cluster, number):
         self.cluster, self.number = cluster, number
         self.handlers, self.listeners, self.held = {}, [], LocalGossip()
-        self.highest_heard = 0
+        self.highest_received = 0
         self.member = Member(
             f"node-{number}", PeerAddress("127.0.0.1", number), f"zone-{number % 2}", "region",
             MemberState.ALIVE, 0,
@@ -80,13 +80,13 @@
         known = self.held.entries(entry.kind).get(entry.key)
         if known is None or known.version < entry.version:
             self.held.publish(entry)
-            self.highest_heard = max(self.highest_heard, entry.version)
+            self.highest_received = max(self.highest_received, entry.version)
             for other in self.cluster.nodes.values():
                 if other is not self:
                     self.spread(other, entry)
 
     def spread(self, other, entry):
-        """Send an entry; a lost one is sent again, as by the rounds of anti-entropy."""
+        """Send an entry, and resend a lost one as anti-entropy would."""
         if self.cluster.nodes.get(other.number) is not other:
             return
         loop = asyncio.get_running_loop()
@@ -101,7 +101,7 @@
             known is None or known.version < entry.version
         ):
             self.held.publish(entry)
-            self.highest_heard = max(self.highest_heard, entry.version)
+            self.highest_received = max(self.highest_received, entry.version)
             for listener in self.listeners:
                 listener(entry)
 
@@ -109,7 +109,7 @@
         other = self.cluster.nodes.get(address.port)
         await asyncio.sleep(0.002)
         if other is None or not self.cluster.passes(self, other) or method not in other.handlers:
-            return not_run(Reason.PEER_UNREACHABLE, "cut off")
+            return not_run(Reason.PEER_UNREACHABLE, "network partitioned")
         return await other.handlers[method](PeerContext(self.member.node, 1.0), payload)
 
     def handle(self, method, handler):
@@ -117,7 +117,7 @@
 
 
 class FakeCluster:
-    """Nodes by number; `cut` names those that neither hear nor reach the others."""
+    """Nodes by number; those in `cut` are partitioned from the others."""
 
     def __init__(self, seed):
         self.loop = looptime.new_event_loop(start=0)
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -1,4 +1,4 @@
-"""The peer side over real TCP and UDP on loopback, and the in-memory network beside it."""
+"""The peer service over TCP and UDP on loopback, and the in-memory network."""
 
 import asyncio
 import datetime
@@ -18,7 +18,7 @@
 from foxwinch.identifiers import NodeId
 from foxwinch.outcomes import Reason, Refused, RunState, not_run
 from foxwinch.peer.frames import encode_frame
-from foxwinch.peer.limits import DATAGRAM_BYTES, HELLO_FRAME_BYTES
+from foxwinch.peer.limits import MAX_DATAGRAM_BYTES, MAX_HELLO_FRAME_BYTES
 from foxwinch.peer.ports import PeerAddress, PeerContext
 from foxwinch.peer.service import PeerService
 from foxwinch.peer.tls import build_peer_tls
@@ -27,7 +27,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(5):
-        while not condition():  # noqa: ASYNC110 - what is awaited has no event of its own
+        while not condition():  # noqa: ASYNC110 - the condition has no event to wait for
             await asyncio.sleep(0.005)
 
 
@@ -65,7 +65,7 @@
         await other.stop()
 
 
-async def test_answers_match_their_requests_and_refusals_arrive_whole() -> None:
+async def test_answers_match_their_requests_and_refusals_arrive_intact() -> None:
     async with pair() as (one, other):
         payloads = [str(number).encode() for number in range(500)]
         answers = await asyncio.gather(*(one.call(other.address, "echo", p, 5) for p in payloads))
@@ -81,7 +81,7 @@
         assert await one.call(other.address, "echo", big, 5) == b"one:" + big
 
 
-async def test_streams_are_whole_longer_than_the_credit_and_bounded_for_a_slow_reader() -> None:
+async def test_streams_exceed_the_credit_and_are_bounded_for_a_slow_reader() -> None:
     produced = 0
 
     async def endless(context: PeerContext, payload: bytes) -> AsyncIterator[bytes | Refused]:
@@ -96,7 +96,7 @@
         other.handle_stream("endless", endless)
         reading = one.stream(other.address, "endless", b"", 30)
         assert await anext(reading) == b"x"
-        assert await one.call(other.address, "echo", b"", 5) == b"one:"  # not held up
+        assert await one.call(other.address, "echo", b"", 5) == b"one:"  # not blocked by the stream
         assert produced <= 130
         await reading.aclose()  # type: ignore[attr-defined]
         seen = -1
@@ -105,7 +105,7 @@
             assert await one.call(other.address, "echo", b"", 5) == b"one:"
 
 
-async def test_run_state_is_truthful() -> None:
+async def test_run_state_reflects_whether_the_request_was_sent() -> None:
     async with pair() as (one, other):
         late = await one.call(other.address, "hang", b"", 0.05)
         assert isinstance(late, Refused)
@@ -151,11 +151,11 @@
     async with pair() as (one, other):
         received: list[tuple[PeerAddress, bytes]] = []
         other.handle_datagrams(lambda source, payload: received.append((source, payload)))
-        one.send_datagram(other.address, bytes(DATAGRAM_BYTES))
+        one.send_datagram(other.address, bytes(MAX_DATAGRAM_BYTES))
         await until(lambda: bool(received))
-        assert received == [(one.address, bytes(DATAGRAM_BYTES))]
+        assert received == [(one.address, bytes(MAX_DATAGRAM_BYTES))]
         with pytest.raises(ValueError, match="allowed"):
-            one.send_datagram(other.address, bytes(DATAGRAM_BYTES + 1))
+            one.send_datagram(other.address, bytes(MAX_DATAGRAM_BYTES + 1))
 
 
 HELLO = encode_frame(Envelope(hello=PeerHello(version=1, minimum_version=1, node="x")))
@@ -163,7 +163,7 @@
     "not a hello": encode_frame(Envelope(request=PeerRequest(method="echo"))),
     "hello without a name": encode_frame(Envelope(hello=PeerHello(version=1))),
     "older version": encode_frame(Envelope(hello=PeerHello(version=0, node="x"))),
-    "oversize before the hello": (HELLO_FRAME_BYTES + 1).to_bytes(4, "big"),
+    "oversize before the hello": (MAX_HELLO_FRAME_BYTES + 1).to_bytes(4, "big"),
     "oversize after the hello": HELLO + b"\xff\xff\xff\xff",
     "empty frame": HELLO + bytes(4),
     "no protobuf": HELLO + b"\x00\x00\x00\x03\xff\xff\xff",
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.looptime
-async def test_memory_network_serves_and_keeps_streams_whole_under_loss() -> None:
+async def test_memory_network_keeps_streams_complete_under_loss() -> None:
     network, one, other = await memory_pair(LinkFaults(loss=0.2))
     port = network.ports[one]
     assert await port.call(other, "echo", b"p", 30) == b"one:p"
@@ -252,11 +252,11 @@
 
 
 @pytest.mark.looptime
-async def test_memory_network_refusals_are_truthful() -> None:
+async def test_memory_network_reports_the_correct_run_state() -> None:
     network, one, other = await memory_pair()
     port = network.ports[one]
     assert await port.call(other, "echo", b"", 1) == b"one:"
-    network.cut(other, one)  # one way: the request arrives, the answer does not
+    network.cut(other, one)  # one direction: the request arrives, the response does not
     lost = await port.call(other, "echo", b"", 1)
     assert isinstance(lost, Refused)
     assert lost.run_state is RunState.UNKNOWN
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_paused_node_answers_after_it_wakes() -> None:
+async def test_paused_node_responds_after_resuming() -> None:
     network, one, other = await memory_pair()
     port = network.ports[one]
     network.pause(other)
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.looptime
-async def test_datagrams_are_lost_doubled_and_reordered_the_same_way_for_one_seed() -> None:
+async def test_datagram_faults_are_reproducible_for_a_seed() -> None:
     async def run() -> list[bytes]:
         network = MemoryNetwork(5, LinkFaults(loss=0.2, doubling=0.2, reordering=0.3))
         one, other = addresses(2)
@@ -311,7 +311,7 @@
 
 
 def write_certificates(directory: Path, authority_name: str) -> TlsSettings:
-    """Write an authority and a certificate signed by it."""
+    """Write a certificate authority and a certificate signed by it."""
     now = datetime.datetime.now(datetime.UTC)
     keys = [ec.generate_private_key(ec.SECP256R1()) for _ in range(2)]
     names = [
