--- a/src/foxwinch/cli/config.py
+++ b/src/foxwinch/cli/config.py
@@ -199,7 +199,7 @@
 
 def _status_row(node: pb.NodeRevision) -> tuple[object, ...]:
     if not node.answered:
-        return (node.node, node.zone, node.state, "no response", "", "")
+        return (node.node, node.zone, node.state, "no answer", "", "")
     serving = "yes" if node.serving else "no"
     return (node.node, node.zone, node.state, node.held_revision, node.heard_revision, serving)
 
--- a/src/foxwinch/cli/fuzz.py
+++ b/src/foxwinch/cli/fuzz.py
@@ -59,7 +59,7 @@
         if self.json:
             print(json.dumps(asdict(report), indent=2))
         elif report.failed_seed is None:
-            print(f"all properties held: {report.seeds} seeds, at most {report.runs} clusters")
+            print(f"held: {report.seeds} seeds, at most {report.runs} clusters")
         if report.failed_seed is not None:
             detail = f"seed {report.failed_seed}: {report.problem}"
             fail(ExitCode.PROPERTY_BROKEN, detail)
--- a/src/foxwinch/cli/nodes.py
+++ b/src/foxwinch/cli/nodes.py
@@ -68,9 +68,9 @@
 
 def _node_row(node: pb.NodeStatus) -> tuple[object, ...]:
     notes = [node.not_ready_because] if node.not_ready_because else []
-    notes += [f"isolated from {region}" for region in node.cut_off_regions]
+    notes += [f"cut off from {region}" for region in node.cut_off_regions]
     if not node.answered:
-        notes.append("no response")
+        notes.append("no answer")
     return (
         node.node,
         node.address,
--- a/src/foxwinch/commands/model_call.py
+++ b/src/foxwinch/commands/model_call.py
@@ -205,7 +205,7 @@
                         else:
                             return event
         except TimeoutError:
-            detail = "budget: the program's wall time is exhausted"
+            detail = "budget: the program's wall time is used up"
             return Refused(Reason.BUDGET_EXHAUSTED, RunState.RAN, detail)
         finally:
             self.service_seconds += self.ports.clock.monotonic() - started_at
--- a/src/foxwinch/commands/sweep.py
+++ b/src/foxwinch/commands/sweep.py
@@ -45,7 +45,7 @@
                 if program.program_id not in tree.ending_programs:
                     self._owner.spawn_task(self._abandon(tree, program, cause))
             elif not program.children and _expired(program, wall_seconds):
-                tree.table.forget(program.program_id)
+                tree.table.remove_finished(program.program_id)
 
     async def _remove_if_empty(self, tree: ServedTree) -> None:
         """Release a tree that has no programs left, and remove its journal from the store."""
--- a/src/foxwinch/commands/tree_takeover.py
+++ b/src/foxwinch/commands/tree_takeover.py
@@ -40,7 +40,7 @@
                     await self._scan(partition_name(number))
 
     async def _scan(self, partition: str) -> None:
-        served = await self._owner.ports.trees.served(partition)
+        served = await self._owner.ports.trees.list_trees(partition)
         if isinstance(served, Refused):
             return
         for root, node in self._orphaned_trees(served):
--- a/src/foxwinch/core/program/table.py
+++ b/src/foxwinch/core/program/table.py
@@ -1,8 +1,8 @@
-"""The programs of one program tree: applies journal records and decides on calls.
+"""The programs of one program tree: application of journal records and the call queues.
 
-`apply` is the only way by which calls end and histories grow, both live and in recovery. Between
-the records live only the waiting calls, the reservation of a call whose intent is being committed,
-and the step that a running call is at.
+Calls end and histories grow only through `apply`, both in normal operation and in recovery. State
+that is not in the journal is limited to the queued calls, the reservation of a call whose intent is
+being committed, and the state of a running call.
 """
 
 import hashlib
@@ -20,7 +20,7 @@
 from foxwinch.core.program.history import token_bound
 from foxwinch.core.program.requests import AlreadyEnded, AlreadyRunning, Applied, Ignored, Queued
 from foxwinch.core.program.state import (
-    ALLOWED_STEPS,
+    ALLOWED_TRANSITIONS,
     RESULT_STATES,
     Call,
     CallState,
@@ -35,7 +35,7 @@
     """All programs of one program tree."""
 
     def __init__(self, records: Iterable[JournalRecord] = ()) -> None:
-        """Rebuild the programs from the records of their journal."""
+        """Rebuild the programs from journal records."""
         self._programs: dict[ProgramId, Program] = {}
         for record in records:
             self.apply(record)
@@ -45,11 +45,11 @@
         return iter(self._programs.values())
 
     def __len__(self) -> int:
-        """Return the number of programs held, finished ones included."""
+        """Return the number of programs, including finished ones."""
         return len(self._programs)
 
     def find(self, program_id: ProgramId) -> Program | None:
-        """Return a program."""
+        """Return a program, or None if it is not known."""
         return self._programs.get(program_id)
 
     def apply(self, record: JournalRecord) -> Applied | Ignored:
@@ -65,16 +65,16 @@
             return self._finish(record.program_finished)
         if kind == "program_snapshot":
             return self._restore(record.program_snapshot)
-        return Ignored("record of an unknown kind")
+        return Ignored("the record type is unknown")
 
     def submit(
         self, program: Program, call_id: CallId, key: str, request_hash: bytes
     ) -> Queued | AlreadyRunning | AlreadyEnded | Refused:
-        """Put a call at the end of its program's queue, or find it under its idempotency key."""
+        """Append a call to its program's queue, or find the call with its idempotency key."""
         if key and key in program.keys:
-            known = self._find_by_key(program, key, request_hash)
-            if known is not None:
-                return known
+            existing = self._find_by_key(program, key, request_hash)
+            if existing is not None:
+                return existing
         if program.finished is not None:
             return not_run(Reason.PROGRAM_FINISHED, "the program has finished or was abandoned")
         program.waiting[call_id] = WaitingCall(call_id, key, request_hash)
@@ -83,33 +83,33 @@
         return Queued()
 
     def withdraw(self, program: Program, call_id: CallId) -> None:
-        """Take a call out whose intent was never committed, and give its reservation back."""
+        """Remove a call whose intent was not committed and release its reservation."""
         waiting = program.waiting.pop(call_id, None)
         if waiting is not None:
-            _forget_key(program, waiting.idempotency_key, call_id)
+            _restore_key(program, waiting.idempotency_key, call_id)
         call = program.calls.get(call_id)
         if call is not None and call.outcome is None:
             settle(program.ledgers(), call.reserved, Amount())
             del program.calls[call_id]
-            _forget_key(program, call.admitted.idempotency_key, call_id)
+            _restore_key(program, call.admitted.idempotency_key, call_id)
             if program.active == call_id:
                 program.active = None
 
     def next_waiting(self, program: Program) -> CallId | None:
-        """Return the call whose turn it is, or None while another one is active."""
+        """Return the first call in the queue, or None while another call is active."""
         if program.active is not None:
             return None
         return next(iter(program.waiting), None)
 
-    def step(self, program: Program, call_id: CallId, state: CallState) -> bool:
-        """Note a step of a running call; False when the call is not in a state to take it."""
+    def transition(self, program: Program, call_id: CallId, state: CallState) -> bool:
+        """Change the state of a running call; return False if the transition is not allowed."""
         call = program.calls.get(call_id)
-        if call is None or state not in ALLOWED_STEPS.get(call.state, ()):
+        if call is None or state not in ALLOWED_TRANSITIONS.get(call.state, ()):
             return False
         call.state = state
         return True
 
-    def forget(self, program_id: ProgramId) -> None:
+    def remove_finished(self, program_id: ProgramId) -> None:
         """Drop a finished program from memory."""
         program = self._programs.get(program_id)
         if program is not None and program.finished is not None:
@@ -128,28 +128,28 @@
         waiting = program.waiting.get(call_id)
         call = program.calls.get(call_id)
         if waiting is not None:
-            held_hash = waiting.request_hash
+            existing_hash = waiting.request_hash
         elif call is not None:
-            held_hash = call.admitted.request_hash
+            existing_hash = call.admitted.request_hash
         else:
             return None
-        if held_hash != request_hash:
+        if existing_hash != request_hash:
             return not_run(
                 Reason.CONFLICT, "the idempotency key was used before with a different request"
             )
         if call is None or call.outcome is None:
             return AlreadyRunning(call_id)
-        if call.may_run_again and program.finished is None:
+        if call.may_retry and program.finished is None:
             return None
         return AlreadyEnded(call)
 
     def _create(self, created: ProgramCreated) -> Applied | Ignored:
         program_id = ProgramId(created.program_id)
         if program_id in self._programs:
-            return Ignored("the program exists")
+            return Ignored("the program already exists")
         parent = self._programs.get(ProgramId(created.parent_program_id))
         if created.parent_program_id and parent is None:
-            return Ignored("the parent is not known")
+            return Ignored("the parent program is unknown")
         program = Program(created, Ledger(created.budget), parent)
         program.last_active_seconds = created.created_at_seconds
         self._programs[program_id] = program
@@ -160,11 +160,11 @@
     def _admit(self, admitted: CallAdmitted) -> Applied | Ignored:
         program = self._programs.get(ProgramId(admitted.program_id))
         if program is None:
-            return Ignored("the program is not known")
+            return Ignored("the program is unknown")
         call_id = CallId(admitted.call_id)
         call = program.calls.get(call_id)
         if call is not None and (call.committed or call.outcome is not None):
-            return Ignored("the call is known already")
+            return Ignored("the call was already admitted")
         if call is None:
             call = admit(program, admitted)
         call.committed = True
@@ -178,9 +178,9 @@
         program = self._programs.get(ProgramId(outcome.program_id))
         call = program.calls.get(CallId(outcome.call_id)) if program is not None else None
         if program is None or call is None:
-            return Ignored("the call is not known")
+            return Ignored("the call is unknown")
         if call.outcome is not None:
-            return Ignored("the call has ended already")
+            return Ignored("the call has already ended")
         spent = Amount.from_record(outcome.spent)
         settle(program.ledgers(), call.reserved, spent)
         call.outcome = outcome
@@ -196,7 +196,7 @@
     def _finish(self, finished: ProgramFinished) -> Applied | Ignored:
         program = self._programs.get(ProgramId(finished.program_id))
         if program is None or program.finished is not None:
-            return Ignored("the program is not known or has finished already")
+            return Ignored("the program is unknown or has already finished")
         program.finished = finished
         return Applied()
 
@@ -210,12 +210,14 @@
         program.history.extend(snapshot.history)
         program.history_tokens = snapshot.history_tokens
         program.ledger.spent = Amount.from_record(snapshot.spent)
-        for held in snapshot.calls:
-            call = admit(program, held.admitted)
+        for call_snapshot in snapshot.calls:
+            call = admit(program, call_snapshot.admitted)
             call.committed = True
-            if held.HasField("outcome"):
-                call.outcome = held.outcome
-                call.state = RESULT_STATES.get(held.outcome.result, CallState.OUTCOME_UNKNOWN)
+            if call_snapshot.HasField("outcome"):
+                call.outcome = call_snapshot.outcome
+                call.state = RESULT_STATES.get(
+                    call_snapshot.outcome.result, CallState.OUTCOME_UNKNOWN
+                )
                 settle(program.ledgers(), call.reserved, Amount())
                 program.active = None
         program.last_signature = snapshot.last_signature
@@ -227,7 +229,7 @@
 
 
 def admit(program: Program, admitted: CallAdmitted) -> Call:
-    """Make a call the program's active one, its reservation held."""
+    """Make a call the active one of its program and reserve its budget."""
     call = Call(CallAdmitted(), CallState.ADMITTED)
     call.admitted.CopyFrom(admitted)
     force_reserve(program.ledgers(), call.reserved)
@@ -240,7 +242,7 @@
 
 
 def call_signature(admitted: CallAdmitted) -> bytes:
-    """Return what makes two calls identical for the loop guard."""
+    """Return a digest that is equal for calls that the loop guard treats as identical."""
     digest = hashlib.blake2b(digest_size=16)
     digest.update(f"{admitted.kind}:{admitted.target}:{admitted.maximum_tokens}:".encode())
     digest.update(admitted.parameters_json.encode())
@@ -258,8 +260,8 @@
         program.history_tokens += token_bound(admitted.appended) + token_bound(outcome.answer)
 
 
-def _forget_key(program: Program, key: str, call_id: CallId) -> None:
-    """Let a key name the call again that it named before `call_id`, as after a recovery."""
+def _restore_key(program: Program, key: str, call_id: CallId) -> None:
+    """Map a key back to the call that it referred to before `call_id`, as a recovery would."""
     if not key or program.keys.get(key) != call_id:
         return
     earlier = [c for c in program.calls.values() if c.admitted.idempotency_key == key]
--- a/src/foxwinch/core/records/account.py
+++ b/src/foxwinch/core/records/account.py
@@ -1,8 +1,8 @@
-"""One program's budget as one node keeps it: its lease, its turns under way, its changes in doubt.
+"""A node's account of one program's budget: its lease, its open turns and its unconfirmed changes.
 
-Pure: the ledger beside it talks to the store. A change whose answer was lost stays in doubt until
-the store's record tells, by the sequence of this node's lease, whether it was applied. Until then
-the node spends only what it holds in either case.
+The module is pure; `records.budgets` does the store calls. A change whose response was lost stays
+unconfirmed until the stored record shows, by the sequence number in this node's lease, whether it
+was applied. Until then the node spends only what it holds in either case.
 """
 
 from collections.abc import Iterator
@@ -11,16 +11,17 @@
 from foxwinch.core.records.budget import BudgetRecord, Lease
 
 LEASE_MS = 15_000
-"""For which a lease is good: longer than common outages of the store and some turns."""
-TURNS_AHEAD = 4
-"""Turns, each at its most, that a lease holds beyond those under way."""
-OTHERS_SHARE = 2
-"""Only one part in so many of what is free is taken ahead: other nodes serve the program too."""
+"""Duration of a lease: longer than common outages of the store plus some turns."""
+ADVANCE_TURNS = 4
+"""Number of further turns, each at its maximum, that a lease covers beyond the open ones."""
+ADVANCE_DIVISOR = 2
+"""Divisor of the free tokens that limits what is leased in advance, because other nodes serve the
+program too."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reserve:
-    """Take `tokens` for a request, within `budget`."""
+class ReservationRequest:
+    """A request to reserve `tokens` within `budget`."""
 
     request_id: str
     tokens: int
@@ -29,110 +30,110 @@
 
 @dataclass(frozen=True, slots=True)
 class Exhausted:
-    """The reservation does not fit the budget, whatever other nodes give back."""
+    """The reservation exceeds the budget even if other nodes return their leases."""
 
     committed: int
-    """Tokens spent, and those of this node's turns under way at their most."""
+    """Tokens spent plus the reservations of this node's open turns."""
 
 
 @dataclass(frozen=True, slots=True)
 class Blocked:
-    """The reservation does not fit until other nodes give back what they leased ahead."""
+    """The reservation does not fit until other nodes return leased tokens."""
 
     held_elsewhere: int
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """A change of the record by this node, as sent to the store."""
+class RecordChange:
+    """A change of the budget record, as this node sends it to the store."""
 
     sequence: int
     version: int
-    """Version of the row that it is made from; 0: the row was absent."""
+    """Version of the row that the change is based on; 0 if the row was absent."""
     record: BudgetRecord
     """The record after the change."""
     tokens: int
     """This node's lease after the change."""
     used: int
-    """Tokens of this node that count as spent with it, told or with a lease that is over."""
-    granted: tuple[Reserve, ...]
+    """Tokens used by this node that the change counts as spent, reported or in an expired lease."""
+    granted: tuple[ReservationRequest, ...]
     exhausted: dict[str, Exhausted]
     blocked: dict[str, Blocked]
     valid_until: float
-    """Until which the lease may be used, on the node's steady clock."""
+    """End of the lease on the node's monotonic clock."""
     written_off: frozenset[str]
-    """Turns under way whose tokens count as spent with it, as the lease that held them is over."""
+    """Open turns whose tokens the change counts as spent because their lease has expired."""
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
-    """The store's clock as far as this node knows it."""
+class ClockBounds:
+    """Bounds on the store's clock as known by this node."""
 
     store_earliest_ms: int
     """A time that the store's clock has certainly reached."""
     lease_valid_until: float
-    """On the node's steady clock, certainly before a lease taken now is over for the store."""
+    """A time on the node's monotonic clock before which a lease taken now cannot expire."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ahead:
-    """What to take for turns to come."""
+class AdvanceLease:
+    """Parameters of the lease for future turns."""
 
-    most: int
-    """Tokens that one turn may use."""
+    max_turn_tokens: int
+    """Maximum number of tokens of one turn."""
     budget: int
 
     def tokens(self, free: int) -> int:
-        """Return how many tokens to take of what is free."""
-        if self.most <= 0:
+        """Return how many of the free tokens to lease in advance."""
+        if self.max_turn_tokens <= 0:
             return 0
-        turns = max(0, min(TURNS_AHEAD, free // OTHERS_SHARE // self.most))
-        return turns * self.most
+        turns = max(0, min(ADVANCE_TURNS, free // ADVANCE_DIVISOR // self.max_turn_tokens))
+        return turns * self.max_turn_tokens
 
 
 @dataclass(slots=True)
 class Account:
-    """A program's budget at this node."""
+    """This node's account of a program's budget."""
 
     node: str
     sequences: Iterator[int]
-    """Numbers that no other change of this node has, in any account of the program."""
+    """Sequence numbers that are unique over all changes and accounts of this node."""
     record: BudgetRecord = field(default_factory=BudgetRecord)
-    """As last read or written."""
+    """The record as last read or written."""
     version: int = 0
     lease: int = 0
-    """Tokens leased to this node, less those told as spent."""
+    """Tokens leased to this node, without those reported as spent."""
     valid_until: float = 0.0
-    """Until which the lease may be used, on the node's steady clock."""
+    """End of the lease on the node's monotonic clock."""
     used: int = 0
-    """Spent tokens that the store has not been told."""
-    open: dict[str, int] = field(default_factory=dict)
-    """The most that each turn under way may still spend."""
+    """Spent tokens that have not been reported to the store."""
+    open_turns: dict[str, int] = field(default_factory=dict)
+    """Reserved tokens of each open turn, by request id."""
     written_off: set[str] = field(default_factory=set)
-    """Turns under way whose tokens already count as spent, with a lease that was over."""
-    doubtful: dict[int, Change] = field(default_factory=dict)
-    """Changes by sequence that were sent and not answered."""
+    """Open turns whose tokens already count as spent because their lease has expired."""
+    unconfirmed: dict[int, RecordChange] = field(default_factory=dict)
+    """Unconfirmed changes by sequence number: sent and without a response."""
 
     def available(self) -> int:
-        """Return the tokens that a new turn may take, whichever doubtful changes were applied."""
-        cover = self.lease
-        for change in self.doubtful.values():
-            granted = sum(reserve.tokens for reserve in change.granted)
-            cover = min(cover, change.tokens + change.used - granted)
-        return cover - self.used - sum(self.open.values())
-
-    def try_reserve(self, request: Reserve, end_at: float) -> bool:
-        """Take tokens from the lease for a turn that is over by `end_at`."""
-        if request.request_id in self.open:
+        """Return the tokens free for a new turn, whichever unconfirmed changes were applied."""
+        covered_tokens = self.lease
+        for change in self.unconfirmed.values():
+            granted = sum(request.tokens for request in change.granted)
+            covered_tokens = min(covered_tokens, change.tokens + change.used - granted)
+        return covered_tokens - self.used - sum(self.open_turns.values())
+
+    def try_reserve(self, request: ReservationRequest, turn_deadline_at: float) -> bool:
+        """Reserve tokens from the lease for a turn that ends by `turn_deadline_at`."""
+        if request.request_id in self.open_turns:
             return True
-        if end_at > self.valid_until or self.available() < request.tokens:
+        if turn_deadline_at > self.valid_until or self.available() < request.tokens:
             return False
-        self.open[request.request_id] = request.tokens
+        self.open_turns[request.request_id] = request.tokens
         return True
 
     def settle(self, request_id: str, used: int) -> None:
-        """End a turn; settling it again changes nothing."""
-        if self.open.pop(request_id, None) is None:
+        """Close a turn and count what it used; a second call has no effect."""
+        if self.open_turns.pop(request_id, None) is None:
             return
         if request_id in self.written_off:
             self.written_off.discard(request_id)
@@ -140,103 +141,111 @@
             self.used += used
 
     @property
-    def owes(self) -> bool:
-        """Whether the store should be told something once the program is quiet."""
-        return self.lease > 0 or self.used > 0 or bool(self.doubtful)
-
-    def plan(self, waiting: tuple[Reserve, ...], ahead: Ahead | None, times: Times) -> Change:
-        """Return the change that tells what was used and takes what `waiting` needs.
-
-        With `ahead` it also takes tokens for turns to come; without, it gives back all others.
+    def needs_store_update(self) -> bool:
+        """Whether the store must be updated once the program is idle."""
+        return self.lease > 0 or self.used > 0 or bool(self.unconfirmed)
+
+    def plan(
+        self,
+        waiting: tuple[ReservationRequest, ...],
+        advance_lease: AdvanceLease | None,
+        clock_bounds: ClockBounds,
+    ) -> RecordChange:
+        """Return the change that reports used tokens and leases what `waiting` needs.
+
+        With `advance_lease` it also leases tokens for future turns; without it, all other tokens
+        are returned.
         """
         own = self.record.leases.get(self.node)
-        over = own is not None and own.expires_ms <= times.store_earliest_ms
-        base = self.record.expired(times.store_earliest_ms)
+        is_expired = own is not None and own.expires_ms <= clock_bounds.store_earliest_ms
+        base = self.record.with_expired_leases_spent(clock_bounds.store_earliest_ms)
         others = base.leased_to_others(self.node)
-        told = 0 if over else self.used
-        spent = base.spent + told
-        verdict = _Verdict(0 if over else self._covered_open())
-        for reserve in waiting:
-            verdict.judge(reserve, spent, others)
-        tokens = verdict.under_way
-        if ahead is not None:
-            tokens += ahead.tokens(ahead.budget - spent - others - tokens)
+        reported = 0 if is_expired else self.used
+        spent = base.spent + reported
+        decisions = _ReservationDecisions(0 if is_expired else self._leased_open_tokens())
+        for request in waiting:
+            decisions.decide(request, spent, others)
+        tokens = decisions.open_tokens
+        if advance_lease is not None:
+            tokens += advance_lease.tokens(advance_lease.budget - spent - others - tokens)
         sequence = next(self.sequences)
-        lease = Lease(tokens, times.store_earliest_ms + LEASE_MS, sequence)
-        return Change(
+        lease = Lease(tokens, clock_bounds.store_earliest_ms + LEASE_MS, sequence)
+        return RecordChange(
             sequence=sequence,
             version=self.version,
-            record=base.changed(self.node, told, lease),
+            record=base.with_lease(self.node, reported, lease),
             tokens=tokens,
             used=self.used,
-            granted=tuple(verdict.granted),
-            exhausted=verdict.exhausted,
-            blocked=verdict.blocked,
-            valid_until=times.lease_valid_until,
-            written_off=frozenset(self.open) if over else frozenset(),
+            granted=tuple(decisions.granted),
+            exhausted=decisions.exhausted,
+            blocked=decisions.blocked,
+            valid_until=clock_bounds.lease_valid_until,
+            written_off=frozenset(self.open_turns) if is_expired else frozenset(),
         )
 
-    def sent(self, change: Change) -> None:
-        """Note that a change leaves the node: from now on it may have been applied."""
-        self.doubtful[change.sequence] = change
+    def mark_sent(self, change: RecordChange) -> None:
+        """Record that a change is sent: from now on it may have been applied."""
+        self.unconfirmed[change.sequence] = change
 
-    def refused(self, change: Change) -> None:
-        """Note that a change was certainly not applied and never will be."""
-        self.doubtful.pop(change.sequence, None)
+    def mark_refused(self, change: RecordChange) -> None:
+        """Record that a change was not applied and never will be."""
+        self.unconfirmed.pop(change.sequence, None)
 
-    def written(self, change: Change, version: int) -> None:
-        """Note that a change was applied; all others in doubt never will be."""
+    def mark_applied(self, change: RecordChange, version: int) -> None:
+        """Record that a change was applied; no other unconfirmed change can be applied later."""
         self.record, self.version = change.record, version
-        self._apply(change)
-        self.doubtful.clear()
+        self._adopt_change(change)
+        self.unconfirmed.clear()
 
-    def conflicted(self, record: BudgetRecord, version: int) -> Change | None:
-        """Take the record as it stands; returns the doubtful change that turns out applied."""
+    def reconcile(self, record: BudgetRecord, version: int) -> RecordChange | None:
+        """Adopt the stored record and return the unconfirmed change that it contains, if any."""
         self.record, self.version = record, version
         own = record.leases.get(self.node)
-        applied = self.doubtful.get(own.sequence) if own is not None else None
+        applied = self.unconfirmed.get(own.sequence) if own is not None else None
         if own is None:
             self._write_off()
         elif applied is not None:
-            self._apply(applied)
-        self.doubtful.clear()
+            self._adopt_change(applied)
+        self.unconfirmed.clear()
         return applied
 
-    def _covered_open(self) -> int:
+    def _leased_open_tokens(self) -> int:
         return sum(
-            tokens for request_id, tokens in self.open.items() if request_id not in self.written_off
+            tokens
+            for request_id, tokens in self.open_turns.items()
+            if request_id not in self.written_off
         )
 
-    def _apply(self, change: Change) -> None:
+    def _adopt_change(self, change: RecordChange) -> None:
         self.lease = change.tokens
         self.used -= change.used
-        self.written_off.update(change.written_off & self.open.keys())
+        self.written_off.update(change.written_off & self.open_turns.keys())
         self.valid_until = change.valid_until
 
     def _write_off(self) -> None:
-        """The lease is gone from the record: all that it held counts as spent."""
+        """Count the whole lease as spent, after it has disappeared from the record."""
         self.lease = 0
         self.used = 0
         self.valid_until = 0.0
-        self.written_off.update(self.open)
+        self.written_off.update(self.open_turns)
 
 
 @dataclass(slots=True)
-class _Verdict:
-    """Which reservations fit, in their order."""
+class _ReservationDecisions:
+    """The reservations that fit, judged in order."""
 
-    under_way: int
-    granted: list[Reserve] = field(default_factory=list)
+    open_tokens: int
+    granted: list[ReservationRequest] = field(default_factory=list)
     exhausted: dict[str, Exhausted] = field(default_factory=dict)
     blocked: dict[str, Blocked] = field(default_factory=dict)
 
-    def judge(self, reserve: Reserve, spent: int, others: int) -> None:
-        """Decide one reservation."""
-        needed = spent + self.under_way + reserve.tokens
-        if needed > reserve.budget:
-            self.exhausted[reserve.request_id] = Exhausted(spent + self.under_way)
-        elif needed + others > reserve.budget:
-            self.blocked[reserve.request_id] = Blocked(others)
+    def decide(self, request: ReservationRequest, spent: int, others: int) -> None:
+        """Grant, block or reject one reservation."""
+        needed = spent + self.open_tokens + request.tokens
+        if needed > request.budget:
+            self.exhausted[request.request_id] = Exhausted(spent + self.open_tokens)
+        elif needed + others > request.budget:
+            self.blocked[request.request_id] = Blocked(others)
         else:
-            self.granted.append(reserve)
-            self.under_way += reserve.tokens
+            self.granted.append(request)
+            self.open_tokens += request.tokens
--- a/src/foxwinch/core/streams.py
+++ b/src/foxwinch/core/streams.py
@@ -1,7 +1,7 @@
-"""Server-sent events of a worker's stream, cut into whole events.
+"""Framing of server-sent events in a worker's stream.
 
-An event may arrive in pieces and may be cut off in the middle. Only whole events are passed on, so
-that a stream can go on at another worker after the last one.
+An event may arrive in chunks and may be truncated. Only complete events are forwarded, so that a
+stream can be resumed at another worker after the last one.
 """
 
 from dataclasses import dataclass
@@ -14,33 +14,33 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event."""
+    """One complete event."""
 
     raw: bytes
-    """As the worker sent it, with the empty line at its end."""
+    """The bytes as sent by the worker, including the terminating empty line."""
     event_id: int | None
     data: bytes
     """The data lines, joined by line feeds."""
 
 
 class EventFramer:
-    """Cuts bytes into whole events; `pending` tells whether part of one is left."""
+    """An incremental parser that splits bytes into complete events."""
 
     def __init__(self) -> None:
-        """Start before the first event."""
-        self._rest = b""
+        """Start with an empty buffer."""
+        self._buffer = b""
 
     @property
     def pending(self) -> bool:
-        """Whether the bytes so far end inside an event."""
-        return bool(self._rest)
+        """Whether the buffer contains an incomplete event."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes and return the events that are whole now."""
-        whole, separator, self._rest = (self._rest + data).rpartition(EVENT_END)
+        """Add bytes and return the events that are now complete."""
+        complete_events, separator, self._buffer = (self._buffer + data).rpartition(EVENT_END)
         if not separator:
             return []
-        return [_parse(block) for block in whole.split(EVENT_END) if block.strip(b"\n")]
+        return [_parse(block) for block in complete_events.split(EVENT_END) if block.strip(b"\n")]
 
 
 def _parse(block: bytes) -> StreamEvent:
@@ -51,9 +51,9 @@
             text = line[len(_ID) :].strip()
             event_id = int(text) if text.isdigit() else None
         elif line.startswith(_DATA):
-            data.append(_without_space(line[len(_DATA) :]))
+            data.append(_strip_leading_space(line[len(_DATA) :]))
     return StreamEvent(block + EVENT_END, event_id, b"\n".join(data))
 
 
-def _without_space(value: bytes) -> bytes:
+def _strip_leading_space(value: bytes) -> bytes:
     return value[1:] if value.startswith(b" ") else value
--- a/src/foxwinch/node/local.py
+++ b/src/foxwinch/node/local.py
@@ -12,7 +12,7 @@
 from foxwinch.limits.ports import Admitted
 from foxwinch.outcomes import Refused
 from foxwinch.records.program_trees import (
-    Applied,
+    LateAppendCallback,
     OpenedTree,
     OwnedElsewhere,
     ProgramTreeStore,
@@ -32,7 +32,7 @@
         """Number of appended batches."""
         return self._batches
 
-    def on_late_append(self, applied: Applied) -> None:
+    def on_late_append(self, callback: LateAppendCallback) -> None:
         """Ignore the listener: every append has a known outcome."""
 
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
@@ -68,7 +68,7 @@
         """Return a program tree's records."""
         return list(self._records.get(root, ()))
 
-    async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
+    async def list_trees(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
         """Return no program trees: there is no other node to take them over from."""
         return ()
 
--- a/src/foxwinch/platform/ingress.py
+++ b/src/foxwinch/platform/ingress.py
@@ -69,9 +69,9 @@
         return web.Response(status=200 if self._node.ready else 503)
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
-        caller = HttpCaller(request, lambda: self._node.stopping or self._node.cut_off)
+        caller = HttpCaller(request, lambda: self._node.stopping or self._node.is_isolated)
         configuration = self._node.routing.configuration
-        body_bytes = configuration.bounds.body_bytes if configuration else None
+        body_bytes = configuration.request_limits.body_bytes if configuration else None
         if body_bytes is not None and (request.content_length or 0) > body_bytes:
             await caller.reject(RejectedRequest(Rejection.TOO_LARGE, "body_too_large"))
             return caller.response
@@ -180,7 +180,7 @@
             response.headers[REQUEST_ID] = request_id
         await self._send(response)
 
-    async def answer(self, head: ResponseHead, body: bytes) -> None:
+    async def respond(self, head: ResponseHead, body: bytes) -> None:
         """Send a worker's complete response."""
         response = web.Response(status=head.status, body=body)
         response.headers.popall("Content-Type", None)
@@ -202,7 +202,7 @@
         """End the body of a complete stream."""
         await self.response.write_eof()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Close the connection before the end of the body, so that the caller sees an error."""
         transport = self._request.transport
         if transport is not None:
--- a/src/foxwinch/platform/store_client.py
+++ b/src/foxwinch/platform/store_client.py
@@ -38,7 +38,7 @@
     RowWrite,
     Written,
 )
-from foxwinch.records.watch import ANSWER_SECONDS
+from foxwinch.records.watch import RESPONSE_GRACE_SECONDS
 from foxwinch.serving.metrics import ServingMetrics
 
 KEEPALIVE_SECONDS = 10.0
@@ -116,7 +116,7 @@
                     False,
                     pages[0].version,
                     page.now_ms,
-                    tuple(row for read in pages for row in read.unreadable),
+                    tuple(row for read in pages for row in read.malformed_rows),
                 )
             last_key = max(
                 (*(row.row.key for row in page.rows), *_undecodable_keys(page)), default=""
@@ -135,7 +135,7 @@
             AFTER_VERSION: str(after_version),
             LONG_POLL_MS: str(int(1e3 * wait_seconds)),
         }
-        timeout_seconds = wait_seconds + ANSWER_SECONDS
+        timeout_seconds = wait_seconds + RESPONSE_GRACE_SECONDS
         response = await self._request("GET", STORE_CHANGES, query, None, timeout_seconds)
         if isinstance(response, Refused):
             return response
@@ -230,4 +230,4 @@
 
 
 def _undecodable_keys(page: RowsRead) -> tuple[str, ...]:
-    return tuple(row.key for row in page.unreadable)
+    return tuple(row.key for row in page.malformed_rows)
--- a/src/foxwinch/platform/store_codec.py
+++ b/src/foxwinch/platform/store_codec.py
@@ -22,12 +22,12 @@
 from foxwinch.records.ports import (
     ABSENT_VERSION,
     Conflict,
+    MalformedRow,
     RowCondition,
     RowKey,
     RowsRead,
     RowWrite,
     StoredRow,
-    UnreadableRow,
     Written,
 )
 
@@ -74,10 +74,10 @@
         now_ms = int(response.document[STORE_CLOCK_MS])
         if response.status == STATUS_OK:
             return Written(version, now_ms)
-        rows, unreadable = _decode_rows(response.document[ROWS], version)
+        rows, malformed_rows = _decode_rows(response.document[ROWS], version)
     except DECODE_ERRORS as error:
         return _malformed_response(error)
-    return Conflict(rows, version, now_ms, unreadable)
+    return Conflict(rows, version, now_ms, malformed_rows)
 
 
 def decode_rows(response: StoreResponse) -> RowsRead | Refused:
@@ -87,10 +87,10 @@
     try:
         document = response.document
         version, now_ms = int(document[ROW_VERSION]), int(document[STORE_CLOCK_MS])
-        rows, unreadable = _decode_rows(document[ROWS], version)
+        rows, malformed_rows = _decode_rows(document[ROWS], version)
     except DECODE_ERRORS as error:
         return _malformed_response(error)
-    return RowsRead(rows, bool(document.get(MORE_PAGES)), version, now_ms, unreadable)
+    return RowsRead(rows, bool(document.get(MORE_PAGES)), version, now_ms, malformed_rows)
 
 
 def refusal_for_status(response: StoreResponse) -> Refused:
@@ -110,28 +110,28 @@
 
 def _decode_rows(
     entries: list[Any], newest_version: int
-) -> tuple[tuple[StoredRow, ...], tuple[UnreadableRow, ...]]:
+) -> tuple[tuple[StoredRow, ...], tuple[MalformedRow, ...]]:
     """Decode rows one by one, so that a malformed row does not affect the others."""
     rows: list[StoredRow] = []
-    unreadable: list[UnreadableRow] = []
+    malformed_rows: list[MalformedRow] = []
     for entry in entries:
         row = _decode_row(entry, newest_version)
         if isinstance(row, StoredRow):
             rows.append(row)
         else:
             log.warning("row_unreadable", key=row.key, version=row.version, reason=row.reason)
-            unreadable.append(row)
-    return tuple(rows), tuple(unreadable)
+            malformed_rows.append(row)
+    return tuple(rows), tuple(malformed_rows)
 
 
-def _decode_row(entry: Any, newest_version: int) -> StoredRow | UnreadableRow:
+def _decode_row(entry: Any, newest_version: int) -> StoredRow | MalformedRow:
     """Decode one row; a malformed row without a version gets the store's newest version."""
     try:
         return _parse_row(entry)
     except DECODE_ERRORS as error:
         fields = entry if isinstance(entry, dict) else {}
         key, version = fields.get(ROW_KEY), fields.get(ROW_VERSION)
-        return UnreadableRow(
+        return MalformedRow(
             key if isinstance(key, str) else "",
             version if isinstance(version, int) else newest_version,
             f"{type(error).__name__}: {error}",
--- a/src/foxwinch/platform/translation.py
+++ b/src/foxwinch/platform/translation.py
@@ -92,7 +92,7 @@
         version=document.version,
         routes=tuple(_route(entry) for entry in routes),
         services={service.name: service for service in services},
-        bounds=_request_limits(limits[0] if limits else LimitsDocument()),
+        request_limits=_request_limits(limits[0] if limits else LimitsDocument()),
     )
 
 
@@ -132,13 +132,13 @@
         path_prefix=entry.path_prefix,
         kind=entry.kind,
         timeout_seconds=(entry.timeout_ms or DEFAULT_TIMEOUT_MS) / 1e3,
-        target_seconds=(entry.target_ms or DEFAULT_LATENCY_TARGET_MS) / 1e3,
-        attempts=entry.workers_maximum or DEFAULT_ATTEMPTS,
+        latency_target_seconds=(entry.target_ms or DEFAULT_LATENCY_TARGET_MS) / 1e3,
+        max_workers=entry.workers_maximum or DEFAULT_ATTEMPTS,
         priority=entry.priority or 0,
         backends=_backends(entry),
         resumable=bool(entry.resumable),
         retained=bool(entry.retained),
-        retain_seconds=entry.retain_seconds or 0.0,
+        retention_seconds=entry.retain_seconds or 0.0,
         event_gap_seconds=(entry.event_gap_ms or 0.0) / 1e3,
     )
 
@@ -155,7 +155,7 @@
     return Service(
         name=entry.name,
         health_path=entry.health_path or "/",
-        connections_maximum=entry.connections_maximum or 0,
+        max_connections=entry.connections_maximum or 0,
         tokens_per_event=engine.tokens_per_event or 1,
         slots=engine.slots or 1,
     )
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -101,7 +101,7 @@
             "Content-Length" in response.headers or "Transfer-Encoding" in response.headers
         )
 
-    async def read_whole(self) -> bytes | CallInterrupted:
+    async def read_body(self) -> bytes | CallInterrupted:
         """Read the whole body."""
         try:
             body = await self._response.content.read()
@@ -109,7 +109,7 @@
             return CallInterrupted(CallFailure.CONNECTION_LOST, type(error).__name__)
         return self._check_reset() or body
 
-    async def pieces(self) -> AsyncIterator[bytes | CallInterrupted]:
+    async def chunks(self) -> AsyncIterator[bytes | CallInterrupted]:
         """Yield the body as it arrives."""
         try:
             async for chunk in self._response.content.iter_any():
--- a/src/foxwinch/records/program_trees.py
+++ b/src/foxwinch/records/program_trees.py
@@ -1,7 +1,8 @@
-"""Journals of program trees: what a node asks of whoever keeps them.
+"""Port to the journals of program trees.
 
-A program tree is a program with all its sub-agents, named by its root. One node at a time serves
-it; a node that cannot reach that one takes the tree over, and the former node's next append fails.
+A program tree is a program with all its sub-agents, identified by its root program. One node at a
+time serves it. A node that cannot reach that node takes the tree over, and the former node's next
+append fails.
 """
 
 from abc import ABC, abstractmethod
@@ -12,8 +13,8 @@
 from foxwinch.identifiers import NodeId, ProgramId
 from foxwinch.outcomes import Refused
 
-Applied = Callable[[Sequence[JournalRecord]], None]
-"""Told of records that turn out to be in the journal after their append was given up."""
+LateAppendCallback = Callable[[Sequence[JournalRecord]], None]
+"""Callback for records whose append took effect after it was abandoned."""
 
 
 class OwnedElsewhere(NamedTuple):
@@ -21,72 +22,72 @@
 
     node: NodeId
     address: str
-    """`ip:port` of its peer side."""
+    """`ip:port` of its peer endpoint."""
 
 
 class TreeHead(NamedTuple):
-    """A program tree's row as it stands."""
+    """The stored head of a program tree."""
 
     version: int
-    """The row's version; 0 when there is no row."""
+    """The row's version; 0 if there is no row."""
     batches: int
     node: NodeId
     address: str
     token: str
     first: int = 0
-    """Batches before this one are gone, or about to be."""
+    """The first valid batch; earlier ones are deleted or about to be."""
 
 
 class TreeJournal(ABC):
-    """The journal of one program tree, as the node that serves it appends to it."""
+    """The journal of one program tree, held by the node that serves it."""
 
     @property
     @abstractmethod
     def batches(self) -> int:
-        """How many times the journal has been appended to."""
+        """Return the number of batches appended to the journal."""
 
     @abstractmethod
-    def on_late_append(self, applied: Applied) -> None:
-        """Tell `applied` of records whose append was given up and took effect all the same."""
+    def on_late_append(self, callback: LateAppendCallback) -> None:
+        """Set the callback for records whose append took effect after it was abandoned."""
 
     @abstractmethod
     async def append(self, records: Sequence[JournalRecord]) -> Refused | None:
-        """Append records, all or none; None when they are there for good.
+        """Append records, all or none; return None once they are committed.
 
-        `FENCED`: another node has taken the program tree over. A refusal with run state `unknown`
-        may take effect, also later, as long as nothing else is appended.
+        Reason `FENCED` means that another node has taken over the program tree. An append refused
+        with run state `unknown` may still take effect until another one is committed.
         """
 
     @abstractmethod
     async def confirm(self) -> Refused | None:
-        """Prove that no other node has taken the program tree over; returns why that failed."""
+        """Verify that no other node has taken over the tree; return a refusal if that fails."""
 
     @abstractmethod
     async def remove(self) -> Refused | None:
-        """Remove the journal of a program tree that is over."""
+        """Remove the journal of a finished program tree."""
 
 
 class OpenedTree(NamedTuple):
-    """A program tree that this node serves from now on."""
+    """A program tree that this node now serves."""
 
     journal: TreeJournal
     records: Sequence[JournalRecord]
-    """All that was appended so far, oldest first."""
+    """All records appended so far, oldest first."""
 
 
 class ProgramTreeStore(ABC):
-    """The program trees of all programs."""
+    """Access to all program trees."""
 
     @abstractmethod
     async def open(
         self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> OpenedTree | OwnedElsewhere | Refused:
-        """Start to serve a program tree that is unserved or served by `previous_owner`."""
+        """Start serving a program tree, taking it over if `previous_owner` serves it."""
 
     @abstractmethod
     async def read(self, root: ProgramId) -> Sequence[JournalRecord] | Refused:
         """Read a program tree's journal without serving it."""
 
     @abstractmethod
-    async def served(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
+    async def list_trees(self, partition: str) -> Sequence[tuple[ProgramId, NodeId]] | Refused:
         """Return the program trees of a partition, each with the node that serves it."""
--- a/src/foxwinch/records/retry.py
+++ b/src/foxwinch/records/retry.py
@@ -1,4 +1,4 @@
-"""Repeats calls to the shared store until they are answered or the caller's time is over."""
+"""Retries of calls to the shared store until a response or the deadline."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -8,11 +8,11 @@
 from foxwinch.outcomes import Reason, Refused, not_run
 
 STORE_BACKOFF = Backoff(base_seconds=0.05, cap_seconds=0.4)
-CALL_SECONDS = 0.8
-"""For one call: a store that is slow still answers within it; one that says nothing is asked again
-on another connection."""
+CALL_TIMEOUT_SECONDS = 0.8
+"""Timeout of one call. A slow store still responds within it; a call to an unresponsive store is
+retried on another connection."""
 MIN_CALL_SECONDS = 0.03
-"""With less time left a call is not begun."""
+"""Minimum remaining time for starting a call."""
 
 Outcome = TypeVar("Outcome")
 
@@ -22,22 +22,24 @@
     deadline_at: float,
     call: Callable[[float], Awaitable[Outcome]],
 ) -> Outcome | Refused:
-    """Return the first answer of `call`, or its last refusal when `deadline_at` is reached.
+    """Return the first response of `call`, or its last refusal once `deadline_at` is reached.
 
-    `call` gets the seconds that it may take, and must be safe to repeat.
+    `call` takes its timeout in seconds and must be idempotent.
     """
     attempt = 0
-    last: Refused | None = None
+    last_refusal: Refused | None = None
     while True:
-        left = deadline_at - clock.monotonic()
-        if left < MIN_CALL_SECONDS:
-            return last or not_run(Reason.DEADLINE, "no time is left to ask the store")
-        outcome = await call(min(left, CALL_SECONDS))
+        remaining_seconds = deadline_at - clock.monotonic()
+        if remaining_seconds < MIN_CALL_SECONDS:
+            return last_refusal or not_run(
+                Reason.DEADLINE, "the deadline passed before the store could be called"
+            )
+        outcome = await call(min(remaining_seconds, CALL_TIMEOUT_SECONDS))
         if not isinstance(outcome, Refused):
             return outcome
-        last = outcome
+        last_refusal = outcome
         wait = STORE_BACKOFF.wait_seconds(attempt, 0.5 + 0.5 * clock.uniform())
         attempt += 1
         if clock.monotonic() + wait > deadline_at:
-            return last
+            return last_refusal
         await clock.sleep(wait)
--- a/src/foxwinch/records/store_probe.py
+++ b/src/foxwinch/records/store_probe.py
@@ -1,39 +1,41 @@
-"""Asks the store for nothing once a call was refused, to tell a part that is down from the whole.
+"""Health probes of the store after a failed call, to distinguish a partial from a full outage.
 
-Watches hear nothing for seconds while nothing changes, and the calls of turns may all go to a part
-of the store that is down. So only a call of its own tells in time whether the store answers.
+A watch call may stay open for seconds without changes, and the calls of turns may all go to
+partitions that are down. Only a separate call shows in time whether the store responds.
 """
 
 from foxwinch.clock import Clock
 from foxwinch.records.ports import RowKey
 from foxwinch.records.store_state import ObservedStore
 
-PROBE_SECONDS = 0.4
-"""Between probes, and until one is given up: two fit into the time after which a node counts as
-cut off."""
+PROBE_INTERVAL_SECONDS = 0.4
+"""Maximum interval between probes and timeout of a probe: two probes fit into the time after which
+a node counts as isolated."""
 MAX_PROBES = 2
-"""After them the retries of the watches find out when the store is back."""
-NO_KEY = "~"
-NO_KEY_END = "~\x01"
+"""Maximum number of probes; after them the retries of the watches detect when the store is back."""
+ABSENT_KEY = "~"
+ABSENT_KEY_END = "~\x01"
 
 
 class StoreProbe:
-    """Probes the partition without a name of one table, in which the watched rows lie."""
+    """Probes the unnamed partition of a table, which holds the watched rows."""
 
     def __init__(self, store: ObservedStore, clock: Clock, table: str) -> None:
-        """Probe `table`; the answers are noted by `store` itself."""
+        """Create a probe of `table`; `store` itself records the responses."""
         self._store = store
         self._clock = clock
-        self._row = RowKey(table, "", NO_KEY)
+        self._row = RowKey(table, "", ABSENT_KEY)
 
     async def run(self) -> None:
-        """Probe whenever the store is lost, for ever."""
+        """Probe the store whenever its last call failed; run until cancelled."""
         while True:
-            await self._store.wait_until_lost()
+            await self._store.wait_until_unavailable()
             for _ in range(MAX_PROBES):
-                await self._clock.sleep(PROBE_SECONDS * (0.5 + 0.5 * self._clock.uniform()))
-                if not self._store.lost_seconds():
+                await self._clock.sleep(
+                    PROBE_INTERVAL_SECONDS * (0.5 + 0.5 * self._clock.uniform())
+                )
+                if not self._store.unavailable_seconds():
                     break
-                await self._store.read(self._row, NO_KEY_END, PROBE_SECONDS)
-            while self._store.lost_seconds():
-                await self._clock.sleep(PROBE_SECONDS)
+                await self._store.read(self._row, ABSENT_KEY_END, PROBE_INTERVAL_SECONDS)
+            while self._store.unavailable_seconds():
+                await self._clock.sleep(PROBE_INTERVAL_SECONDS)
--- a/src/foxwinch/serving/attempts.py
+++ b/src/foxwinch/serving/attempts.py
@@ -1,4 +1,4 @@
-"""Offers one request to workers until one takes it, within the route's bounds."""
+"""Dispatch of a request to workers, with retries within the limits of its route."""
 
 import asyncio
 from collections.abc import Iterator
@@ -9,8 +9,8 @@
 from foxwinch.core.routing.configuration import Route
 from foxwinch.core.routing.directory import Worker
 from foxwinch.core.routing.load import LoadTable
-from foxwinch.core.routing.selection import Wish, choose
-from foxwinch.core.routing.shares import ServiceShares
+from foxwinch.core.routing.round_robin import WeightedRoundRobin
+from foxwinch.core.routing.selection import SelectionCriteria, choose_worker
 from foxwinch.core.routing.urgency import urgency_of
 from foxwinch.log import EventLog, age_ms
 from foxwinch.serving.messages import (
@@ -26,48 +26,48 @@
 from foxwinch.serving.metrics import ServingMetrics
 from foxwinch.serving.ports import RoutingView, Workers
 
-MAX_OFFERS = 4
-"""Workers that one request is offered to while each says that it did not run it."""
-NO_WORKER_RETRY_SECONDS = 0.25
-SHED_RETRY_SECONDS = 0.3
+MAX_DISPATCHES = 4
+"""Maximum number of workers that one request is sent to while each refuses to run it."""
+NO_WORKER_RETRY_AFTER_SECONDS = 0.25
+SHED_RETRY_AFTER_SECONDS = 0.3
 MIN_CALL_SECONDS = 0.02
-"""With less time left no worker can do anything."""
-PATIENCE_TARGETS = 4.0
-"""A worker that has not begun to answer after so many of the route's target times is taken for
-silent, where the request may run at another one."""
-PATIENCE_SECONDS = 0.3
-"""At least; a full worker answers within it."""
+"""Minimum remaining time for a call; no worker can complete one in less."""
+RESPONSE_TIMEOUT_TARGETS = 4.0
+"""Timeout for the start of a response, in multiples of the route's target time. It applies if the
+request may run at another worker."""
+MIN_RESPONSE_TIMEOUT_SECONDS = 0.3
+"""Minimum of that timeout; an overloaded worker sheds the call within it."""
 log = EventLog("attempts")
 
 
 @dataclass(slots=True)
 class Attempts:
-    """What one request has tried so far."""
+    """The state of a request across its attempts."""
 
     request: ServiceRequest
     route: Route
     services: list[str]
-    """The services that may serve it, the preferred one first."""
+    """The services that may serve the request, preferred one first."""
     body: bytes
-    end_at: float
-    """When the caller's or the route's time is over."""
-    offered: set[str] = field(default_factory=set)
-    """Workers that it was sent to."""
-    ran_on: set[str] = field(default_factory=set)
-    """Workers that may have run it."""
+    deadline_at: float
+    """Deadline on the monotonic clock: the earlier one of the caller's and the route's."""
+    tried_workers: set[str] = field(default_factory=set)
+    """Ids of the workers that the request was sent to."""
+    possibly_ran_on: set[str] = field(default_factory=set)
+    """Ids of the workers that may have run the request."""
     last_event_id: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """A worker has begun to answer."""
+class AcceptedCall:
+    """A worker that has started to respond."""
 
     worker: Worker
-    answer: WorkerResponse
+    response: WorkerResponse
 
 
 class Dispatcher:
-    """Chooses workers, sends, and keeps account of their load."""
+    """Selects workers, sends calls and tracks the workers' load."""
 
     def __init__(
         self,
@@ -77,76 +77,80 @@
         zone: str,
         metrics: ServingMetrics,
     ) -> None:
-        """Send from `zone` to the workers that `routing` knows."""
+        """Create a dispatcher for a node in `zone`."""
         self._routing = routing
         self._workers = workers
         self._clock = clock
         self._zone = zone
         self._metrics = metrics
         self.loads = LoadTable()
-        self._shares = ServiceShares()
+        self._round_robin = WeightedRoundRobin()
 
-    def services_of(self, route: Route) -> list[str]:
-        """Return the services of a route, the one whose turn it is first."""
-        return self._shares.order(route)
+    def ordered_services(self, route: Route) -> list[str]:
+        """Return the services of a route, the next one in its weighted rotation first."""
+        return self._round_robin.services_by_turn(route)
 
-    async def offer(self, attempts: Attempts, last_worker: str | None) -> Taken | RejectedRequest:
-        """Offer a request to workers until one answers; the end of the time is the caller's."""
-        offers = 0
-        shed: CallRefused | None = None
+    async def dispatch(
+        self, attempts: Attempts, last_worker: str | None
+    ) -> AcceptedCall | RejectedRequest:
+        """Send a request to workers until one responds; the calling code enforces the deadline."""
+        dispatches = 0
+        last_refusal: CallRefused | None = None
         while True:
-            left = attempts.end_at - self._clock.monotonic()
-            if left < MIN_CALL_SECONDS:
-                return _out_of_time(attempts)
-            worker = self._choose(attempts, last_worker)
-            if worker is None or offers >= MAX_OFFERS:
-                return _not_served(attempts, shed)
-            offers += 1
-            attempts.offered.add(worker.worker_id)
-            outcome = await self._call(worker, attempts, left)
+            remaining_seconds = attempts.deadline_at - self._clock.monotonic()
+            if remaining_seconds < MIN_CALL_SECONDS:
+                return _deadline_exceeded(attempts)
+            worker = self._choose_worker(attempts, last_worker)
+            if worker is None or dispatches >= MAX_DISPATCHES:
+                return _not_dispatched(attempts, last_refusal)
+            dispatches += 1
+            attempts.tried_workers.add(worker.worker_id)
+            outcome = await self._call(worker, attempts, remaining_seconds)
             if isinstance(outcome, CallRefused):
-                shed = outcome
+                last_refusal = outcome
             elif isinstance(outcome, CallInterrupted):
-                attempts.ran_on.add(worker.worker_id)
-                if not self.may_run_again(attempts):
+                attempts.possibly_ran_on.add(worker.worker_id)
+                if not self.may_retry(attempts):
                     return RejectedRequest(Rejection.FAILED, outcome.failure.value)
             else:
-                attempts.ran_on.add(worker.worker_id)
-                return Taken(worker, outcome)
+                attempts.possibly_ran_on.add(worker.worker_id)
+                return AcceptedCall(worker, outcome)
 
-    def may_run_again(self, attempts: Attempts) -> bool:
-        """Tell whether a request that a worker may have run may go to another one."""
+    def may_retry(self, attempts: Attempts) -> bool:
+        """Return whether a request that may have run may be sent to another worker."""
         route = attempts.route
-        return route.repeatable and len(attempts.ran_on) < max(1, route.attempts)
+        return route.repeatable and len(attempts.possibly_ran_on) < max(1, route.max_workers)
 
     @contextmanager
-    def counted(self, worker: Worker) -> Iterator[None]:
-        """Count a call as under way at a worker."""
-        self.loads.began(worker.incarnation)
+    def count_in_flight(self, worker: Worker) -> Iterator[None]:
+        """Count a call as in flight at a worker within the context."""
+        self.loads.call_started(worker.incarnation)
         try:
             yield
         finally:
-            self.loads.ended(worker.incarnation)
+            self.loads.call_ended(worker.incarnation)
 
-    def failed(self, worker: Worker, failure: CallFailure, request_id: str) -> None:
-        """Take note that a worker broke off or answered wrong."""
-        self.loads.failed(worker.incarnation, self._clock.monotonic())
+    def record_failure(self, worker: Worker, failure: CallFailure, request_id: str) -> None:
+        """Record that a worker aborted its response or sent an invalid one."""
+        self.loads.record_failure(worker.incarnation, self._clock.monotonic())
         self._metrics.worker_failures.labels(failure.value).inc()
         log.info(
             "worker_failed", request=request_id, worker=worker.worker_id, failure=failure.value
         )
 
-    def answered(self, worker: Worker) -> None:
-        """Take note of a sound answer."""
-        self.loads.answered(worker.incarnation)
+    def record_response(self, worker: Worker) -> None:
+        """Record a valid response."""
+        self.loads.record_response(worker.incarnation)
 
-    def _choose(self, attempts: Attempts, last_worker: str | None) -> Worker | None:
+    def _choose_worker(self, attempts: Attempts, last_worker: str | None) -> Worker | None:
         now = self._clock.monotonic()
         directory = self._routing.directory
-        wish = Wish(self._zone, last_worker, _caching_program(attempts.request), attempts.offered)
+        criteria = SelectionCriteria(
+            self._zone, last_worker, _caching_program(attempts.request), attempts.tried_workers
+        )
         for service in attempts.services:
-            workers = directory.serving(service, now)
-            choice = choose(workers, self.loads, wish, now, self._clock.uniform())
+            workers = directory.eligible_workers(service, now)
+            choice = choose_worker(workers, self.loads, criteria, now, self._clock.uniform())
             if choice is not None:
                 log.info(
                     "worker_chosen",
@@ -158,62 +162,72 @@
                     own_calls=choice.in_flight,
                     list_version=directory.version,
                     list_age_ms=age_ms(self._routing.workers_age_seconds()),
-                    left_ms=int(1e3 * (attempts.end_at - now)),
+                    left_ms=int(1e3 * (attempts.deadline_at - now)),
                 )
                 return choice.worker
         return None
 
     async def _call(
-        self, worker: Worker, attempts: Attempts, left: float
+        self, worker: Worker, attempts: Attempts, remaining_seconds: float
     ) -> WorkerResponse | CallRefused | CallInterrupted:
         call = OutgoingCall(
             attempts.request,
             attempts.body,
-            left,
+            remaining_seconds,
             attempts.last_event_id,
             urgency_of(attempts.route.priority, self._is_late(attempts.request)),
         )
-        began = self._clock.monotonic()
-        with self.counted(worker):
-            outcome = await self._answer_of(worker, call, self._patience(attempts, left))
+        started_at = self._clock.monotonic()
+        with self.count_in_flight(worker):
+            outcome = await self._await_response(
+                worker, call, self._response_timeout_seconds(attempts, remaining_seconds)
+            )
         now = self._clock.monotonic()
         if isinstance(outcome, CallRefused):
-            self._note_refused(worker, outcome, attempts.request.request_id)
+            self._record_refusal(worker, outcome, attempts.request.request_id)
         elif isinstance(outcome, CallInterrupted):
-            self.failed(worker, outcome.failure, attempts.request.request_id)
+            self.record_failure(worker, outcome.failure, attempts.request.request_id)
         else:
-            self.loads.began_to_answer(worker.incarnation, now - began, now)
+            self.loads.record_response_start(worker.incarnation, now - started_at, now)
         return outcome
 
-    async def _answer_of(
-        self, worker: Worker, call: OutgoingCall, patience_seconds: float
+    async def _await_response(
+        self, worker: Worker, call: OutgoingCall, timeout_seconds: float
     ) -> WorkerResponse | CallRefused | CallInterrupted:
         try:
-            async with asyncio.timeout(patience_seconds):
+            async with asyncio.timeout(timeout_seconds):
                 return await self._workers.call(worker, call)
         except TimeoutError:
-            return CallInterrupted(CallFailure.SILENT, f"no answer in {patience_seconds:.2f} s")
+            return CallInterrupted(
+                CallFailure.UNRESPONSIVE, f"no response within {timeout_seconds:.2f} s"
+            )
 
-    def _patience(self, attempts: Attempts, left: float) -> float:
-        """Return for how long to wait for a worker to begin its answer."""
-        others = len(attempts.ran_on) + 1 < max(1, attempts.route.attempts)
-        if not attempts.route.repeatable or not others:
-            return left
-        return min(left, max(PATIENCE_SECONDS, PATIENCE_TARGETS * attempts.route.target_seconds))
+    def _response_timeout_seconds(self, attempts: Attempts, remaining_seconds: float) -> float:
+        """Return the timeout for the start of a worker's response, in seconds."""
+        may_retry_elsewhere = len(attempts.possibly_ran_on) + 1 < max(1, attempts.route.max_workers)
+        if not attempts.route.repeatable or not may_retry_elsewhere:
+            return remaining_seconds
+        return min(
+            remaining_seconds,
+            max(
+                MIN_RESPONSE_TIMEOUT_SECONDS,
+                RESPONSE_TIMEOUT_TARGETS * attempts.route.latency_target_seconds,
+            ),
+        )
 
     def _is_late(self, request: ServiceRequest) -> bool:
-        """Tell whether the request's program should be over by now."""
+        """Return whether the request's program has passed its deadline."""
         program = request.program
-        if program is None or program.finish_seconds is None:
+        if program is None or program.seconds_to_deadline is None:
             return False
-        return self._clock.monotonic() - request.received_at >= program.finish_seconds
+        return self._clock.monotonic() - request.received_at >= program.seconds_to_deadline
 
-    def _note_refused(self, worker: Worker, refused: CallRefused, request_id: str) -> None:
+    def _record_refusal(self, worker: Worker, refused: CallRefused, request_id: str) -> None:
         now = self._clock.monotonic()
         if refused.failure is CallFailure.SHED:
-            self.loads.shed(worker.incarnation, now)
+            self.loads.record_shed(worker.incarnation, now)
         else:
-            self.loads.failed(worker.incarnation, now)
+            self.loads.record_failure(worker.incarnation, now)
         self._metrics.worker_failures.labels(refused.failure.value).inc()
         log.info(
             "worker_refused",
@@ -225,22 +239,22 @@
 
 
 def _caching_program(request: ServiceRequest) -> str | None:
-    """Return the program of a model call; other calls leave no cache behind."""
+    """Return the program of a model call, or None; other calls populate no cache."""
     if request.program is None or request.model is None:
         return None
     return request.program.program_id
 
 
-def _out_of_time(attempts: Attempts) -> RejectedRequest:
-    if attempts.ran_on:
+def _deadline_exceeded(attempts: Attempts) -> RejectedRequest:
+    if attempts.possibly_ran_on:
         return RejectedRequest(Rejection.LATE, "time_over")
     return RejectedRequest(Rejection.NOT_RUN, "time_over")
 
 
-def _not_served(attempts: Attempts, shed: CallRefused | None) -> RejectedRequest:
-    if attempts.ran_on:
+def _not_dispatched(attempts: Attempts, last_refusal: CallRefused | None) -> RejectedRequest:
+    if attempts.possibly_ran_on:
         return RejectedRequest(Rejection.FAILED, "no_worker_left")
-    if shed is None:
-        return RejectedRequest(Rejection.NOT_RUN, "no_worker", NO_WORKER_RETRY_SECONDS)
-    retry_after = shed.retry_after_seconds or SHED_RETRY_SECONDS
+    if last_refusal is None:
+        return RejectedRequest(Rejection.NOT_RUN, "no_worker", NO_WORKER_RETRY_AFTER_SECONDS)
+    retry_after = last_refusal.retry_after_seconds or SHED_RETRY_AFTER_SECONDS
     return RejectedRequest(Rejection.NOT_RUN, "workers_full", retry_after)
--- a/src/foxwinch/serving/node.py
+++ b/src/foxwinch/serving/node.py
@@ -1,4 +1,4 @@
-"""One serving node: its parts, its readiness, and its planned stop."""
+"""A serving node: its components, readiness and graceful shutdown."""
 
 from collections.abc import Awaitable, Callable
 
@@ -16,19 +16,19 @@
 from foxwinch.serving.ports import Workers
 from foxwinch.serving.routing import RoutingTables
 
-TAKEN_OUT_SECONDS = 3.2
-"""After a stop was asked for: by then whoever sends callers here has seen that the node is not
-ready, and sends no more."""
-CUT_OFF_SECONDS = 1.0
-"""Without any answer of the store; then callers are better sent to other nodes."""
-STOPPING_RETRY_SECONDS = 0.05
-"""A caller that still comes to a node that stops is better served by the next one."""
+READINESS_PROPAGATION_SECONDS = 3.2
+"""Time from the start of a shutdown until load balancers have seen that the node is not ready and
+send no more requests."""
+ISOLATION_SECONDS = 1.0
+"""Time without any response of the store after which requests should go to other nodes."""
+STOPPING_RETRY_AFTER_SECONDS = 0.05
+"""Retry time for requests to a closed node; it is short because another node can serve them."""
 POLL_SECONDS = 0.05
 log = EventLog("node")
 
 
 class ServingNode:
-    """The parts of one node and their life."""
+    """The components of one node and their lifecycle."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         metrics: ServingMetrics,
         grace_seconds: float,
     ) -> None:
-        """Build node `name` in `zone`; a stop takes at most `grace_seconds`."""
+        """Create node `name` in `zone`; a shutdown takes at most `grace_seconds`."""
         self._clock = clock
         self._store = store
         self._grace_seconds = grace_seconds
@@ -61,19 +61,19 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new callers should be sent here."""
-        return not self.stopping and not self.cut_off and self.routing.complete
+        """Whether the node should receive new requests."""
+        return not self.stopping and not self.is_isolated and self.routing.is_complete
 
     @property
-    def cut_off(self) -> bool:
-        """Whether the store has not answered this node for so long that others may serve better.
+    def is_isolated(self) -> bool:
+        """Whether the store has been unreachable for so long that other nodes may serve better.
 
-        When it answers nobody, all nodes are cut off and callers are sent to all of them.
+        When the store is down for all nodes, all are isolated and requests go to all of them.
         """
-        return self._store.lost_seconds() > CUT_OFF_SECONDS
+        return self._store.unavailable_seconds() > ISOLATION_SECONDS
 
     def start(self) -> None:
-        """Begin to follow the configuration and the workers."""
+        """Start the watches of the configuration and the workers."""
         self._tasks.start(self.routing.configuration_watch.run())
         self._tasks.start(self.routing.workers_watch.run())
         table = self.routing.configuration_watch.table
@@ -82,7 +82,7 @@
     async def handle(self, request: ServiceRequest, caller: Caller) -> None:
         """Serve one request."""
         if self._closed:
-            rejected = RejectedRequest(Rejection.NOT_RUN, "stopping", STOPPING_RETRY_SECONDS)
+            rejected = RejectedRequest(Rejection.NOT_RUN, "stopping", STOPPING_RETRY_AFTER_SECONDS)
             await caller.reject(rejected)
             log.info("request_refused", request=request.request_id, reason=rejected.reason)
             return
@@ -93,29 +93,30 @@
             self._running -= 1
 
     async def stop(self, close: Callable[[], Awaitable[None]]) -> None:
-        """Take no new callers, serve what is under way and what still comes, then return.
+        """Drain the node: report it as not ready, finish the requests in flight and return leases.
 
-        `close` is called once nobody should be sent here any more: it stops listening.
+        `close` must stop listening; it is called once load balancers should have stopped sending
+        requests. Requests that arrive before are served.
         """
         self.stopping = True
-        began = self._clock.monotonic()
-        end_at = began + self._grace_seconds
+        started_at = self._clock.monotonic()
+        deadline_at = started_at + self._grace_seconds
         log.info("stopping", running=self._running)
-        await self._clock.sleep(min(TAKEN_OUT_SECONDS, self._grace_seconds / 2))
+        await self._clock.sleep(min(READINESS_PROPAGATION_SECONDS, self._grace_seconds / 2))
         await close()
         self._closed = True
-        while self._clock.monotonic() < end_at and self._running:
+        while self._clock.monotonic() < deadline_at and self._running:
             await self._clock.sleep(POLL_SECONDS)
-        self.budgets.give_back_all()
-        while self.budgets.programs and self._clock.monotonic() < end_at:
+        self.budgets.release_all()
+        while self.budgets.programs and self._clock.monotonic() < deadline_at:
             await self._clock.sleep(POLL_SECONDS)
         log.info(
             "stopped",
             running=self._running,
             programs_owing=self.budgets.programs,
-            took_ms=int(1e3 * (self._clock.monotonic() - began)),
+            took_ms=int(1e3 * (self._clock.monotonic() - started_at)),
         )
 
     async def close(self) -> None:
-        """End every task behind; also after a start that was not followed by `stop`."""
+        """Cancel all background tasks; also needed after `start` without `stop`."""
         await self._tasks.stop()
--- a/src/foxwinch/serving/routing.py
+++ b/src/foxwinch/serving/routing.py
@@ -1,30 +1,30 @@
-"""The configuration and the workers in force at a node, fed by watches of the shared store."""
+"""Current configuration and workers of a node, updated by watches of the shared store."""
 
 from collections.abc import Callable
 
 from foxwinch.clock import Clock
 from foxwinch.core.routing.configuration import RoutingConfiguration
 from foxwinch.core.routing.directory import (
-    LastResort,
+    LastResortDeadlines,
     Worker,
     WorkerDirectory,
-    last_resort_after_outage,
-    last_resort_from,
+    last_resort_deadlines,
+    last_resort_deadlines_after_outage,
 )
 from foxwinch.log import EventLog
 from foxwinch.records.ports import RecordStore, RowsRead, StoredRow
 from foxwinch.records.watch import WAIT_SECONDS, TableWatch
 from foxwinch.serving.metrics import ServingMetrics
 
-FORGET_WORKERS_SECONDS = 30.0
-"""After which a worker that left is forgotten."""
-LAPSE_SECONDS = 3.6
-"""Three of a worker's heartbeats, where nothing else is said."""
+EVICT_WORKERS_SECONDS = 30.0
+"""Time after which a removed worker is evicted from the directory."""
+EXPIRY_SECONDS = 3.6
+"""Default time to live of a worker's entry: three heartbeat intervals."""
 log = EventLog("routing")
 
 
 class RoutingTables:
-    """Keeps the newest configuration and the list of workers."""
+    """Holds the newest configuration and the list of workers."""
 
     def __init__(
         self,
@@ -38,64 +38,64 @@
         decode_configuration: Callable[[StoredRow], RoutingConfiguration | None],
         decode_worker: Callable[[StoredRow], Worker | None],
         wait_seconds: float = WAIT_SECONDS,
-        expiry_seconds: float = LAPSE_SECONDS,
+        expiry_seconds: float = EXPIRY_SECONDS,
     ) -> None:
-        """Read rows by the given decoders; None stands for a row that names nothing to use.
+        """Create the tables; the decoders return None for rows that are not usable.
 
-        The store holds each call of a watch open for `wait_seconds`, and drops entries that were
-        not written anew for `expiry_seconds`.
+        The store holds each watch call open for `wait_seconds` and drops entries that were not
+        renewed for `expiry_seconds`.
         """
         self._clock = clock
         self._metrics = metrics
         self._decode_configuration = decode_configuration
         self._decode_worker = decode_worker
-        self._lapse_seconds = expiry_seconds
+        self._expiry_seconds = expiry_seconds
         self._configuration: RoutingConfiguration | None = None
         self._directory = WorkerDirectory()
         self.configuration_watch = TableWatch(
             store,
             clock,
             configuration_table,
-            self._take_configuration,
+            self._on_configuration_rows,
             wait_seconds,
             (configuration_key,),
         )
         self.workers_watch = TableWatch(
-            store, clock, workers_table, self._take_workers, wait_seconds
+            store, clock, workers_table, self._on_worker_rows, wait_seconds
         )
         for watch in (self.configuration_watch, self.workers_watch):
             metrics.watch_age_seconds.labels(watch.table).set_function(watch.age_seconds)
 
     @property
     def configuration(self) -> RoutingConfiguration | None:
-        """Return the newest configuration that is known; None before the first."""
+        """Return the newest known configuration; None before the first one."""
         return self._configuration
 
     @property
     def directory(self) -> WorkerDirectory:
-        """Return the workers that are known."""
+        """Return the directory of known workers."""
         return self._directory
 
     def configuration_age_seconds(self) -> float:
-        """Return how long ago the configuration was last confirmed to be the newest."""
+        """Return the time since the configuration was last confirmed as the newest."""
         return self.configuration_watch.age_seconds()
 
     def workers_age_seconds(self) -> float:
-        """Return how long ago the list of workers was last confirmed to be the newest."""
+        """Return the time since the worker list was last confirmed as the newest."""
         return self.workers_watch.age_seconds()
 
     @property
-    def complete(self) -> bool:
-        """Whether requests can be served: there are a configuration and workers."""
+    def is_complete(self) -> bool:
+        """Whether a configuration and workers are known, so that requests can be served."""
         return self._configuration is not None and bool(self._directory.all_workers())
 
-    def put_in_force(self, configuration: RoutingConfiguration, source: str) -> None:
-        """Take a configuration, unless it is older than the one in force."""
+    def activate(self, configuration: RoutingConfiguration, source: str) -> None:
+        """Apply a configuration unless the current one is the same version or newer."""
         current = self._configuration
         if current is not None and configuration.version <= current.version:
             return
         self._configuration = configuration
-        self._directory.name_services(configuration.services)
+        self._directory.set_services(configuration.services)
         self._metrics.configuration_version.set(configuration.version)
         log.info(
             "configuration_in_force",
@@ -105,17 +105,17 @@
             routes=len(configuration.routes),
         )
 
-    def _take_configuration(self, read: RowsRead, whole: bool) -> None:
+    def _on_configuration_rows(self, read: RowsRead, is_full: bool) -> None:
         for row in read.rows:
             configuration = self._decode_configuration(row)
             if configuration is not None:
-                self.put_in_force(configuration, "store")
+                self.activate(configuration, "store")
 
-    def _take_workers(self, read: RowsRead, whole: bool) -> None:
-        last_resort = self._last_resort()
-        for refused in read.unreadable:
-            self._directory.refuse(refused.key, refused.version)
-        found: list[tuple[Worker, int]] = []
+    def _on_worker_rows(self, read: RowsRead, is_full: bool) -> None:
+        last_resort = self._last_resort_deadlines()
+        for malformed in read.malformed_rows:
+            self._directory.reject_entry(malformed.key, malformed.version)
+        listed: list[tuple[Worker, int]] = []
         for row in read.rows:
             if row.value is None:
                 self._directory.remove(row.row.key, row.version, last_resort)
@@ -123,26 +123,26 @@
                 continue
             worker = self._decode_worker(row)
             if worker is None:
-                self._directory.refuse(row.row.key, row.version)
+                self._directory.reject_entry(row.row.key, row.version)
                 continue
-            if whole:
-                found.append((worker, row.version))
+            if is_full:
+                listed.append((worker, row.version))
             else:
                 self._put_worker(worker, row.version, last_resort)
-        if whole:
-            self._directory.replace_all(found, read.version, last_resort)
-            log.info("workers_listed", count=len(found), list_version=read.version)
-        self._directory.forget_gone(self._clock.monotonic(), FORGET_WORKERS_SECONDS)
+        if is_full:
+            self._directory.replace_all(listed, read.version, last_resort)
+            log.info("workers_listed", count=len(listed), list_version=read.version)
+        self._directory.evict_removed(self._clock.monotonic(), EVICT_WORKERS_SECONDS)
 
-    def _last_resort(self) -> LastResort:
-        """Return until when workers that the list now tells to be leaving may be given work."""
+    def _last_resort_deadlines(self) -> LastResortDeadlines:
+        """Return the last-resort deadlines for workers that the current update shows as leaving."""
         now = self._clock.monotonic()
         since = self.workers_watch.changes_since
-        if now - self._lapse_seconds < since:
-            return last_resort_from(since)
-        return last_resort_after_outage(since, now)
+        if now - self._expiry_seconds < since:
+            return last_resort_deadlines(since)
+        return last_resort_deadlines_after_outage(since, now)
 
-    def _put_worker(self, worker: Worker, version: int, last_resort: LastResort) -> None:
+    def _put_worker(self, worker: Worker, version: int, last_resort: LastResortDeadlines) -> None:
         self._directory.put(worker, version, last_resort)
         log.info(
             "worker_listed",
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -86,8 +86,8 @@
     def batches(self):
         return len(self.records)
 
-    def on_late_append(self, applied):
-        self.applied = applied
+    def on_late_append(self, callback):
+        self.late_append_callback = callback
 
     async def append(self, records):
         await asyncio.sleep(0.001)
@@ -127,7 +127,7 @@
     async def read(self, root):
         return list(self.records)
 
-    async def served(self, partition):
+    async def list_trees(self, partition):
         return []
 
 
--- a/tests/test_platform_node.py
+++ b/tests/test_platform_node.py
@@ -527,5 +527,5 @@
         platform.list_worker(0, born=3)
         await wait_until(listed_incarnations, ["w0/3"])
         assert (await platform.request(node, UNSAFE, "r3")).status == 200
-        assert node.node.dispatcher.loads.of("w0/3").failures == 0
-        assert node.node.dispatcher.loads.of("w0/2").failures == 1
+        assert node.node.dispatcher.loads.get_load("w0/3").failures == 0
+        assert node.node.dispatcher.loads.get_load("w0/2").failures == 1
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -118,7 +118,7 @@
     server.spoiled[key] = spoiled
     read = await store.read_table("t", 5.0)
     assert [row.row.key for row in read.rows] == [other for other in server.keys if other != key]
-    assert [row.key for row in read.unreadable] == [key]
+    assert [row.key for row in read.malformed_rows] == [key]
 
 
 async def test_a_page_without_a_key_to_continue_from_is_an_error(server_and_store):
@@ -134,4 +134,4 @@
     conditions = tuple(RowCondition(RowKey("t", "", key), 1) for key in ("a", "b"))
     conflict = await store.transact(conditions, (), 5.0)
     assert (conflict.version, [row.row.key for row in conflict.rows]) == (9, ["b"])
-    assert [row.key for row in conflict.unreadable] == ["a"]
+    assert [row.key for row in conflict.malformed_rows] == ["a"]
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -23,11 +23,15 @@
     assert decoded.version == 4
     assert [route.name for route in decoded.routes] == ["stream", "kept", "safe", "unsafe"]
     kept = decoded.routes[1]
-    assert (kept.kind, kept.retained, kept.retain_seconds) == (RouteKind.STREAM, True, 60.0)
-    assert (kept.timeout_seconds, kept.target_seconds, kept.event_gap_seconds) == (3.0, 0.2, 0.3)
+    assert (kept.kind, kept.retained, kept.retention_seconds) == (RouteKind.STREAM, True, 60.0)
+    assert (kept.timeout_seconds, kept.latency_target_seconds, kept.event_gap_seconds) == (
+        3.0,
+        0.2,
+        0.3,
+    )
     assert decoded.services["s"].tokens_per_event == 25
-    assert decoded.bounds.body_bytes == 200_000
-    assert decoded.bounds.idle_seconds == RequestLimits().idle_seconds
+    assert decoded.request_limits.body_bytes == 200_000
+    assert decoded.request_limits.idle_seconds == RequestLimits().idle_seconds
 
 
 WRONG_ROUTES = {
@@ -50,7 +54,7 @@
 def test_invalid_services_or_limits_do_not_affect_other_entries():
     decoded = decode(services=[{"name": 7}, {"name": "s"}], limits=["none"])
     assert list(decoded.services) == ["s"]
-    assert decoded.bounds == RequestLimits()
+    assert decoded.request_limits == RequestLimits()
     assert len(decoded.routes) == len(routes())
 
 
--- a/tests/test_program_machine.py
+++ b/tests/test_program_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the program core against a simple oracle, crashes at any point included."""
+"""Stateful fuzz test of the program core against a simple model, with crashes at any point."""
 
 from dataclasses import dataclass, field
 
@@ -18,7 +18,7 @@
 )
 from foxwinch.core.program.admission import start_call
 from foxwinch.core.program.history import MESSAGE_OVERHEAD_TOKENS
-from foxwinch.core.program.recovery import Recovery, decide, unknown_outcome
+from foxwinch.core.program.recovery import Recovery, decide_recovery, unknown_outcome
 from foxwinch.core.program.requests import (
     AlreadyEnded,
     AlreadyRunning,
@@ -36,7 +36,7 @@
 PROGRAMS = (ROOT, CHILD)
 TOKENS, CALLS = 300, 12
 MESSAGE_TOKENS = 1 + MESSAGE_OVERHEAD_TOKENS
-"""Upper bound of the tokens of a message of one character."""
+"""Upper bound on the tokens of a message of one character."""
 BUDGET = ProgramBudget(
     tokens=TOKENS, calls=CALLS, depth=1, wall_seconds=1e9, cost=1e9, repeated_calls=10_000
 )
@@ -50,7 +50,7 @@
 
 @dataclass
 class ExpectedProgram:
-    """What the oracle knows of one program."""
+    """Expected state of one program."""
 
     history: list[str] = field(default_factory=list)
     queue: list[CallId] = field(default_factory=list)
@@ -60,7 +60,7 @@
 
 @dataclass
 class ExpectedCall:
-    """What the oracle knows of one call."""
+    """Expected state of one call."""
 
     intent: CallIntent
     reserved: int = 0
@@ -70,7 +70,7 @@
 
 
 class ProgramMachine(RuleBasedStateMachine):
-    """Drives a table by records and requests, and an oracle beside it."""
+    """Applies requests and records to a program table and to the model, and compares both."""
 
     @initialize()
     def create(self):
@@ -175,9 +175,9 @@
         return reasons
 
     def forget(self, name, call_id):
-        """A call that was refused before its intent was committed."""
+        """Withdraw a call whose intent was not committed."""
         expected, call = self.programs[name], self.calls.pop(call_id)
-        self.calls[CallId(f"gone{call_id}")] = call  # keeps call identifiers unique
+        self.calls[CallId(f"gone{call_id}")] = call  # Keeps call ids unique.
         self.table.withdraw(self.table.find(name), call_id)
         if call_id in expected.queue:
             expected.queue.remove(call_id)
@@ -239,7 +239,7 @@
     @precondition(lambda self: self.due())
     @rule(data=st.data(), result=st.sampled_from(RESULTS), share=st.floats(0, 1))
     def run_whole(self, data, result, share):
-        """Start, commit and end a call with nothing between."""
+        """Start, commit and end a call without other steps in between."""
         self.start(data)
         if self.active(False):
             self.commit_intent(data, lost=False)
@@ -257,7 +257,7 @@
 
     @precondition(lambda self: any(p.queue for p in self.programs.values()))
     @rule(data=st.data())
-    def client_goes(self, data):
+    def client_disconnects(self, data):
         queued = [(n, c) for n, p in self.programs.items() for c in p.queue]
         self.forget(*data.draw(st.sampled_from(queued)))
 
@@ -271,7 +271,7 @@
 
     @rule(compact=st.booleans())
     def crash(self, compact):
-        """The owner is lost: what is committed is rebuilt, and what was left running is settled."""
+        """Lose the owner: rebuild the committed state and settle calls that were left running."""
         for name, expected in self.programs.items():
             lost = [c for c in (expected.active, *expected.queue) if c is not None]
             for call_id in lost:
@@ -290,7 +290,7 @@
             if expected.active is None:
                 continue
             call = self.calls[expected.active]
-            if decide(program.calls[expected.active], 1.0) is Recovery.RUN_AGAIN:
+            if decide_recovery(program.calls[expected.active], 1.0) is Recovery.RUN_AGAIN:
                 assert call.intent.repeatable
                 continue
             outcome = unknown_outcome(program, program.calls[expected.active], 1.0)
--- a/tests/test_program_table.py
+++ b/tests/test_program_table.py
@@ -1,4 +1,4 @@
-"""The pure program core: recovery, idempotency, budgets, history and the loop guard."""
+"""Tests of the program core: recovery, idempotency, budgets, history and the loop guard."""
 
 import dataclasses
 
@@ -16,7 +16,7 @@
 )
 from foxwinch.core.program.admission import start_call
 from foxwinch.core.program.lifetime import abandonment_reason
-from foxwinch.core.program.recovery import Recovery, decide
+from foxwinch.core.program.recovery import Recovery, decide_recovery
 from foxwinch.core.program.requests import (
     AlreadyEnded,
     AlreadyRunning,
@@ -81,7 +81,7 @@
 
 
 def run(table, asked, **ending):
-    """Run one call to its end; returns the records that were committed for it."""
+    """Run one call to completion and return the records committed for it."""
     assert submit(table, asked) == Queued()
     started = start(table, asked)
     assert isinstance(started, StartedCall), started
@@ -124,7 +124,7 @@
     assert rebuilt.ledger.reserved.tokens == 0
 
 
-def test_late_doubled_and_unknown_outcomes_change_nothing(table):
+def test_late_duplicate_and_unknown_outcomes_change_nothing(table):
     run(table, intent(1, user("a")))
     before = state_of(table)
     assert isinstance(table.apply(outcome(intent(1), text="other")), Ignored)
@@ -230,7 +230,7 @@
     program = ProgramTable([created(), record]).find(PROGRAM)
     call = program.calls[asked.call_id]
     assert call.state is CallState.ADMITTED
-    assert decide(call, now) is expected
+    assert decide_recovery(call, now) is expected
 
 
 def test_abandoned_when_idle_over_time_or_parent_ended(table):
--- a/tests/test_tree_takeover.py
+++ b/tests/test_tree_takeover.py
@@ -30,10 +30,10 @@
 async def taken_over_by(rig, members, holder):
     """Let a node scan every partition once; return the nodes whose program trees it took over."""
 
-    async def served(partition):
+    async def list_trees(partition):
         return [(PROGRAM, NodeId(holder))] if partition == partition_of(PROGRAM) else []
 
-    rig.trees.served = served
+    rig.trees.list_trees = list_trees
     takeover = TreeTakeover(rig.owner, members)
     await takeover.start()
     await asyncio.sleep(SCAN_INTERVAL_SECONDS + 1.0)
--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -1,4 +1,4 @@
-"""Regressions: what a node knows of configuration and workers must never stay behind the store."""
+"""Regression tests: a node's configuration and worker list must not stay behind the store."""
 
 import asyncio
 
@@ -11,58 +11,58 @@
 from foxwinch.service_tasks import TaskFailedError
 from virtual_clock import VirtualClock
 
-KEPT_CONNECTIONS = 8
+IDLE_CONNECTIONS = 8
 WATCHES = 2
-STREAM_ANSWER = FakeResponse(body=None, chunks=events(1, 3))
+STREAM_RESPONSE = FakeResponse(body=None, chunks=events(1, 3))
 
 
-def sited(*workers):
-    site = FakePlatform(list(workers))
-    site.model.put("op", "config", configuration())
-    return site
+def platform_with_workers(*workers):
+    platform = FakePlatform(list(workers))
+    platform.model.put("op", "config", configuration())
+    return platform
 
 
 async def version_in_force(node):
     return node.node.routing.configuration.version
 
 
-def held_calls_lost(node):
-    """Return how many held calls of watches ended without an answer."""
+def lost_watch_calls(node):
+    """Return the number of held watch calls that ended without a response."""
     counter = node.node.metrics.store_calls.labels("rows-feed", "store_unavailable")
     return counter._value.get()
 
 
-# Guards against a configuration that was late because a watch that had timed out on a silent
-# connection took another silent one from the pool.
-async def test_a_watch_does_not_wait_again_on_a_kept_connection_that_went_silent():
-    async with sited(FakeWorker(STREAM_ANSWER)) as site:
-        node = await site.start_node()
+# Guards against a late configuration: a watch that timed out on an unresponsive connection retried
+# on another unresponsive connection from the pool.
+async def test_watch_does_not_retry_on_an_unresponsive_idle_connection():
+    async with platform_with_workers(FakeWorker(STREAM_RESPONSE)) as platform:
+        node = await platform.start_node()
 
         async def programs():
             return node.node.budgets.programs
 
-        site.model.store_faults.delay_seconds = 0.1
+        platform.model.store_faults.delay_seconds = 0.1
         turns = (
-            site.request_turn(node, f"r{number}", Program=f"p{number}")
-            for number in range(KEPT_CONNECTIONS)
+            platform.request_turn(node, f"r{number}", Program=f"p{number}")
+            for number in range(IDLE_CONNECTIONS)
         )
         assert {reply.status for reply in await asyncio.gather(*turns)} == {200}
-        site.model.store_faults.delay_seconds = 0.0
+        platform.model.store_faults.delay_seconds = 0.0
         await wait_until(programs, 0)
-        site.store_proxy.silence()
-        site.model.put("op", "config", configuration(version=2))
+        platform.store_proxy.silence()
+        platform.model.put("op", "config", configuration(version=2))
         while await version_in_force(node) != 2:
-            assert held_calls_lost(node) <= WATCHES
+            assert lost_watch_calls(node) <= WATCHES
             await asyncio.sleep(0.01)
 
 
-UNREADABLE_DOCUMENTS = {
+UNDECODABLE_ROWS = {
     "value is no base64": {"value": "abc"},
     "value is a number": {"value": 7},
     "value is missing": {"value": None},
     "version is missing": {"ver": None},
 }
-UNREADABLE_ENTRIES = {
+MALFORMED_ENTRIES = {
     "bytes of no encoding": b"\xff\xfe\x00",
     "a list": b"[]",
     "nothing": b"",
@@ -88,83 +88,89 @@
 }
 
 
-def entry_of(site, number, changes):
-    return changes if isinstance(changes, bytes) else site.entry_of(number, **changes)
+def entry_of(platform, number, changes):
+    return changes if isinstance(changes, bytes) else platform.entry_of(number, **changes)
 
 
-async def until_listed(node, slots):
-    """Wait until just these workers are listed, by id with their slots."""
+async def wait_until_listed(node, slots):
+    """Wait until exactly these workers are listed; `slots` maps worker ids to slots."""
     directory = node.node.routing.directory
 
-    async def heard():
+    async def listed():
         return {worker.worker_id: worker.slots for worker in directory.all_workers()}
 
-    await wait_until(heard, slots)
+    await wait_until(listed, slots)
 
 
-async def statuses(site, node, count, first=0):
+async def statuses(platform, node, count, first=0):
     return [
-        (await site.request(node, SAFE, f"r{first + number}")).status for number in range(count)
+        (await platform.request(node, SAFE, f"r{first + number}")).status for number in range(count)
     ]
 
 
-# Guards against drains that no node heard of while one row of the list could not be decoded.
+# Guards against drains that went unnoticed while one row of the worker list could not be decoded.
 @pytest.mark.parametrize("found", ["on the first read", "as a change"])
-@pytest.mark.parametrize("document", UNREADABLE_DOCUMENTS.values(), ids=UNREADABLE_DOCUMENTS)
-async def test_a_row_that_cannot_be_decoded_hides_no_drain(document, found):
-    async with sited(FakeWorker(FakeResponse()), FakeWorker(FakeResponse())) as site:
-        site.handlers.foreign["x"] = document
+@pytest.mark.parametrize("document", UNDECODABLE_ROWS.values(), ids=UNDECODABLE_ROWS)
+async def test_undecodable_row_hides_no_drain(document, found):
+    async with platform_with_workers(
+        FakeWorker(FakeResponse()), FakeWorker(FakeResponse())
+    ) as platform:
+        platform.handlers.row_overrides["x"] = document
         if found == "on the first read":
-            site.model.put("servers", "x", b"{}")
-        node = await site.start_node()
-        site.model.put("servers", "x", b"{}")
-        site.list_worker(0, state="draining")
-        await until_listed(node, {"w1": 4})
-
-
-# Guards against entries of other writers that ended the watch, or were taken for workers in use.
-@pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
-async def test_an_entry_that_names_no_worker_is_passed_over_and_the_others_hold(entry):
-    async with sited(FakeWorker(FakeResponse()), FakeWorker(FakeResponse())) as site:
-        node = await site.start_node()
-        site.model.put("servers", "x", entry_of(site, 0, entry))
-        site.list_worker(1, slots=5)
-        await until_listed(node, {"w0": 4, "w1": 5})
-        assert await statuses(site, node, 4) == [200] * 4
-
-
-# Guards against requests at a worker whose newest entry cannot be read or states that it left.
-@pytest.mark.parametrize("entry", UNREADABLE_ENTRIES.values(), ids=UNREADABLE_ENTRIES)
-async def test_a_worker_whose_entry_becomes_unreadable_gets_no_work(entry):
-    async with sited(FakeWorker(FakeResponse()), FakeWorker(FakeResponse())) as site:
-        node = await site.start_node()
-        site.model.put("servers", "w0", entry_of(site, 0, entry))
-        site.list_worker(1, slots=5)
-        await until_listed(node, {"w1": 5})
-        assert await statuses(site, node, 4) == [200] * 4
-        assert site.workers[0].received == []
-
-
-# Guards against an entry of another writer that displaced the worker at the address it names.
-async def test_an_entry_of_an_unknown_service_displaces_no_worker_at_its_address():
-    async with sited(FakeWorker(FakeResponse())) as site:
-        node = await site.start_node()
-        site.model.put("servers", "x", entry_of(site, 0, {"service": "nobody"}))
-        await until_listed(node, {"w0": 4, "x": 4})
-        assert await statuses(site, node, 4) == [200] * 4
-
-
-# Guards against a change that was made while the watch was deaf, its history dropped, and that an
-# old read then hid for as long as reads were old.
+            platform.model.put("servers", "x", b"{}")
+        node = await platform.start_node()
+        platform.model.put("servers", "x", b"{}")
+        platform.list_worker(0, state="draining")
+        await wait_until_listed(node, {"w1": 4})
+
+
+# Guards against malformed entries of other writers that ended the watch or counted as workers.
+@pytest.mark.parametrize("entry", MALFORMED_ENTRIES.values(), ids=MALFORMED_ENTRIES)
+async def test_malformed_entry_is_skipped_and_others_are_applied(entry):
+    async with platform_with_workers(
+        FakeWorker(FakeResponse()), FakeWorker(FakeResponse())
+    ) as platform:
+        node = await platform.start_node()
+        platform.model.put("servers", "x", entry_of(platform, 0, entry))
+        platform.list_worker(1, slots=5)
+        await wait_until_listed(node, {"w0": 4, "w1": 5})
+        assert await statuses(platform, node, 4) == [200] * 4
+
+
+# Guards against sending requests to a worker whose newest entry is malformed or says that it left.
+@pytest.mark.parametrize("entry", MALFORMED_ENTRIES.values(), ids=MALFORMED_ENTRIES)
+async def test_worker_whose_entry_becomes_malformed_gets_no_work(entry):
+    async with platform_with_workers(
+        FakeWorker(FakeResponse()), FakeWorker(FakeResponse())
+    ) as platform:
+        node = await platform.start_node()
+        platform.model.put("servers", "w0", entry_of(platform, 0, entry))
+        platform.list_worker(1, slots=5)
+        await wait_until_listed(node, {"w1": 5})
+        assert await statuses(platform, node, 4) == [200] * 4
+        assert platform.workers[0].received == []
+
+
+# Guards against an entry of another writer that displaced the worker at the same address.
+async def test_entry_of_an_unknown_service_displaces_no_worker():
+    async with platform_with_workers(FakeWorker(FakeResponse())) as platform:
+        node = await platform.start_node()
+        platform.model.put("servers", "x", entry_of(platform, 0, {"service": "nobody"}))
+        await wait_until_listed(node, {"w0": 4, "x": 4})
+        assert await statuses(platform, node, 4) == [200] * 4
+
+
+# Guards against a missed change: it was made while the watch was disconnected, the history was then
+# truncated, and stale reads hid it as long as they lasted.
 @pytest.mark.looptime
-async def test_a_change_of_a_deaf_moment_is_heard_while_reads_are_old():
+async def test_missed_change_arrives_despite_stale_reads():
     clock = VirtualClock()
     model = RecordStoreModel(clock)
     model.store_faults.delay_seconds = 0.004
     model.put("t", "a", b"1")
     values = {}
 
-    def take(read, whole):
+    def take(read, is_full):
         values.update({row.row.key: row.value for row in read.rows})
 
     watch = TableWatch(model, clock, "t", take)
@@ -183,10 +189,10 @@
     assert model.calls.reads + model.calls.feeds - calls_before < 40, "asked without a pause"
 
 
-# Guards against a node that went on for ever by what it knew, after the task of a watch had ended.
-async def test_a_watch_that_fails_ends_the_process():
-    async with sited(FakeWorker(FakeResponse())) as site:
-        node = await site.start_node()
+# Guards against a node that kept running on stale state after the task of a watch had ended.
+async def test_failed_watch_ends_the_process():
+    async with platform_with_workers(FakeWorker(FakeResponse())) as platform:
+        node = await platform.start_node()
         running = asyncio.ensure_future(node.run())
         routing = node.node.routing
 
@@ -194,7 +200,7 @@
             raise RuntimeError("a broken invariant")
 
         routing._decode_worker = fail
-        site.list_worker(0, slots=5)
-        await wait_until(lambda: site.ready(node), 503)
+        platform.list_worker(0, slots=5)
+        await wait_until(lambda: platform.ready(node), 503)
         with pytest.raises(TaskFailedError, match="serving"):
             await running
