--- a/src/foxwinch/bench/commit.py
+++ b/src/foxwinch/bench/commit.py
@@ -1,4 +1,4 @@
-"""Which commit a measurement was made of."""
+"""Commit id of the measured source tree."""
 
 import subprocess
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 def current_commit() -> str:
-    """Return the short commit id of the source tree, with `+` when files were changed since."""
+    """Return the short commit id of the source tree, followed by `+` if files have changed."""
     root = Path(__file__).parent
     commit = _git(root, "rev-parse", "--short", "HEAD")
     if commit is None:
@@ -18,9 +18,9 @@
 
 def _git(directory: Path, *arguments: str) -> str | None:
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             ["git", *arguments], cwd=directory, capture_output=True, text=True, check=True
         )
     except (OSError, subprocess.CalledProcessError):
         return None
-    return done.stdout.strip()
+    return completed.stdout.strip()
--- a/src/foxwinch/bench/failover/cluster.py
+++ b/src/foxwinch/bench/failover/cluster.py
@@ -153,7 +153,7 @@
     def cut(self, node: TestedNode) -> None:
         """Cut a node from all others, in both directions."""
         node.cut = True
-        node.proxy.program(block_to_target=True, block_to_client=True)
+        node.proxy.set_faults(block_to_target=True, block_to_client=True)
         for other in self.nodes:
             if other is not node:
                 other.proxy.block_source(node.host)
--- a/src/foxwinch/bench/fault_streams.py
+++ b/src/foxwinch/bench/fault_streams.py
@@ -4,35 +4,35 @@
 from collections.abc import Callable
 
 CHUNK_BYTES = 16 * 1024
-CHUNKS_ON_THE_WAY = 64
-"""Chunks delayed at a time; beyond that the sender is held back, as by a full window."""
+MAX_CHUNKS_IN_FLIGHT = 64
+"""Maximum number of delayed chunks; more block the sender, like a full TCP window."""
 
 
 class Gate:
-    """Open or shut; whoever passes waits while it is shut."""
+    """A gate that blocks its waiters while it is closed."""
 
     def __init__(self) -> None:
-        """Start open."""
+        """Create an open gate."""
         self._open = asyncio.Event()
         self._open.set()
 
     def set_open(self, is_open: bool) -> None:
-        """Open or shut."""
+        """Open or close the gate."""
         if is_open:
             self._open.set()
         else:
             self._open.clear()
 
-    async def passed(self) -> None:
-        """Wait until it is open."""
+    async def wait_open(self) -> None:
+        """Wait until the gate is open."""
         await self._open.wait()
 
 
 class Pump:
-    """Carries bytes from a reader to a writer, with delay, throttle and gate.
+    """Copies bytes from a reader to a writer, with delay, bandwidth limit and gate.
 
-    While the gate is shut nothing is lost and nothing is told: neither bytes nor the end of the
-    stream. That is a half-open connection; opening the gate lets everything go on.
+    While the gate is closed, nothing is lost and nothing is forwarded: neither bytes nor the end
+    of the stream. That is a half-open connection; opening the gate resumes it.
     """
 
     def __init__(
@@ -43,16 +43,16 @@
         delay_seconds: Callable[[], float],
         bytes_per_second: Callable[[], float | None],
     ) -> None:
-        """Ask for delay and rate at each chunk, since they may be changed."""
+        """Take delay and rate as functions, called for each chunk because faults may change."""
         self._reader = reader
         self._writer = writer
         self._gate = gate
         self._delay_seconds = delay_seconds
         self._bytes_per_second = bytes_per_second
-        self._on_the_way: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(CHUNKS_ON_THE_WAY)
+        self._in_flight: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_CHUNKS_IN_FLIGHT)
 
     async def run(self) -> None:
-        """Pump until the reader's end or a broken connection, then end the writer."""
+        """Copy until the end of the stream or a connection error, then end or abort the writer."""
         reading = asyncio.create_task(self._read())
         try:
             await self._write()
@@ -69,14 +69,14 @@
                 data = await self._reader.read(CHUNK_BYTES)
             except ConnectionError:
                 data = b""
-            await self._on_the_way.put((loop.time() + self._delay_seconds(), data))
+            await self._in_flight.put((loop.time() + self._delay_seconds(), data))
 
     async def _write(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due, data = await self._on_the_way.get()
-            await asyncio.sleep(max(0.0, due - loop.time()))
-            await self._gate.passed()
+            due_at, data = await self._in_flight.get()
+            await asyncio.sleep(max(0.0, due_at - loop.time()))
+            await self._gate.wait_open()
             if not data:
                 self._writer.write_eof()
                 return
--- a/src/foxwinch/bench/overhead.py
+++ b/src/foxwinch/bench/overhead.py
@@ -30,7 +30,7 @@
 )
 from foxwinch.bench.processes import BenchProcess
 from foxwinch.bench.stream_client import (
-    IncompleteAnswerError,
+    IncompleteResponseError,
     Load,
     LoadResult,
     prepare_request,
@@ -208,7 +208,7 @@
     load = _load(side, Case(1, 1, 1), SERVED_REQUESTS)
     async with asyncio.timeout(START_SECONDS):
         while True:
-            with suppress(IncompleteAnswerError):
+            with suppress(IncompleteResponseError):
                 await run_load(load)
                 return
             await asyncio.sleep(START_RETRY_SECONDS)
--- a/src/foxwinch/bench/pass_through.py
+++ b/src/foxwinch/bench/pass_through.py
@@ -1,6 +1,6 @@
-"""A bare aiohttp pass-through: what a caller's request costs when nothing is decided about it.
+"""A minimal aiohttp reverse proxy: the baseline cost of a request without scheduling.
 
-It reads a request whole, sends it to the next worker in turn and copies the answer piece by piece.
+It reads the full request, sends it to the workers round-robin and streams the response back.
 Run as `python -m foxwinch.bench.pass_through URL...`; prints `caller_url=`.
 """
 
@@ -26,7 +26,7 @@
 def build_pass_through(
     session: aiohttp.ClientSession, worker_urls: tuple[str, ...]
 ) -> web.Application:
-    """Return the application; `session` is closed by the caller."""
+    """Return the application; the caller closes `session`."""
     urls = itertools.cycle(worker_urls)
     numbers = itertools.count()
 
@@ -42,13 +42,13 @@
             HEADER_RESUME: "0",
         }
         url = f"{next(urls)}/v1/chat/completions"
-        async with session.post(url, data=body, headers=headers) as answer:
+        async with session.post(url, data=body, headers=headers) as upstream:
             response = web.StreamResponse(
-                status=answer.status, headers={"Content-Type": answer.content_type}
+                status=upstream.status, headers={"Content-Type": upstream.content_type}
             )
             await response.prepare(request)
-            async for piece in answer.content.iter_any():
-                await response.write(piece)
+            async for chunk in upstream.content.iter_any():
+                await response.write(chunk)
             await response.write_eof()
         return response
 
--- a/src/foxwinch/bench/processes.py
+++ b/src/foxwinch/bench/processes.py
@@ -1,4 +1,4 @@
-"""Processes that a bench starts: each prints `name=value` lines when it is ready."""
+"""Processes started by a benchmark; each prints `name=value` lines when it is ready."""
 
 import os
 import subprocess
@@ -8,14 +8,17 @@
 from types import TracebackType
 from typing import Self
 
-STOP_SECONDS = 10.0
+STOP_TIMEOUT_SECONDS = 10.0
 
 
 class BenchProcess:
-    """A Python module run as a process, stopped when the block is left."""
+    """A Python module run as a process that the context manager stops on exit."""
 
     def __init__(self, *arguments: str, expected: Iterable[str], log: Path) -> None:
-        """Start `python -m ARGUMENTS` and wait for its lines; its log goes to a file."""
+        """Start `python -m ARGUMENTS` and wait for its `expected` lines; stderr goes to `log`.
+
+        Raises RuntimeError if the process exits before that.
+        """
         self._log = log.open("ab")
         self.process = subprocess.Popen(
             [sys.executable, "-m", *arguments],
@@ -28,13 +31,15 @@
         while not set(expected) <= self.printed.keys():
             line = self.process.stdout.readline()
             if not line:
-                code = self.process.wait(STOP_SECONDS)
-                raise RuntimeError(f"{arguments[0]} ended with {code}; its log is {log}")
+                code = self.process.wait(STOP_TIMEOUT_SECONDS)
+                raise RuntimeError(
+                    f"{arguments[0]} exited with status {code} before it was ready; see {log}"
+                )
             name, _, value = line.strip().partition("=")
             self.printed[name] = value
 
     def processor_seconds(self) -> float:
-        """Return the processor time that the process has used."""
+        """Return the CPU time that the process has used, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
@@ -49,11 +54,11 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Stop it, by force when it does not stop by itself."""
+        """Terminate the process, or kill it if it does not exit within the timeout."""
         self.process.terminate()
         try:
-            self.process.wait(STOP_SECONDS)
+            self.process.wait(STOP_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             self.process.kill()
-            self.process.wait(STOP_SECONDS)
+            self.process.wait(STOP_TIMEOUT_SECONDS)
         self._log.close()
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomized soak of real nodes on the users' platform, with faults from outside them.
+"""A randomized soak test of real nodes on an emulated platform, with injected faults.
 
-`python -m soak --seconds 120 --seed 7` in this folder's parent. See docs/TESTING.md.
+Run it as `python -m soak --seconds 120 --seed 7` in the folder `tests`. See docs/TESTING.md.
 """
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,6 +1,6 @@
-"""The faults of the soak: each does its harm for a while and takes it back.
+"""The faults of the soak: each one disrupts nodes, workers or the store and then undoes it.
 
-They come in series and overlap, also on one node: what is killed may be stopping, paused or cut.
+Faults overlap, also on one node: a node may be killed while it stops, is paused or is isolated.
 """
 
 import asyncio
@@ -11,8 +11,8 @@
 
 from foxwinch.emulator.http_record_store import RecordStoreHandlers
 from foxwinch.emulator.record_store import Mood, RecordStoreModel
+from soak.disruptions import STORE, WORKERS, DisruptionLog
 from soak.nodes import SoakNode
-from soak.troubles import STORE, WORKERS, Troubles
 from soak.workers import SoakWorker, WorkerFaults
 
 PARTITIONS = 256
@@ -27,37 +27,37 @@
     b'{"service": "s", "address": "127.0.0.1:1", "zone": "z0", "version": "v", "slots": 8, '
     b'"state": "asleep", "cold_left_ms": 0, "seq": 1}',
 )
-POWER_SECONDS = 0.5
-"""Without power, all nodes at once."""
+OUTAGE_SECONDS = 0.5
+"""Time between the kill of all nodes and their restart."""
 
 
 @dataclass
-class Site:
-    """What faults strike."""
+class FaultContext:
+    """The services and nodes that faults act on."""
 
     model: RecordStoreModel
     handlers: RecordStoreHandlers
     nodes: list[SoakNode]
     workers: list[SoakWorker]
-    troubles: Troubles
-    draws: random.Random
+    disruptions: DisruptionLog
+    rng: random.Random
 
 
-async def kill_and_start(site: Site, node: SoakNode, seconds: float) -> None:
-    """Kill a process; it is started again."""
+async def kill_and_start(context: FaultContext, node: SoakNode, seconds: float) -> None:
+    """Kill a node and start it again."""
     await node.kill()
     await asyncio.sleep(0.3 * seconds)
     await node.start()
 
 
-async def stop_and_start(site: Site, node: SoakNode, seconds: float) -> None:
-    """Stop a process as planned and start it again."""
+async def stop_and_start(context: FaultContext, node: SoakNode, seconds: float) -> None:
+    """Stop a node gracefully and start it again."""
     await node.stop()
     await node.start()
 
 
-async def stop_and_kill(site: Site, node: SoakNode, seconds: float) -> None:
-    """Kill a process while it stops."""
+async def stop_and_kill(context: FaultContext, node: SoakNode, seconds: float) -> None:
+    """Kill a node during a graceful stop and start it again."""
     stopping = asyncio.ensure_future(node.stop())
     await asyncio.sleep(0.6 * seconds)
     await node.kill()
@@ -65,147 +65,147 @@
     await node.start()
 
 
-async def freeze(site: Site, node: SoakNode, seconds: float) -> None:
-    """Pause a process and let it go on."""
-    with site.troubles.span(node.name, "freeze"):
+async def freeze(context: FaultContext, node: SoakNode, seconds: float) -> None:
+    """Suspend the process of a node and resume it."""
+    with context.disruptions.span(node.name, "freeze"):
         node.signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         node.signal(signal.SIGCONT)
 
 
-async def reload(site: Site, node: SoakNode, seconds: float) -> None:
-    """Tell a process to read its settings again, some times in a row."""
-    for _ in range(site.draws.randint(1, 3)):
+async def reload(context: FaultContext, node: SoakNode, seconds: float) -> None:
+    """Make a node reload its settings one to three times in a row."""
+    for _ in range(context.rng.randint(1, 3)):
         node.reload()
         await asyncio.sleep(0.1)
 
 
-async def cut_from_store(site: Site, node: SoakNode, seconds: float) -> None:
-    """Cut a node's way to the store, both ways, one way, or by refusing it."""
-    faults = ({"block_to_target": True}, {"block_to_client": True}, {"refuse": True})
-    with site.troubles.span(node.name, "cut"):
-        node.proxy.program(**site.draws.choice(faults))
+async def isolate_from_store(context: FaultContext, node: SoakNode, seconds: float) -> None:
+    """Block a node's traffic to or from the store, or refuse its new connections."""
+    options = ({"block_to_target": True}, {"block_to_client": True}, {"refuse": True})
+    with context.disruptions.span(node.name, "cut"):
+        node.proxy.set_faults(**context.rng.choice(options))
         await asyncio.sleep(seconds)
         node.proxy.heal()
 
 
-async def delay_store(site: Site, node: SoakNode, seconds: float) -> None:
-    """Make a node's way to the store slow."""
-    with site.troubles.span(node.name, "delay"):
-        node.proxy.program(delay_seconds=site.draws.choice([0.02, 0.2]), jitter_seconds=0.05)
+async def delay_store(context: FaultContext, node: SoakNode, seconds: float) -> None:
+    """Delay a node's traffic to and from the store."""
+    with context.disruptions.span(node.name, "delay"):
+        node.proxy.set_faults(delay_seconds=context.rng.choice([0.02, 0.2]), jitter_seconds=0.05)
         await asyncio.sleep(seconds)
         node.proxy.heal()
 
 
-async def reset_store(site: Site, node: SoakNode, seconds: float) -> None:
+async def reset_store_connections(context: FaultContext, node: SoakNode, seconds: float) -> None:
     """Reset a node's connections to the store."""
-    with site.troubles.span(node.name, "reset"):
+    with context.disruptions.span(node.name, "reset"):
         node.proxy.reset()
 
 
-async def silence_store(site: Site, node: SoakNode, seconds: float) -> None:
-    """Let a node's open connections to the store go silent for good."""
-    with site.troubles.span(node.name, "silence"):
-        node.proxy.silence()
+async def stall_store_connections(context: FaultContext, node: SoakNode, seconds: float) -> None:
+    """Stall a node's open connections to the store; they never resume."""
+    with context.disruptions.span(node.name, "silence"):
+        node.proxy.stall()
 
 
-async def silence_all(site: Site, seconds: float) -> None:
-    """Let every open connection to the store and to the workers go silent for good."""
-    with site.troubles.span(STORE, "silence"), site.troubles.span(WORKERS, "silence"):
-        for node in site.nodes:
-            node.proxy.silence()
-        for worker in site.workers:
+async def stall_all_connections(context: FaultContext, seconds: float) -> None:
+    """Stall every open connection to the store and the workers; they never resume."""
+    with context.disruptions.span(STORE, "silence"), context.disruptions.span(WORKERS, "silence"):
+        for node in context.nodes:
+            node.proxy.stall()
+        for worker in context.workers:
             if worker.proxy is not None:
-                worker.proxy.silence()
+                worker.proxy.stall()
 
 
-async def store_mood(site: Site, seconds: float) -> None:
-    """Let the store refuse, be silent, lose answers or write late, wholly or in part."""
-    moods = site.model.moods
-    with site.troubles.span(STORE, "mood"):
-        moods.mood = site.draws.choice([mood for mood in Mood if mood is not Mood.WELL])
-        some = {f"{number:02x}" for number in range(PARTITIONS) if site.draws.random() < 0.4}
-        moods.partitions = site.draws.choice([None, frozenset(some)])
+async def inject_store_fault(context: FaultContext, seconds: float) -> None:
+    """Make the store refuse, hang, lose responses or write late, for all or some partitions."""
+    moods = context.model.moods
+    with context.disruptions.span(STORE, "mood"):
+        moods.mood = context.rng.choice([mood for mood in Mood if mood is not Mood.WELL])
+        some = {f"{number:02x}" for number in range(PARTITIONS) if context.rng.random() < 0.4}
+        moods.partitions = context.rng.choice([None, frozenset(some)])
         await asyncio.sleep(seconds)
         moods.mood, moods.partitions = Mood.WELL, None
 
 
-async def forget_history(site: Site, seconds: float) -> None:
-    """Let the store forget its changes, and answer reads as of before for a while."""
-    with site.troubles.span(STORE, "history"):
-        if site.draws.random() < 0.5:
-            site.model.hold_reads()
-        site.model.forget_history()
+async def forget_history(context: FaultContext, seconds: float) -> None:
+    """Drop the change history of the store, and half of the time serve stale reads as well."""
+    with context.disruptions.span(STORE, "history"):
+        if context.rng.random() < 0.5:
+            context.model.hold_reads()
+        context.model.forget_history()
         await asyncio.sleep(seconds)
-        site.model.moods.stale_reads = False
+        context.model.moods.stale_reads = False
 
 
-async def foreign_entries(site: Site, seconds: float) -> None:
-    """Put entries of another writer into the list of workers, some of which cannot be decoded."""
-    key = f"x{site.draws.randrange(3)}"
-    if site.draws.random() < 0.5:
-        site.handlers.foreign[key] = site.draws.choice(FOREIGN_ROWS)
-    site.model.put("servers", key, site.draws.choice(FOREIGN_ENTRIES))
+async def write_foreign_entries(context: FaultContext, seconds: float) -> None:
+    """Put foreign entries into the list of workers, some of them undecodable."""
+    key = f"x{context.rng.randrange(3)}"
+    if context.rng.random() < 0.5:
+        context.handlers.foreign[key] = context.rng.choice(FOREIGN_ROWS)
+    context.model.put("servers", key, context.rng.choice(FOREIGN_ENTRIES))
     await asyncio.sleep(seconds)
-    site.model.remove("servers", key)
-    site.handlers.foreign.pop(key, None)
+    context.model.remove("servers", key)
+    context.handlers.foreign.pop(key, None)
 
 
-async def worker_fails(site: Site, seconds: float) -> None:
-    """Let one worker shed, break off, be silent or slow now and then."""
-    worker = site.draws.choice(site.workers)
-    chance = site.draws.choice([0.1, 0.5])
-    with site.troubles.span(WORKERS, "fails"):
-        worker.faults = site.draws.choice(
+async def inject_worker_faults(context: FaultContext, seconds: float) -> None:
+    """Make one worker shed, disconnect or hang at random, or respond slowly."""
+    worker = context.rng.choice(context.workers)
+    probability = context.rng.choice([0.1, 0.5])
+    with context.disruptions.span(WORKERS, "fails"):
+        worker.faults = context.rng.choice(
             [
-                WorkerFaults(shed=chance),
-                WorkerFaults(break_off=chance),
-                WorkerFaults(silent=chance),
-                WorkerFaults(slow_seconds=0.3),
+                WorkerFaults(shed=probability),
+                WorkerFaults(disconnect=probability),
+                WorkerFaults(unresponsive=probability),
+                WorkerFaults(delay_seconds=0.3),
             ]
         )
         await asyncio.sleep(seconds)
         worker.faults = WorkerFaults()
 
 
-async def worker_cut(site: Site, seconds: float) -> None:
-    """Cut or slow the way to one worker, or reset or silence its connections."""
-    worker = site.draws.choice(site.workers)
+async def disrupt_worker_connections(context: FaultContext, seconds: float) -> None:
+    """Block or delay the traffic of one worker, or reset or stall its connections."""
+    worker = context.rng.choice(context.workers)
     assert worker.proxy is not None
-    with site.troubles.span(WORKERS, "cut"):
-        how = site.draws.randrange(4)
-        if how == 0:
-            worker.proxy.program(block_to_target=True, block_to_client=True)
-        elif how == 1:
-            worker.proxy.program(delay_seconds=0.2)
-        elif how == 2:
+    with context.disruptions.span(WORKERS, "cut"):
+        fault = context.rng.randrange(4)
+        if fault == 0:
+            worker.proxy.set_faults(block_to_target=True, block_to_client=True)
+        elif fault == 1:
+            worker.proxy.set_faults(delay_seconds=0.2)
+        elif fault == 2:
             worker.proxy.reset()
         else:
-            worker.proxy.silence()
+            worker.proxy.stall()
         await asyncio.sleep(seconds)
         worker.proxy.heal()
 
 
-async def worker_leaves(site: Site, seconds: float) -> None:
-    """Drain one worker; it comes back under its id or another one."""
-    worker = site.draws.choice(site.workers)
+async def drain_worker(context: FaultContext, seconds: float) -> None:
+    """Drain one worker and restart it under the same id or a new one."""
+    worker = context.rng.choice(context.workers)
     worker.drain()
     await asyncio.sleep(max(seconds, 3.0))
-    with site.troubles.span(WORKERS, "restart"):
-        worker.begin_life(same_id=site.draws.random() < 0.5)
+    with context.disruptions.span(WORKERS, "restart"):
+        worker.start_incarnation(same_id=context.rng.random() < 0.5)
 
 
-async def worker_restarts(site: Site, seconds: float) -> None:
-    """Let one worker crash and start again under its id."""
-    with site.troubles.span(WORKERS, "restart"):
-        site.draws.choice(site.workers).begin_life(same_id=True)
+async def restart_worker(context: FaultContext, seconds: float) -> None:
+    """Restart one worker abruptly under the same id."""
+    with context.disruptions.span(WORKERS, "restart"):
+        context.rng.choice(context.workers).start_incarnation(same_id=True)
 
 
-async def all_lose_power(site: Site, seconds: float) -> None:
-    """Kill every process at once and start them all again."""
-    await asyncio.gather(*(node.kill() for node in site.nodes))
-    await asyncio.sleep(POWER_SECONDS)
-    await asyncio.gather(*(node.start() for node in site.nodes))
+async def kill_all_nodes(context: FaultContext, seconds: float) -> None:
+    """Kill every node at once and start them all again."""
+    await asyncio.gather(*(node.kill() for node in context.nodes))
+    await asyncio.sleep(OUTAGE_SECONDS)
+    await asyncio.gather(*(node.start() for node in context.nodes))
 
 
 NODE_FAULTS = (
@@ -214,44 +214,44 @@
     stop_and_kill,
     freeze,
     reload,
-    cut_from_store,
+    isolate_from_store,
     delay_store,
-    reset_store,
-    silence_store,
+    reset_store_connections,
+    stall_store_connections,
 )
 SITE_FAULTS = (
-    silence_all,
-    store_mood,
+    stall_all_connections,
+    inject_store_fault,
     forget_history,
-    foreign_entries,
-    worker_fails,
-    worker_cut,
-    worker_leaves,
-    worker_restarts,
+    write_foreign_entries,
+    inject_worker_faults,
+    disrupt_worker_connections,
+    drain_worker,
+    restart_worker,
 )
-RARE_FAULTS = (all_lose_power,)
-RARE_CHANCE = 0.03
-CALM_FAULTS = (stop_and_start, reload, foreign_entries, worker_leaves, worker_restarts)
-"""Planned work and what others do: none of it excuses a node that is late."""
+RARE_FAULTS = (kill_all_nodes,)
+RARE_FAULT_PROBABILITY = 0.03
+BENIGN_FAULTS = (stop_and_start, reload, write_foreign_entries, drain_worker, restart_worker)
+"""Planned operations and foreign writes; none of them exempts a node from its time bounds."""
 Fault = Callable[..., Awaitable[None]]
 
 
-def draw_fault(site: Site) -> tuple[str, Awaitable[None]]:
-    """Draw a fault; returns its name and what carries it out."""
-    if site.draws.random() < RARE_CHANCE:
-        return begin(site, site.draws.choice(RARE_FAULTS))
-    return begin(site, site.draws.choice(NODE_FAULTS + SITE_FAULTS))
+def choose_fault(context: FaultContext) -> tuple[str, Awaitable[None]]:
+    """Choose a random fault; return its name and its coroutine."""
+    if context.rng.random() < RARE_FAULT_PROBABILITY:
+        return create_fault(context, context.rng.choice(RARE_FAULTS))
+    return create_fault(context, context.rng.choice(NODE_FAULTS + SITE_FAULTS))
 
 
-def draw_calm_fault(site: Site) -> tuple[str, Awaitable[None]]:
-    """Draw one of the faults that come also while nothing else is wrong."""
-    return begin(site, site.draws.choice(CALM_FAULTS))
+def choose_benign_fault(context: FaultContext) -> tuple[str, Awaitable[None]]:
+    """Choose a random benign fault; return its name and its coroutine."""
+    return create_fault(context, context.rng.choice(BENIGN_FAULTS))
 
 
-def begin(site: Site, fault: Fault) -> tuple[str, Awaitable[None]]:
-    """Return a fault's name and what carries it out, on a node of its own where it strikes one."""
-    seconds = site.draws.uniform(0.5, 5.0)
+def create_fault(context: FaultContext, fault: Fault) -> tuple[str, Awaitable[None]]:
+    """Return the name and the coroutine of a fault; a node fault gets a random node."""
+    seconds = context.rng.uniform(0.5, 5.0)
     if fault not in NODE_FAULTS:
-        return fault.__name__, fault(site, seconds)
-    node = site.draws.choice(site.nodes)
-    return f"{fault.__name__} {node.name}", fault(site, node, seconds)
+        return fault.__name__, fault(context, seconds)
+    node = context.rng.choice(context.nodes)
+    return f"{fault.__name__} {node.name}", fault(context, node, seconds)
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of the soak: real processes of `foxwinch serve`, each with a proxy to the store."""
+"""Nodes of the soak: `foxwinch serve` processes, each behind a fault proxy to the store."""
 
 import asyncio
 import re
@@ -9,8 +9,8 @@
 import aiohttp
 
 from foxwinch.bench.fault_proxy import FaultProxy
-from soak.promises import Promises
-from soak.troubles import STOP, Troubles
+from soak.disruptions import STOP, DisruptionLog
+from soak.invariants import InvariantChecker
 
 SETTINGS = """
 name = "{name}"
@@ -28,17 +28,17 @@
 address = "{store}"
 notice_ms = 3000
 """
-START_SECONDS = 120.0
-"""Many processes start at once in large runs."""
-INTERPRETER_SECONDS = 0.3
-"""Of a process's life, on a busy machine, in which no code of foxwinch has run yet."""
+START_TIMEOUT_SECONDS = 120.0
+"""Generous because many processes start at once in large runs."""
+INTERPRETER_START_SECONDS = 0.3
+"""Time that the interpreter may need on a busy machine before it runs code of foxwinch."""
 POLL_SECONDS = 1.0
 MAX_MISSES = 2
-"""Questions without a good answer until callers open no new connections to a node."""
+"""Failed readiness checks in a row before a node is taken out of rotation."""
 
 
 class SoakNode:
-    """One node; its process may be signalled, killed and started again at any time."""
+    """A node whose process may be signalled, killed and restarted at any time."""
 
     def __init__(
         self,
@@ -46,81 +46,81 @@
         zone: str,
         proxy: FaultProxy,
         folder: Path,
-        promises: Promises,
-        troubles: Troubles,
+        checker: InvariantChecker,
+        disruptions: DisruptionLog,
     ) -> None:
         self.name = name
         self.proxy = proxy
         self.address: str | None = None
-        """Where the process listens to callers; None while there is none."""
-        self.taken_in = False
-        """Whether callers open new connections to it."""
-        self.life = 0
-        self._promises = promises
-        self._troubles = troubles
+        """Public API address of the process; None while no process listens."""
+        self.in_rotation = False
+        """Whether callers open new connections to the node."""
+        self.incarnation = 0
+        self._checker = checker
+        self._disruptions = disruptions
         self._folder = folder
         self._zone = zone
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._output_task: asyncio.Task[None] | None = None
         self._ready_address = ""
-        self._expected_end = False
+        self._exit_expected = False
         self._spawned_at = 0.0
-        self._started = asyncio.Event()
-        self._starting = asyncio.Lock()
+        self._started_event = asyncio.Event()
+        self._start_lock = asyncio.Lock()
 
     async def start(self) -> None:
-        """Start a process, unless one runs; returns once it has told its address."""
-        async with self._starting:
+        """Start the process unless one runs, and wait until it listens or has exited."""
+        async with self._start_lock:
             if self._process is not None and self._process.returncode is None:
                 return
-            with self._troubles.span(self.name, "start"):
+            with self._disruptions.span(self.name, "start"):
                 await self._spawn()
 
     async def _spawn(self) -> None:
         path = self._folder / f"{self.name}.toml"
         store = f"{self.proxy.address.host}:{self.proxy.address.port}"
         path.write_text(SETTINGS.format(name=self.name, zone=self._zone, store=store))
-        self._expected_end = False
-        self._started.clear()
-        self.life += 1
-        self._spawned_at = self._troubles.now()
+        self._exit_expected = False
+        self._started_event.clear()
+        self.incarnation += 1
+        self._spawned_at = self._disruptions.now()
         self._process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "foxwinch", "serve", "--settings", str(path)),
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
-        self._reading = asyncio.ensure_future(self._read(self._process))
-        async with asyncio.timeout(START_SECONDS):
-            await self._started.wait()
+        self._output_task = asyncio.ensure_future(self._read_output(self._process))
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
+            await self._started_event.wait()
 
-    async def _read(self, process: asyncio.subprocess.Process) -> None:
+    async def _read_output(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
         with (self._folder / f"{self.name}.log").open("ab") as log:
             async for line in process.stdout:
                 log.write(line)
-                found = re.search(rb"event=started .*callers=(\S+) ready=(\S+)", line)
-                if found:
-                    self.address, self._ready_address = found[1].decode(), found[2].decode()
-                    self._started.set()
+                match = re.search(rb"event=started .*callers=(\S+) ready=(\S+)", line)
+                if match:
+                    self.address, self._ready_address = match[1].decode(), match[2].decode()
+                    self._started_event.set()
         code = await process.wait()
         self.address = None
-        self.taken_in = False
-        # A process that is killed before it listens never tells its address.
-        self._started.set()
-        if not self._expected_end:
-            self._promises.process_ended(self.name, code)
-
-    async def follow_readiness(self) -> None:
-        """Ask the node each second whether callers should open connections to it, for ever."""
+        self.in_rotation = False
+        # A process that is killed before it listens never logs its addresses.
+        self._started_event.set()
+        if not self._exit_expected:
+            self._checker.report_process_exit(self.name, code)
+
+    async def readiness_loop(self) -> None:
+        """Check the readiness of the node each second and update `in_rotation`."""
         misses = 0
         timeout = aiohttp.ClientTimeout(total=POLL_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 misses = 0 if await self._is_ready(session) else misses + 1
                 if misses == 0:
-                    self.taken_in = True
+                    self.in_rotation = True
                 elif misses >= MAX_MISSES:
-                    self.taken_in = False
+                    self.in_rotation = False
                 await asyncio.sleep(POLL_SECONDS)
 
     async def _is_ready(self, session: aiohttp.ClientSession) -> bool:
@@ -138,28 +138,28 @@
             self._process.send_signal(number)
 
     def reload(self) -> None:
-        """Tell the process that its settings have changed.
+        """Make the process reload its settings with SIGHUP.
 
-        Not in its first moments, when the interpreter itself starts and a hangup ends it.
+        Does nothing while the interpreter may still be starting, when SIGHUP would end it.
         """
-        if self._troubles.now() - self._spawned_at > INTERPRETER_SECONDS:
+        if self._disruptions.now() - self._spawned_at > INTERPRETER_START_SECONDS:
             self.signal(signal.SIGHUP)
 
     async def kill(self) -> None:
-        """Kill the process and wait for its end."""
-        self._expected_end = True
-        with self._troubles.span(self.name, "kill"):
+        """Kill the process and wait until it has exited."""
+        self._exit_expected = True
+        with self._disruptions.span(self.name, "kill"):
             self.signal(signal.SIGKILL)
-            await self.ended()
+            await self.wait_until_exited()
 
     async def stop(self) -> None:
-        """Stop as planned and wait for the end."""
-        self._expected_end = True
-        with self._troubles.span(self.name, STOP):
+        """Stop the process gracefully and wait until it has exited."""
+        self._exit_expected = True
+        with self._disruptions.span(self.name, STOP):
             self.signal(signal.SIGTERM)
-            await self.ended()
+            await self.wait_until_exited()
 
-    async def ended(self) -> None:
-        """Wait for the end of the process."""
-        if self._reading is not None:
-            await asyncio.shield(self._reading)
+    async def wait_until_exited(self) -> None:
+        """Wait until the process has exited."""
+        if self._output_task is not None:
+            await asyncio.shield(self._output_task)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs the soak: a site, callers, faults for some time, then peace, then the verdict."""
+"""Runs a soak: services, nodes and callers with faults, then a recovery check and the result."""
 
 import asyncio
 import random
@@ -15,71 +15,77 @@
 from foxwinch.emulator.http_record_store import RecordStoreHandlers
 from foxwinch.emulator.record_store import RecordStoreModel
 from foxwinch.identifiers import PeerAddress
-from soak.callers import Callers, KeptConnection
-from soak.faults import Site, begin, draw_calm_fault, draw_fault, silence_all
+from soak.callers import Callers, PersistentConnection
+from soak.disruptions import HARNESS, DisruptionLog
+from soak.faults import (
+    FaultContext,
+    choose_benign_fault,
+    choose_fault,
+    create_fault,
+    stall_all_connections,
+)
+from soak.invariants import InvariantChecker
 from soak.nodes import SoakNode
 from soak.operator import Operator
-from soak.promises import Promises
-from soak.troubles import HARNESS, Troubles
 from soak.workers import SoakWorker
 
-WORKERS = 3
-CALLERS = 10
-STORM_PAUSE_SECONDS = (0.1, 1.2)
-"""Between the beginnings of two faults."""
-CALM_PAUSE_SECONDS = (0.5, 2.5)
-"""Between what comes while nothing is wrong."""
-SILENCE_CHANCE = 0.5
-"""Of silent connections everywhere at the end of a storm."""
-STORM_SECONDS = (3.0, 8.0)
-"""For which fault comes after fault."""
-CALM_SECONDS = (4.0, 8.0)
-"""Between storms, longer than nodes need to be held to bounds of time again."""
-PEACE_SECONDS = 17.0
-"""For leases of dead nodes to end, and for nodes to hear of everything."""
-PROGRAMS_AFTER = 20
-"""Programs that must be served when every fault is over."""
+WORKER_COUNT = 3
+CALLER_COUNT = 10
+FAULT_INTERVAL_SECONDS = (0.1, 1.2)
+"""Range of the time between the starts of two faults."""
+BENIGN_INTERVAL_SECONDS = (0.5, 2.5)
+"""Range of the time between two benign faults of a calm phase."""
+STALL_PROBABILITY = 0.5
+"""Probability that all connections are stalled at the end of a fault phase."""
+FAULT_PHASE_SECONDS = (3.0, 8.0)
+"""Range of the length of a fault phase."""
+CALM_PHASE_SECONDS = (4.0, 8.0)
+"""Range of the time between fault phases; long enough that nodes are held to bounds again."""
+RECOVERY_SECONDS = 17.0
+"""Time for leases of dead nodes to expire and for nodes to receive all updates."""
+RECOVERY_PROGRAMS = 20
+"""Number of programs that must be served after the end of all faults."""
 LAG_POLL_SECONDS = 0.05
-LAG_SECONDS = 0.25
-"""The soak's own process was this late: what it saw says nothing of the nodes."""
+MAX_LAG_SECONDS = 0.25
+"""Lag of the soak process itself above which its observations do not count against nodes."""
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What one soak runs."""
+    """Parameters of one soak."""
 
     seed: int
     seconds: float
-    """Of faults."""
+    """Duration of the faults."""
     nodes: int = 4
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """What a soak found."""
+class SoakResult:
+    """Violations and statistics of one soak."""
 
     plan: Plan
-    broken: list[str]
+    violations: list[str]
     faults: list[str]
     outcomes: dict[str, int]
     versions: int
-    """Of the configuration."""
+    """Number of configuration versions put into the store."""
     lag_seconds: float
-    """The longest that the soak's own process was late."""
+    """Maximum event loop lag of the soak process itself."""
     folder: Path
-    """Holds the nodes' logs."""
+    """Folder of the node logs."""
 
 
 class _Soak:
-    """One soak under way."""
+    """A running soak."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan = plan
-        self.promises = Promises()
-        self.troubles = Troubles()
+        self.checker = InvariantChecker()
+        self.disruptions = DisruptionLog()
         self.lag_seconds = 0.0
         self._folder = folder
-        self._draws = random.Random(plan.seed)
+        self._rng = random.Random(plan.seed)
         self._model = RecordStoreModel(SystemClock())
         self._handlers = RecordStoreHandlers(self._model)
         self._store = web.AppRunner(self._handlers.application(), shutdown_timeout=0.1)
@@ -89,26 +95,26 @@
             SoakWorker(
                 number,
                 self._model,
-                self.promises,
-                self.troubles,
+                self.checker,
+                self.disruptions,
                 random.Random(f"{plan.seed} worker {number}"),
             )
-            for number in range(WORKERS)
+            for number in range(WORKER_COUNT)
         ]
         self.operator = Operator(
             self._model,
             self.nodes,
-            self.promises,
-            self.troubles,
+            self.checker,
+            self.disruptions,
             random.Random(f"{plan.seed} operator"),
         )
         self.callers = Callers(
-            self.nodes, self.promises, self.troubles, random.Random(f"{plan.seed} callers")
+            self.nodes, self.checker, self.disruptions, random.Random(f"{plan.seed} callers")
         )
 
     async def start(self) -> None:
         """Start the store, the workers and the nodes."""
-        self.operator.put_next()
+        self.operator.put_next_version()
         await self._store.setup()
         await web.TCPSite(self._store, "127.0.0.1", 0).start()
         for worker in self.workers:
@@ -119,85 +125,92 @@
             await proxy.start()
             zone = f"z{number % 2}"
             self.nodes.append(
-                SoakNode(f"n{number}", zone, proxy, self._folder, self.promises, self.troubles)
+                SoakNode(f"n{number}", zone, proxy, self._folder, self.checker, self.disruptions)
             )
         await asyncio.gather(*(node.start() for node in self.nodes))
-        self._keep(self._watch_lag())
+        self._start_task(self._lag_loop())
         for node in self.nodes:
-            self._keep(node.follow_readiness())
-            self._keep(self.operator.probe_for_ever(node))
+            self._start_task(node.readiness_loop())
+            self._start_task(self.operator.probe_loop(node))
 
-    async def trouble(self) -> list[str]:
-        """Let callers and the operator work while faults strike; returns when all are over."""
-        site = Site(
-            self._model, self._handlers, self.nodes, self.workers, self.troubles, self._draws
+    async def run_faults(self) -> list[str]:
+        """Inject faults while callers and the operator run; return the faults when all are over."""
+        context = FaultContext(
+            self._model, self._handlers, self.nodes, self.workers, self.disruptions, self._rng
         )
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        end_at = began + self.plan.seconds
-        changing = asyncio.ensure_future(self.operator.change_for_ever())
-        working = [
+        started_at = loop.time()
+        end_at = started_at + self.plan.seconds
+        changes = asyncio.ensure_future(self.operator.change_loop())
+        caller_tasks = [
             asyncio.ensure_future(self.callers.run_programs(lambda: loop.time() > end_at))
-            for _ in range(CALLERS)
+            for _ in range(CALLER_COUNT)
         ]
-        struck: list[str] = []
+        injected: list[str] = []
         running: list[asyncio.Future[None]] = []
 
-        def strike(name: str, fault: Awaitable[None]) -> None:
-            struck.append(f"{loop.time() - began:.1f} {name}")
+        def inject(name: str, fault: Awaitable[None]) -> None:
+            injected.append(f"{loop.time() - started_at:.1f} {name}")
             running.append(asyncio.ensure_future(fault))
 
         while loop.time() < end_at:
-            storm_end = min(end_at, loop.time() + self._draws.uniform(*STORM_SECONDS))
-            while loop.time() < storm_end:
-                await asyncio.sleep(self._draws.uniform(*STORM_PAUSE_SECONDS))
-                strike(*draw_fault(site))
-            if self._draws.random() < SILENCE_CHANCE:
-                strike(*begin(site, silence_all))
-            calm_end = loop.time() + self._draws.uniform(*CALM_SECONDS)
-            while loop.time() < calm_end:
-                await asyncio.sleep(self._draws.uniform(*CALM_PAUSE_SECONDS))
-                strike(*draw_calm_fault(site))
-        await asyncio.gather(*running, *working)
-        changing.cancel()
+            fault_phase_end = min(end_at, loop.time() + self._rng.uniform(*FAULT_PHASE_SECONDS))
+            while loop.time() < fault_phase_end:
+                await asyncio.sleep(self._rng.uniform(*FAULT_INTERVAL_SECONDS))
+                inject(*choose_fault(context))
+            if self._rng.random() < STALL_PROBABILITY:
+                inject(*create_fault(context, stall_all_connections))
+            calm_phase_end = loop.time() + self._rng.uniform(*CALM_PHASE_SECONDS)
+            while loop.time() < calm_phase_end:
+                await asyncio.sleep(self._rng.uniform(*BENIGN_INTERVAL_SECONDS))
+                inject(*choose_benign_fault(context))
+        await asyncio.gather(*running, *caller_tasks)
+        changes.cancel()
         await asyncio.gather(*(node.start() for node in self.nodes))
-        return struck
-
-    async def peace(self) -> None:
-        """Check that everything is served again, and that a planned stop cuts nothing."""
-        await asyncio.sleep(PEACE_SECONDS)
-        self.operator.put_next()
-        known = await asyncio.gather(*map(self.operator.wait_until_known, self.nodes))
-        for node, knows in zip(self.nodes, known, strict=True):
-            if not knows:
+        return injected
+
+    async def check_recovery(self) -> None:
+        """Check that programs are served again and that a planned stop interrupts no request."""
+        await asyncio.sleep(RECOVERY_SECONDS)
+        self.operator.put_next_version()
+        updated = await asyncio.gather(*map(self.operator.wait_for_newest_version, self.nodes))
+        for node, is_updated in zip(self.nodes, updated, strict=True):
+            if not is_updated:
                 version = self.operator.version
-                self.promises.configuration_late(node.name, version, "not known in peace")
-        served = await asyncio.gather(*(self.callers.run_program() for _ in range(PROGRAMS_AFTER)))
-        for number, whole in enumerate(served):
-            if not whole:
-                self.promises.not_served(f"number {number}")
-        await self._stop_while_connections_are_used()
-
-    async def _stop_while_connections_are_used(self) -> None:
-        """Stop a node whose callers go on using their connections until it is gone."""
-        gone = asyncio.Event()
-
-        async def use(connection: KeptConnection) -> None:
-            while not gone.is_set():
+                self.checker.report_stale_configuration(
+                    node.name, version, "not known after the faults"
+                )
+        served = await asyncio.gather(
+            *(self.callers.run_program() for _ in range(RECOVERY_PROGRAMS))
+        )
+        for number, is_served in enumerate(served):
+            if not is_served:
+                self.checker.report_not_served(f"number {number}")
+        await self._stop_node_in_use()
+
+    async def _stop_node_in_use(self) -> None:
+        """Stop a node while callers keep using their connections until it has exited."""
+        node_stopped = asyncio.Event()
+
+        async def run_until_stopped(connection: PersistentConnection) -> None:
+            while not node_stopped.is_set():
                 await self.callers.run_program(connection)
             await connection.close()
 
         connections = [
-            KeptConnection(self.nodes, random.Random(number)) for number in range(CALLERS)
+            PersistentConnection(self.nodes, random.Random(number))
+            for number in range(CALLER_COUNT)
+        ]
+        caller_tasks = [
+            asyncio.ensure_future(run_until_stopped(connection)) for connection in connections
         ]
-        working = [asyncio.ensure_future(use(connection)) for connection in connections]
         await asyncio.sleep(0.5)
         await self.nodes[0].stop()
-        gone.set()
-        await asyncio.gather(*working)
+        node_stopped.set()
+        await asyncio.gather(*caller_tasks)
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop the callers, nodes, workers and the store."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -209,45 +222,45 @@
             await worker.stop()
         await self._store.cleanup()
 
-    def _keep(self, coroutine: "asyncio.coroutines.Coroutine[None, None, None]") -> None:
+    def _start_task(self, coroutine: "asyncio.coroutines.Coroutine[None, None, None]") -> None:
         self._tasks.append(asyncio.ensure_future(coroutine))
 
-    async def _watch_lag(self) -> None:
-        """Note when this process itself is late."""
+    async def _lag_loop(self) -> None:
+        """Record disruptions of the harness when the event loop of this process lags."""
         while True:
-            began = self.troubles.now()
+            started_at = self.disruptions.now()
             await asyncio.sleep(LAG_POLL_SECONDS)
-            lag = self.troubles.now() - began - LAG_POLL_SECONDS
+            lag = self.disruptions.now() - started_at - LAG_POLL_SECONDS
             self.lag_seconds = max(self.lag_seconds, lag)
-            if lag > LAG_SECONDS:
-                with self.troubles.span(HARNESS, "lag"):
+            if lag > MAX_LAG_SECONDS:
+                with self.disruptions.span(HARNESS, "lag"):
                     pass
 
 
-async def soak(plan: Plan, folder: Path) -> Verdict:
-    """Run nodes, workers, callers and an operator with faults."""
+async def soak(plan: Plan, folder: Path) -> SoakResult:
+    """Run one soak with the node logs in `folder`."""
     running = _Soak(plan, folder)
     faults: list[str] = []
     try:
         await running.start()
-        faults = await running.trouble()
-        await running.peace()
+        faults = await running.run_faults()
+        await running.check_recovery()
     finally:
         await running.stop()
-    running.promises.settle(running.callers.budgets)
-    return Verdict(
+    running.checker.check_totals(running.callers.budgets)
+    return SoakResult(
         plan,
-        running.promises.broken,
+        running.checker.violations,
         faults,
-        dict(running.promises.outcomes),
+        dict(running.checker.outcomes),
         running.operator.version,
         running.lag_seconds,
         folder,
     )
 
 
-def run_soak(plan: Plan) -> Verdict:
-    """Run one soak; the logs stay in a folder of their own."""
+def run_soak(plan: Plan) -> SoakResult:
+    """Run one soak in a new event loop; the logs stay in a new temporary folder."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{plan.seed}-"))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(soak(plan, folder))
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -1,4 +1,4 @@
-"""Workers of the soak: they run requests, tell the promises so, and fail as they are told."""
+"""Workers of the soak: they run requests, report them to the checker and inject faults."""
 
 import asyncio
 import json
@@ -11,52 +11,52 @@
 from foxwinch.bench.fault_proxy import FaultProxy
 from foxwinch.emulator.record_store import RecordStoreModel
 from foxwinch.identifiers import PeerAddress
-from soak.promises import Promises, Run
-from soak.troubles import Troubles
+from soak.disruptions import DisruptionLog
+from soak.invariants import InvariantChecker, Run
 
 EVENTS = 5
-"""Of a whole stream; the last one has this id."""
+"""Number of events in a complete stream, and the id of the last one."""
 DRAIN_SECONDS = 2.0
-"""After the store has taken a drain until no node in touch may send more: `drain_ms`."""
+"""Bound from storing a drain until undisrupted nodes send no more requests: `drain_ms`."""
 TABLE = "servers"
 
 
 @dataclass
 class WorkerFaults:
-    """Chances of each fault, for each request."""
+    """Probability of each fault per request, and the added delay."""
 
     shed: float = 0.0
-    break_off: float = 0.0
-    silent: float = 0.0
-    slow_seconds: float = 0.0
+    disconnect: float = 0.0
+    unresponsive: float = 0.0
+    delay_seconds: float = 0.0
 
 
 class SoakWorker:
-    """One worker on loopback behind a proxy; it keeps its entry in the store's list."""
+    """A worker on loopback behind a fault proxy, with its entry in the worker list of the store."""
 
     def __init__(
         self,
         number: int,
         model: RecordStoreModel,
-        promises: Promises,
-        troubles: Troubles,
-        draws: random.Random,
+        checker: InvariantChecker,
+        disruptions: DisruptionLog,
+        rng: random.Random,
     ) -> None:
         self.faults = WorkerFaults()
         self.proxy: FaultProxy | None = None
         self._number = number
         self._model = model
-        self._promises = promises
-        self._troubles = troubles
-        self._draws = draws
+        self._checker = checker
+        self._disruptions = disruptions
+        self._rng = rng
         self._runner: web.AppRunner | None = None
-        self._id = f"w{number}"
-        self._life = 0
-        self._entries = 0
+        self._worker_id = f"w{number}"
+        self._incarnation = 0
+        self._entry_sequence = 0
         self._draining_at: float | None = None
 
     async def start(self) -> None:
-        """Listen on a free port and be listed."""
+        """Listen on a free port and register in the worker list."""
         application = web.Application(client_max_size=1 << 24)
         application.router.add_route("*", "/{path:.*}", self._serve)
         self._runner = web.AppRunner(application, shutdown_timeout=0.1, handler_cancellation=True)
@@ -64,35 +64,35 @@
         await web.TCPSite(self._runner, "127.0.0.1", 0).start()
         self.proxy = FaultProxy(PeerAddress(*self._runner.addresses[0][:2]), seed=self._number)
         await self.proxy.start()
-        self.begin_life(same_id=True)
+        self.start_incarnation(same_id=True)
 
     async def stop(self) -> None:
-        """Drop everything."""
+        """Close the proxy and the server."""
         if self.proxy is not None:
             await self.proxy.stop()
         if self._runner is not None:
             await self._runner.cleanup()
 
-    def begin_life(self, same_id: bool) -> None:
-        """Start again, knowing nothing of before, under the same id or another one."""
+    def start_incarnation(self, same_id: bool) -> None:
+        """Restart without any state, under the same id or a new one."""
         if self.proxy is not None:
             self.proxy.reset()
         if not same_id:
-            self._model.remove(TABLE, self._id)
-            self._id = f"w{self._number}-{self._life}"
-        self._life += 1
-        self._entries = 0
+            self._model.remove(TABLE, self._worker_id)
+            self._worker_id = f"w{self._number}-{self._incarnation}"
+        self._incarnation += 1
+        self._entry_sequence = 0
         self._draining_at = None
-        self._write("ready")
+        self._write_entry("ready")
 
     def drain(self) -> None:
-        """Say that it leaves; it serves on."""
-        self._write("draining")
-        self._draining_at = self._troubles.now()
+        """Announce a drain in the worker list while the worker keeps serving."""
+        self._write_entry("draining")
+        self._draining_at = self._disruptions.now()
 
-    def _write(self, state: str) -> None:
+    def _write_entry(self, state: str) -> None:
         assert self.proxy is not None
-        self._entries += 1
+        self._entry_sequence += 1
         entry = {
             "service": "s",
             "address": f"{self.proxy.address.host}:{self.proxy.address.port}",
@@ -101,64 +101,64 @@
             "slots": 8,
             "state": state,
             "cold_left_ms": 0,
-            "seq": self._entries,
-            "born": 1_790_000_000_000 + self._life,
+            "seq": self._entry_sequence,
+            "born": 1_790_000_000_000 + self._incarnation,
         }
-        self._model.put(TABLE, self._id, json.dumps(entry).encode())
+        self._model.put(TABLE, self._worker_id, json.dumps(entry).encode())
 
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         body = await request.read()
         request_id = request.headers.get("Request-Id", "")
         headers = {"Request-Id": request_id}
-        if request.headers.get("Expect-Instance") != self._id:
-            return web.Response(status=421, headers={**headers, "Instance": self._id})
+        if request.headers.get("Expect-Instance") != self._worker_id:
+            return web.Response(status=421, headers={**headers, "Instance": self._worker_id})
         self._check_drain(request_id)
-        if self._draws.random() < self.faults.shed:
+        if self._rng.random() < self.faults.shed:
             return web.Response(status=503, headers={**headers, "Not-Run": "1"})
-        first = int(request.headers.get("Last-Event-Id", 0)) + 1
-        self._promises.ran(Run(request_id, body, first))
-        if self._draws.random() < self.faults.silent:
+        first_event = int(request.headers.get("Last-Event-Id", 0)) + 1
+        self._checker.record_run(Run(request_id, body, first_event))
+        if self._rng.random() < self.faults.unresponsive:
             await asyncio.sleep(30)
-        await asyncio.sleep(self._draws.random() * 0.02 + self.faults.slow_seconds)
+        await asyncio.sleep(self._rng.random() * 0.02 + self.faults.delay_seconds)
         headers["Response-Stamp"] = f"stamp-{request_id}"
         if request.path.startswith(("/plan/", "/kept/")):
-            return await self._stream(request, request_id, first, headers)
-        if self._breaks_off(request):
+            return await self._stream(request, request_id, first_event, headers)
+        if self._disconnects(request):
             return web.Response()
         return web.Response(body=f"{request_id} done".encode(), headers=headers)
 
     def _check_drain(self, request_id: str) -> None:
-        """Hold a request of a node in touch against the drain that the store has taken."""
+        """Report a request of an undisrupted node that comes too long after the stored drain."""
         if self._draining_at is None:
             return
-        self._promises.outcomes["requests at draining workers"] += 1
-        attempt = self._promises.attempts.get(request_id)
-        seconds = self._troubles.now() - self._draining_at
+        self._checker.outcomes["requests at draining workers"] += 1
+        attempt = self._checker.attempts.get(request_id)
+        seconds = self._disruptions.now() - self._draining_at
         if attempt is None or seconds <= DRAIN_SECONDS:
             return
-        if self._troubles.in_touch(attempt.node):
-            self._promises.drained_worker_asked(request_id, attempt.node, seconds)
+        if self._disruptions.is_undisrupted(attempt.node):
+            self._checker.report_request_after_drain(request_id, attempt.node, seconds)
 
     async def _stream(
-        self, request: web.Request, request_id: str, first: int, headers: dict[str, str]
+        self, request: web.Request, request_id: str, first_event: int, headers: dict[str, str]
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
         response.enable_chunked_encoding()
         await response.prepare(request)
         with suppress(ConnectionError):
-            for number in range(first, EVENTS + 1):
+            for number in range(first_event, EVENTS + 1):
                 event = f"id: {number}\ndata: {request_id} {number}\n\n".encode()
-                if self._breaks_off(request, response, event):
+                if self._disconnects(request, response, event):
                     return response
                 await response.write(event)
-                await asyncio.sleep(self._draws.random() * 0.02)
+                await asyncio.sleep(self._rng.random() * 0.02)
             await response.write_eof()
         return response
 
-    def _breaks_off(
+    def _disconnects(
         self, request: web.Request, response: web.StreamResponse | None = None, event: bytes = b""
     ) -> bool:
-        if self._draws.random() >= self.faults.break_off:
+        if self._rng.random() >= self.faults.disconnect:
             return False
         if request.transport is not None:
             if response is not None:
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -67,9 +67,9 @@
     everyone = {node.name: MemberState.ALIVE for node in nodes}
     await until(lambda: all(node.states() == everyone for node in nodes))
     for node in nodes:
-        node.proxy.program(loss=0.2, delay_seconds=0.003)
+        node.proxy.set_faults(loss=0.2, delay_seconds=0.003)
     isolated, *others = nodes[::-1]
-    isolated.proxy.program(block_to_target=True, block_to_client=True)
+    isolated.proxy.set_faults(block_to_target=True, block_to_client=True)
     for other in others:
         other.proxy.block_source(isolated.peers.address.host)
     await until(lambda: all(o.states()[isolated.name] is MemberState.DEAD for o in others))
--- a/tests/test_overhead_bench.py
+++ b/tests/test_overhead_bench.py
@@ -7,7 +7,7 @@
 
 from foxwinch.bench.overhead import Case, run_overhead
 from foxwinch.bench.stream_client import (
-    IncompleteAnswerError,
+    IncompleteResponseError,
     Load,
     prepare_request,
     run_load,
@@ -49,7 +49,7 @@
     ],
 )
 async def test_an_answer_that_is_not_whole_fails_the_run(answer):
-    with pytest.raises(IncompleteAnswerError):
+    with pytest.raises(IncompleteResponseError):
         await load_of(answer, chunks=2)
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks of real nodes with faults from outside them; see docs/TESTING.md for longer ones."""
+"""Short soaks of real nodes with injected faults; see docs/TESTING.md for longer ones."""
 
 import signal
 
@@ -6,94 +6,94 @@
 
 from foxwinch.bench.fault_proxy import FaultProxy
 from foxwinch.identifiers import PeerAddress
+from soak.disruptions import STORE, DisruptionLog
+from soak.invariants import Attempt, InvariantChecker, Run
 from soak.nodes import SoakNode
-from soak.promises import Attempt, Promises, Run
 from soak.run import Plan, run_soak
-from soak.troubles import STORE, Troubles
 
 REGRESSION_SEEDS: dict[int, str] = {}
-"""Seeds that once found a fault, each with its cause."""
+"""Seeds that once exposed a fault, each with its cause."""
 SECONDS = 20.0
 
 
 @pytest.mark.soak
 @pytest.mark.parametrize("seed", [1, 3, *REGRESSION_SEEDS])
-def test_promises_hold_under_faults(seed):
-    verdict = run_soak(Plan(seed, SECONDS))
-    assert verdict.broken == [], f"faults: {verdict.faults}; logs in {verdict.folder}"
-    assert verdict.outcomes["stream 200"] > 0
-    assert verdict.outcomes["unsafe 200"] > 0
-    assert verdict.outcomes["configuration held to its bound"] > 0
+def test_invariants_hold_under_faults(seed):
+    result = run_soak(Plan(seed, SECONDS))
+    assert result.violations == [], f"faults: {result.faults}; logs in {result.folder}"
+    assert result.outcomes["stream 200"] > 0
+    assert result.outcomes["unsafe 200"] > 0
+    assert result.outcomes["configuration held to its bound"] > 0
 
 
-def attempt(request_id="r1", kind="unsafe", status=200, **more):
-    found = Attempt(request_id, "p1", kind, b"body", status, whole=True, **more)
-    found.stamp = f"stamp-{request_id}" if status == 200 else None
-    return found
+def attempt(request_id="r1", kind="unsafe", status=200, **fields):
+    sample = Attempt(request_id, "p1", kind, b"body", status, is_complete=True, **fields)
+    sample.stamp = f"stamp-{request_id}" if status == 200 else None
+    return sample
 
 
-def verdict_of(*attempts, runs=(), budget=1_000):
-    promises = Promises()
+def violated_rules(*attempts, runs=(), budget=1_000):
+    checker = InvariantChecker()
     for each in attempts:
-        promises.sent(each)
+        checker.record_sent(each)
     for run_ in runs:
-        promises.ran(run_)
+        checker.record_run(run_)
     for each in attempts:
-        promises.ended(each, end_id=3)
-    promises.settle({"p1": (budget, 25)})
-    return [line.split()[0] for line in promises.broken]
+        checker.check_response(each, end_id=3)
+    checker.check_totals({"p1": (budget, 25)})
+    return [line.split()[0] for line in checker.violations]
 
 
-def test_the_verdict_tells_each_broken_promise():
+def test_each_violated_invariant_is_reported():
     ran = Run("r1", b"body", 1)
-    whole = {"event_ids": [1, 2, 3], "data": ["r1 1", "r1 2", "r1 3"]}
-    assert verdict_of(attempt(), runs=[ran]) == []
-    assert verdict_of(attempt(kind="stream", **whole), runs=[ran]) == []
-    assert verdict_of(attempt(), runs=[ran, ran]) == ["TWICE"]
-    assert verdict_of(attempt(status=503), runs=[ran]) == ["REFUSED"]
-    assert verdict_of(attempt(), runs=[Run("r1", b"other", 1)]) == ["UNASKED"]
-    assert verdict_of(attempt(), runs=[ran, Run("r9", b"body", 1)]) == ["UNASKED"]
-    assert verdict_of(attempt(data=["r2 done"]), runs=[ran]) == ["MIXED"]
+    complete = {"event_ids": [1, 2, 3], "data": ["r1 1", "r1 2", "r1 3"]}
+    assert violated_rules(attempt(), runs=[ran]) == []
+    assert violated_rules(attempt(kind="stream", **complete), runs=[ran]) == []
+    assert violated_rules(attempt(), runs=[ran, ran]) == ["TWICE"]
+    assert violated_rules(attempt(status=503), runs=[ran]) == ["REFUSED"]
+    assert violated_rules(attempt(), runs=[Run("r1", b"other", 1)]) == ["UNASKED"]
+    assert violated_rules(attempt(), runs=[ran, Run("r9", b"body", 1)]) == ["UNASKED"]
+    assert violated_rules(attempt(data=["r2 done"]), runs=[ran]) == ["MIXED"]
     short = {"event_ids": [1, 2], "data": ["r1 1", "r1 2"]}
-    assert verdict_of(attempt(kind="stream", **short), runs=[ran]) == ["ORDER"]
+    assert violated_rules(attempt(kind="stream", **short), runs=[ran]) == ["ORDER"]
     twice = {"event_ids": [1, 1, 3], "data": ["r1 1", "r1 1", "r1 3"]}
-    assert verdict_of(attempt(kind="stream", **twice), runs=[ran]) == ["ORDER"]
-    assert verdict_of(attempt(kind="stream", **whole), runs=[ran], budget=25) == ["BUDGET"]
+    assert violated_rules(attempt(kind="stream", **twice), runs=[ran]) == ["ORDER"]
+    assert violated_rules(attempt(kind="stream", **complete), runs=[ran], budget=25) == ["BUDGET"]
 
 
-async def test_a_process_that_ends_by_itself_is_told(tmp_path):
-    promises = Promises()
+async def test_an_unexpected_process_exit_is_reported(tmp_path):
+    checker = InvariantChecker()
     proxy = FaultProxy(PeerAddress("127.0.0.1", 9))
     await proxy.start()
-    node = SoakNode("n0", "z", proxy, tmp_path, promises, Troubles())
+    node = SoakNode("n0", "z", proxy, tmp_path, checker, DisruptionLog())
     await node.start()
     node.signal(signal.SIGTERM)
-    await node.ended()
-    assert promises.broken == ["FAULT n0: ended by itself with 0"]
+    await node.wait_until_exited()
+    assert checker.violations == ["FAULT n0: ended by itself with 0"]
     await proxy.stop()
 
 
-def test_only_nodes_out_of_trouble_are_held_to_bounds():
-    troubles = Troubles()
-    assert troubles.in_touch("n0")
-    with troubles.span("n0", "freeze"):
-        assert not troubles.in_touch("n0")
-        assert troubles.in_touch("n1")
-    assert not troubles.in_touch("n0")
-    with troubles.span(STORE, "mood"):
+def test_only_undisrupted_nodes_are_held_to_time_bounds():
+    disruptions = DisruptionLog()
+    assert disruptions.is_undisrupted("n0")
+    with disruptions.span("n0", "freeze"):
+        assert not disruptions.is_undisrupted("n0")
+        assert disruptions.is_undisrupted("n1")
+    assert not disruptions.is_undisrupted("n0")
+    with disruptions.span(STORE, "mood"):
         pass
-    assert not troubles.in_touch("n1")
-    now = troubles.now()
-    assert troubles.between(["n0", STORE], now - 1.0, now) == {"freeze", "mood"}
-
-
-async def test_a_node_that_is_late_is_told():
-    promises, troubles = Promises(), Troubles()
-    promises.configuration_late("n0", 7, "known before")
-    promises.drained_worker_asked("r1", "n0", 2.5)
-    cut = attempt(status=None)
-    promises.sent(cut)
-    promises.cut_by_a_stop(cut, 0.1)
-    promises.cut_by_a_stop(cut, 0.3)
-    assert [line.split()[0] for line in promises.broken] == ["CONFIG", "DRAIN", "LOST"]
-    assert troubles.in_touch("n0")
+    assert not disruptions.is_undisrupted("n1")
+    now = disruptions.now()
+    assert disruptions.kinds_between(["n0", STORE], now - 1.0, now) == {"freeze", "mood"}
+
+
+async def test_a_late_node_is_reported():
+    checker, disruptions = InvariantChecker(), DisruptionLog()
+    checker.report_stale_configuration("n0", 7, "known before")
+    checker.report_request_after_drain("r1", "n0", 2.5)
+    interrupted = attempt(status=None)
+    checker.record_sent(interrupted)
+    checker.report_loss_during_stop(interrupted, 0.1)
+    checker.report_loss_during_stop(interrupted, 0.3)
+    assert [line.split()[0] for line in checker.violations] == ["CONFIG", "DRAIN", "LOST"]
+    assert disruptions.is_undisrupted("n0")
--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -49,7 +49,7 @@
         assert {reply.status for reply in await asyncio.gather(*turns)} == {200}
         site.model.moods.delay_seconds = 0.0
         await until(programs, 0)
-        site.store_proxy.silence()
+        site.store_proxy.stall()
         site.model.put("op", "config", configuration(version=2))
         while await version_in_force(node) != 2:
             assert held_calls_lost(node) <= WATCHES
