--- a/tests/test_watch_regressions.py
+++ b/tests/test_watch_regressions.py
@@ -49,7 +49,7 @@
         assert {reply.status for reply in await asyncio.gather(*turns)} == {200}
         platform.model.store_faults.delay_seconds = 0.0
         await wait_until(programs, 0)
-        platform.store_proxy.silence()
+        platform.store_proxy.stall()
         platform.model.put("op", "config", configuration(version=2))
         while await version_in_force(node) != 2:
             assert lost_watch_calls(node) <= WATCHES
