--- a/src/foxwinch/bench/cluster_fuzz/__init__.py
+++ b/src/foxwinch/bench/cluster_fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Stateful fuzzing of whole clusters on virtual time; nothing that is deployed imports it."""
+"""Stateful property-based fuzzing of simulated clusters on virtual time; not used in production."""
--- a/src/foxwinch/bench/cluster_fuzz/client.py
+++ b/src/foxwinch/bench/cluster_fuzz/client.py
@@ -1,4 +1,4 @@
-"""Callers of a fuzzed cluster: each program's calls go out one after the other."""
+"""Callers of a fuzzed cluster; the calls of one program are sent sequentially."""
 
 import asyncio
 import json
@@ -24,14 +24,14 @@
 from foxwinch.outcomes import Reason, Refused, RunState, not_run, outcome_unknown
 
 ANSWER_TOKENS = 8
-CLIENT_SECONDS = 90.0
-"""After which a caller gives up waiting."""
-BROKEN = outcome_unknown(Reason.PEER_UNREACHABLE, "the node went away")
-GONE = outcome_unknown(Reason.CANCELLED, "the caller went away")
+CLIENT_TIMEOUT_SECONDS = 90.0
+"""Time after which a caller stops waiting for a response."""
+NODE_LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "the node terminated before it responded")
+CALLER_GONE = outcome_unknown(Reason.CANCELLED, "the caller disconnected or timed out")
 
 
 class CallKind(StrEnum):
-    """What a call asks for."""
+    """Kind of a call."""
 
     MODEL = "model"
     REPEATABLE = "repeatable tool"
@@ -40,36 +40,36 @@
 
 @dataclass(slots=True)
 class ClientCall:
-    """A call as its caller sees it; `marker` is found in whatever it brings about."""
+    """A call as its caller sees it; its user message or tool arguments contain `marker`."""
 
     program: str
     number: int
     kind: CallKind
-    answer: ProgramEvent | None = None
-    """The last answer; None while one is awaited."""
+    response: ProgramEvent | None = None
+    """The last response; None while the call is in flight."""
     text: str = ""
     attempts: int = 0
     node: int | None = None
 
     @property
     def marker(self) -> str:
-        """Name the call."""
+        """Text that identifies the call; unique in the run."""
         return f"{self.program}#{self.number}"
 
     @property
     def succeeded(self) -> bool:
-        """True once the caller has the whole answer."""
-        return self.answer is not None and not isinstance(self.answer, Refused)
+        """True once the caller has the complete response."""
+        return self.response is not None and not isinstance(self.response, Refused)
 
     @property
     def refused_as_not_run(self) -> bool:
-        """True when the last word is that the call did not run."""
-        return isinstance(self.answer, Refused) and self.answer.run_state is RunState.NOT_RUN
+        """True if the last response is a refusal with run state `not_run`."""
+        return isinstance(self.response, Refused) and self.response.run_state is RunState.NOT_RUN
 
 
 @dataclass(slots=True)
 class ClientProgram:
-    """A program and its calls in the order in which they were made."""
+    """A program and its calls, in the order in which they were sent."""
 
     name: str
     template: str
@@ -78,52 +78,52 @@
     ended: bool = False
 
     @property
-    def identity(self) -> ProgramId:
+    def program_id(self) -> ProgramId:
         """The program's identifier in the cluster."""
         return ProgramId(f"{TENANT}/{self.name}")
 
-    def told(self) -> list[ClientCall]:
-        """Return the calls whose whole answer the caller has by now."""
+    def answered(self) -> list[ClientCall]:
+        """Return the calls whose complete response the caller has received."""
         return [call for call in self.calls if call.succeeded]
 
     @property
     def busy(self) -> bool:
-        """True while an answer is awaited."""
-        return bool(self.calls) and self.calls[-1].answer is None
+        """True while a call is in flight."""
+        return bool(self.calls) and self.calls[-1].response is None
 
 
 class Callers:
-    """Sends requests into the cluster as callers do."""
+    """Sends requests to nodes of the cluster as callers do."""
 
     def __init__(self, world: FuzzWorld) -> None:
-        """Call into `world`."""
+        """Send requests to the nodes of `world`."""
         self._world = world
         self.programs: list[ClientProgram] = []
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def create(self, node: FuzzNode, template: str) -> ClientProgram:
-        """Create a program and wait for the answer."""
+        """Create a program and wait for the response."""
         program = ClientProgram(f"p{len(self.programs)}x", template)
         self.programs.append(program)
         request = CreateRequest(
-            TenantName(TENANT), program.identity, template, f"create-{program.name}"
+            TenantName(TENANT), program.program_id, template, f"create-{program.name}"
         )
         final, _ = self._world.run(self._request(node, request))
         program.created = isinstance(final, ProgramDetails)
         return program
 
     def call(self, node: FuzzNode, program: ClientProgram, kind: CallKind) -> None:
-        """Send the program's next call without waiting."""
+        """Send the program's next call without waiting for the response."""
         call = ClientCall(program.name, len(program.calls) + 1, kind)
         program.calls.append(call)
         self._send(node, call)
 
-    def repeat(self, node: FuzzNode, program: ClientProgram) -> None:
-        """Send the program's last call again under its key."""
+    def resend(self, node: FuzzNode, program: ClientProgram) -> None:
+        """Resend the program's last call with the same idempotency key."""
         self._send(node, program.calls[-1])
 
-    def leave(self, program: ClientProgram) -> None:
-        """Let the caller of the program's last call go away."""
+    def disconnect(self, program: ClientProgram) -> None:
+        """Disconnect the caller of the program's last call."""
         task = self._tasks.get(program.name)
         if task is not None:
             task.cancel()
@@ -132,43 +132,43 @@
     def end(self, node: FuzzNode, program: ClientProgram) -> None:
         """Finish a program."""
         request = EndRequest(
-            TenantName(TENANT), program.identity, False, "done", f"end-{program.name}"
+            TenantName(TENANT), program.program_id, False, "done", f"end-{program.name}"
         )
         final, _ = self._world.run(self._request(node, request))
         program.ended = isinstance(final, ProgramDetails)
 
     def history(self, node: FuzzNode, program: ClientProgram) -> ProgramDetails | Refused:
-        """Read a program."""
-        request = HistoryRequest(TenantName(TENANT), program.identity)
+        """Read a program's history."""
+        request = HistoryRequest(TenantName(TENANT), program.program_id)
         final, _ = self._world.run(self._request(node, request))
         return final if isinstance(final, ProgramDetails) else _refused(final)
 
     def _send(self, node: FuzzNode, call: ClientCall) -> None:
-        call.answer, call.text, call.node = None, "", node.number
+        call.response, call.text, call.node = None, "", node.number
         call.attempts += 1
         task = self._world.loop.create_task(self._follow(node, call))
         self._tasks[call.program] = task
 
     async def _follow(self, node: FuzzNode, call: ClientCall) -> None:
         try:
-            call.answer, call.text = await self._request(node, _request(call))
+            call.response, call.text = await self._request(node, _request(call))
         except asyncio.CancelledError:
-            call.answer = GONE
+            call.response = CALLER_GONE
 
     async def _request(self, node: FuzzNode, request: ProgramRequest) -> tuple[ProgramEvent, str]:
-        """Send a request as the node's HTTP side does; a killed node breaks the connection."""
+        """Send a request as the node's HTTP server does; killing the node closes the connection."""
         if node.node.gate.closed:
             return not_run(Reason.DRAINING, "draining"), ""
         events: list[ProgramEvent] = []
         serving = asyncio.get_running_loop().create_task(_serve(node, request, events))
         try:
-            done, _ = await asyncio.wait({serving}, timeout=CLIENT_SECONDS)
+            done, _ = await asyncio.wait({serving}, timeout=CLIENT_TIMEOUT_SECONDS)
         finally:
             serving.cancel()
         if not done:
-            return GONE, ""
+            return CALLER_GONE, ""
         if serving.cancelled():
-            return BROKEN, ""
+            return NODE_LOST, ""
         error = serving.exception()
         if error is not None:
             raise error
@@ -189,8 +189,8 @@
     with node.node.gate.admitted():
         await node.process.gate()
         stream: Any = node.node.parts.programs.execute(request)
-        async with aclosing(stream) as answers:
-            async for event in answers:
+        async with aclosing(stream) as responses:
+            async for event in responses:
                 events.append(event)
                 await node.process.gate()
 
--- a/src/foxwinch/bench/cluster_fuzz/document.py
+++ b/src/foxwinch/bench/cluster_fuzz/document.py
@@ -22,11 +22,11 @@
 LONG, SHORT = "long", "short"
 SHORT_CALLS = 3
 """Calls that a program of the template `short` may make."""
-TOOL_SECONDS = 4.0
+TOOL_TIMEOUT_SECONDS = 4.0
 
 
 def document(rate: int = 1000) -> ClusterConfiguration:
-    """Return the document; `rate` is the tenant's limit, by which changes are told apart."""
+    """Return the document; `rate` is the tenant's rate limit, which identifies a change."""
     tools = (REPEATABLE_TOOL, ONCE_TOOL)
     engines = tuple(
         WorkerSettings(name=name, pool="llm", zone=zone, url=f"http://127.0.0.1:1/{name}")
@@ -46,10 +46,13 @@
         workers=engines,
         tools=(
             ToolSettings(
-                name=REPEATABLE_TOOL, pool="tools", repeatable=True, timeout_seconds=TOOL_SECONDS
+                name=REPEATABLE_TOOL,
+                pool="tools",
+                repeatable=True,
+                timeout_seconds=TOOL_TIMEOUT_SECONDS,
             ),
             ToolSettings(
-                name=ONCE_TOOL, pool="tools", repeatable=False, timeout_seconds=TOOL_SECONDS
+                name=ONCE_TOOL, pool="tools", repeatable=False, timeout_seconds=TOOL_TIMEOUT_SECONDS
             ),
         ),
         templates=(
--- a/src/foxwinch/bench/cluster_fuzz/machine.py
+++ b/src/foxwinch/bench/cluster_fuzz/machine.py
@@ -1,4 +1,4 @@
-"""The rules of the fuzzer: faults and requests in any order, checked after every step."""
+"""State machine of the fuzzer: faults and requests in any order, checked after every step."""
 
 import asyncio
 import sys
@@ -13,7 +13,13 @@
     rule,
 )
 
-from foxwinch.bench.cluster_fuzz.client import BROKEN, Callers, CallKind, ClientCall, ClientProgram
+from foxwinch.bench.cluster_fuzz.client import (
+    NODE_LOST,
+    Callers,
+    CallKind,
+    ClientCall,
+    ClientProgram,
+)
 from foxwinch.bench.cluster_fuzz.document import (
     ENGINES,
     LONG,
@@ -27,11 +33,11 @@
     PLANNED,
     SETTLES,
     PropertyError,
-    check_always,
+    check_after_step,
     check_history,
     check_released,
 )
-from foxwinch.bench.cluster_fuzz.world import CALM, LOSSY, FuzzNode, FuzzWorld
+from foxwinch.bench.cluster_fuzz.world import LOSSY, NO_LINK_FAULTS, FuzzNode, FuzzWorld
 from foxwinch.commands.apply_configuration import ApplyConfiguration
 from foxwinch.core.configuration.change import ChangeAccepted
 from foxwinch.core.program.call_events import ProgramDetails
@@ -41,9 +47,9 @@
 
 CHOICE = st.integers(0, 11)
 MAX_NODES = 7
-TRAFFIC = 0.5
-CALM_SECONDS = 60.0
-"""After which the last fault no longer explains anything."""
+TRAFFIC_PROBABILITY = 0.5
+FAULT_EFFECT_SECONDS = 60.0
+"""Time after the last fault in which an unknown outcome may still be due to it."""
 SETTLE_SECONDS = 60.0
 RELEASE_SECONDS = 90.0
 STORE_FAULTS = {
@@ -60,33 +66,33 @@
 
 
 class ClusterMachine(RuleBasedStateMachine):
-    """A cluster, its callers and its operators."""
+    """A cluster with its callers and operators."""
 
     decorate: Any = None
-    """Seam for planted bugs: changes the ports of a node."""
+    """Hook for planted bugs: replaces ports of a node."""
 
     def __init__(self) -> None:
-        """Start without a cluster; `begin` makes it."""
+        """Start without a cluster; `begin` creates it."""
         super().__init__()
         self.world: FuzzWorld | None = None
         self.checks = 0
 
     @initialize(nodes=st.integers(3, 5), seed=st.integers(0, 2**16))
     def begin(self, nodes: int, seed: int) -> None:
-        """Start a cluster and wait until it serves."""
+        """Start a cluster and wait until it accepts requests."""
         decorate = type(self).decorate
         self.world = FuzzWorld(seed, decorate)
         self.callers = Callers(self.world)
         self.leaving: dict[str, float] = {}
-        self.accepted: dict[int, float] = {}
-        self.held: dict[str, int] = {}
-        self.tokens = 0
-        self.faulted_at = float("-inf")
-        self.world.begin(nodes)
+        self.accepted_rates: dict[int, float] = {}
+        self.held_revisions: dict[str, int] = {}
+        self.token_count = 0
+        self.last_fault_at = float("-inf")
+        self.world.start_nodes(nodes)
         self.world.sleep(10.0)
         for template in (LONG, SHORT, LONG):
             if not self.callers.create(self.world.nodes[0], template).created:
-                raise PropertyError(SETTLES, "a new cluster creates no program")
+                raise PropertyError(SETTLES, "a new cluster did not create a program")
 
     @property
     def _world(self) -> FuzzWorld:
@@ -108,25 +114,25 @@
 
     @rule(choice=CHOICE, which=CHOICE, kind=st.sampled_from(CallKind), again=st.integers(1, 3))
     def call(self, choice: int, which: int, kind: CallKind, again: int) -> None:
-        """Make the next calls of some programs, without waiting for the last answer of each."""
+        """Send the next call of several programs without waiting for the responses."""
         for step in range(again):
             self._call(choice + step, which + step, kind)
 
     @rule(choice=CHOICE, which=CHOICE, kind=st.sampled_from(CallKind), again=st.integers(1, 4))
     def converse(self, choice: int, which: int, kind: CallKind, again: int) -> None:
-        """Make several calls of one program, each after the answer to the one before."""
+        """Send several calls of one program, each only if the one before is no longer in flight."""
         for step in range(again):
             self._call(choice + step, which, kind)
             self._world.sleep(0.5)
 
     def _traffic(self) -> None:
-        """Let about half of the idle callers make a call, so that faults meet calls in flight.
+        """Send a call from about half of the idle callers, so that calls are in flight at a fault.
 
-        Hypothesis leaves some rules out of each run; this keeps calls in every run.
+        Hypothesis disables some rules in each run; this keeps calls in every run.
         """
         world = self._world
         for index in range(len(self.callers.programs)):
-            if world.random.random() < TRAFFIC:
+            if world.random.random() < TRAFFIC_PROBABILITY:
                 kind = world.random.choice(list(CallKind))
                 self._call(world.random.randrange(MAX_NODES), index, kind)
 
@@ -138,20 +144,20 @@
 
     @rule(choice=CHOICE, which=CHOICE)
     def repeat(self, choice: int, which: int) -> None:
-        """Send a program's last call again."""
+        """Resend a program's last call."""
         program, node = self._program(which), self._node(choice)
         if program is None or node is None or program.busy or program.ended:
             return
         if program.calls and not program.calls[-1].succeeded:
-            self.callers.repeat(node, program)
+            self.callers.resend(node, program)
             self._world.sleep(0.02)
 
     @rule(which=CHOICE)
     def client_gone(self, which: int) -> None:
-        """Let a caller go away."""
+        """Disconnect a caller."""
         program = self._program(which)
         if program is not None and program.busy:
-            self.callers.leave(program)
+            self.callers.disconnect(program)
 
     @rule(choice=CHOICE, which=CHOICE)
     def finish(self, choice: int, which: int) -> None:
@@ -165,10 +171,10 @@
         """Read a program's history."""
         program, node = self._program(which), self._node(choice)
         if program is not None and node is not None:
-            told = program.told()
+            answered = program.answered()
             details = self.callers.history(node, program)
             if isinstance(details, ProgramDetails):
-                check_history(program, told, details)
+                check_history(program, answered, details)
 
     def _program(self, which: int) -> ClientProgram | None:
         created = [program for program in self.callers.programs if program.created]
@@ -185,8 +191,8 @@
     @precondition(lambda self: len(self.world.nodes) > 2)
     @rule(choice=CHOICE)
     def kill(self, choice: int) -> None:
-        """Kill a node, and start another one in its place."""
-        self.faulted_at = self._world.now
+        """Kill a node and start a replacement."""
+        self.last_fault_at = self._world.now
         self._traffic()
         node = self._node(choice)
         if node is not None:
@@ -195,8 +201,8 @@
 
     @rule(choice=CHOICE, seconds=st.sampled_from([2.0, 25.0]))
     def pause(self, choice: int, seconds: float) -> None:
-        """Freeze a node past its leases, then wake it."""
-        self.faulted_at = self._world.now
+        """Freeze a node past the expiry of its leases, then resume it."""
+        self.last_fault_at = self._world.now
         self._traffic()
         node = self._node(choice)
         if node is not None:
@@ -206,8 +212,8 @@
 
     @rule(choice=CHOICE, seconds=st.sampled_from([3.0, 30.0]))
     def partition(self, choice: int, seconds: float) -> None:
-        """Cut a zone off for a time."""
-        self.faulted_at = self._world.now
+        """Isolate a zone for a time."""
+        self.last_fault_at = self._world.now
         self._traffic()
         node = self._node(choice)
         if node is not None:
@@ -220,27 +226,27 @@
 
     @rule(lossy=st.booleans())
     def loss(self, lossy: bool) -> None:
-        """Lose, double and reorder datagrams."""
-        self.faulted_at = self._world.now
-        self._world.set_network_faults(LOSSY if lossy else CALM)
+        """Start or stop losing, duplicating and reordering datagrams."""
+        self.last_fault_at = self._world.now
+        self._world.set_network_faults(LOSSY if lossy else NO_LINK_FAULTS)
 
     @rule(fault=st.sampled_from([*STORE_FAULTS, "none"]))
     def store(self, fault: str) -> None:
-        """Disturb the shared store."""
-        self.faulted_at = self._world.now
+        """Set or clear a fault of the shared store."""
+        self.last_fault_at = self._world.now
         self._traffic()
         self._world.set_store_faults(STORE_FAULTS.get(fault, ServiceFaults()))
 
     @rule(fault=st.sampled_from([*TOOL_FAULTS, "none"]))
     def tools(self, fault: str) -> None:
-        """Disturb the tools."""
-        self.faulted_at = self._world.now
+        """Set or clear a fault of the tools."""
+        self.last_fault_at = self._world.now
         self._traffic()
         self._world.set_tool_faults(TOOL_FAULTS.get(fault, ToolFaults()))
 
     @rule(which=st.integers(1, 2))
     def worker_leaves(self, which: int) -> None:
-        """Announce in the machine list that a worker leaves; the first one stays."""
+        """Mark a worker as leaving in the machine list; the first worker always stays."""
         self._traffic()
         name = ENGINES[which]
         if name not in self.leaving:
@@ -251,16 +257,19 @@
 
     @rule(one=CHOICE, other=CHOICE, rate=st.integers(500, 2000))
     def change_configuration(self, one: int, other: int, rate: int) -> None:
-        """Let two operators make different changes of the same revision."""
+        """Apply different changes to the same base revision through two nodes at once."""
         self._traffic()
         nodes = [node for node in (self._node(one), self._node(other)) if node is not None]
-        base = max(self.held.values(), default=1)
+        base = max(self.held_revisions.values(), default=1)
         commands = []
         for index, node in enumerate(nodes):
-            self.tokens += 1
+            self.token_count += 1
             changed = document(rate + index)
             commands.append(
-                (node, ApplyConfiguration(f"operator-{self.tokens:04d}", Revision(base), changed))
+                (
+                    node,
+                    ApplyConfiguration(f"operator-{self.token_count:04d}", Revision(base), changed),
+                )
             )
 
         async def apply() -> list[ChangeAccepted | Refused]:
@@ -272,78 +281,83 @@
                 self._accept(outcome.revision, command.document.tenants[0].requests_per_second)
 
     def _accept(self, revision: int, rate: float) -> None:
-        if self.accepted.setdefault(revision, rate) != rate:
+        if self.accepted_rates.setdefault(revision, rate) != rate:
             raise PropertyError(CONFIGURATION, f"two documents under revision {revision}")
 
     @precondition(lambda self: len(self.world.nodes) > 2)
     @rule(choice=CHOICE)
     def rollout(self, choice: int) -> None:
-        """Replace a node as planned, with calls in flight."""
+        """Drain and replace a node while calls are in flight."""
         self._traffic()
         node = self._node(choice)
         if node is None:
             return
-        calm = self._is_calm()
-        inside = [c for p in self.callers.programs for c in p.calls if _at(c, node)]
+        no_recent_fault = self._has_no_recent_fault()
+        in_flight = [c for p in self.callers.programs for c in p.calls if _is_in_flight_at(c, node)]
         self._world.run(self._world.drain(node))
-        for call in inside:
-            if call.answer is None:
+        for call in in_flight:
+            if call.response is None:
                 self._world.sleep(1.0)
-            if _is_cut(call, calm):
-                raise PropertyError(PLANNED, f"{call.marker} was answered {call.answer}")
+            if _is_interrupted(call, no_recent_fault):
+                raise PropertyError(PLANNED, f"{call.marker} received {call.response}")
         self._world.start_node()
 
-    def _is_calm(self) -> bool:
+    def _has_no_recent_fault(self) -> bool:
         world = self._world
         faults = (world.store_faults, world.tool_faults, world.network_faults)
-        quiet = faults == (ServiceFaults(), ToolFaults(), CALM)
-        return quiet and world.now - self.faulted_at > CALM_SECONDS
+        no_faults = faults == (ServiceFaults(), ToolFaults(), NO_LINK_FAULTS)
+        return no_faults and world.now - self.last_fault_at > FAULT_EFFECT_SECONDS
 
     # --- checks ----------------------------------------------------------------------------
 
     @invariant()
-    def hold(self) -> None:
-        """Check everything that can be seen now."""
+    def check_properties(self) -> None:
+        """Check the properties that must hold after every step."""
         if self.world is None:
             return
         self.checks += 1
-        check_always(self._world, self.callers.programs, self.leaving)
+        check_after_step(self._world, self.callers.programs, self.leaving)
         for node in self._world.nodes:
             snapshot = node.node.configuration.current()
             if isinstance(snapshot, Refused):
                 continue
             identity = str(node.node.context.node)
             rate = snapshot.document.tenants[0].requests_per_second
-            if snapshot.revision < self.held.get(identity, 0):
-                raise PropertyError(CONFIGURATION, f"{identity} went back to {snapshot.revision}")
-            self.held[identity] = snapshot.revision
+            if snapshot.revision < self.held_revisions.get(identity, 0):
+                raise PropertyError(
+                    CONFIGURATION, f"{identity} reverted to revision {snapshot.revision}"
+                )
+            self.held_revisions[identity] = snapshot.revision
             self._accept(snapshot.revision, rate)
 
     def teardown(self) -> None:
-        """Stop the faults and check that all settles."""
+        """Clear all faults and check that the cluster settles."""
         if self.world is None:
             return
         try:
-            if self.checks > 1 and not self._failed():
+            if self.checks > 1 and not self._has_failed():
                 self._settle()
         finally:
             self._world.close()
 
-    def _failed(self) -> bool:
-        """Tell whether a step has raised already."""
+    def _has_failed(self) -> bool:
+        """Return whether a step has already raised."""
         return sys.exc_info()[0] is not None
 
     def _settle(self) -> None:
         world = self._world
         world.network.heal()
-        world.set_network_faults(CALM)
+        world.set_network_faults(NO_LINK_FAULTS)
         world.set_store_faults(ServiceFaults())
         world.set_tool_faults(ToolFaults())
         world.sleep(SETTLE_SECONDS)
-        self.hold()
+        self.check_properties()
         views = {str(node.node.configuration.current()) for node in world.nodes}
         if len(views) != 1:
-            raise PropertyError(CONFIGURATION, f"{len(views)} views after {SETTLE_SECONDS} s")
+            raise PropertyError(
+                CONFIGURATION,
+                f"nodes hold {len(views)} different configurations after {SETTLE_SECONDS} s",
+            )
         for number, program in enumerate(self.callers.programs):
             if program.created:
                 self._settle_program(world.nodes[number % len(world.nodes)], program)
@@ -352,25 +366,27 @@
 
     def _settle_program(self, node: FuzzNode, program: ClientProgram) -> None:
         if program.busy:
-            raise PropertyError(SETTLES, f"{program.calls[-1].marker} was never answered")
+            raise PropertyError(SETTLES, f"{program.calls[-1].marker} received no response")
         details = self.callers.history(node, program)
         if isinstance(details, Refused):
             raise PropertyError(SETTLES, f"{program.name} cannot be read: {details}")
-        check_history(program, program.told(), details)
+        check_history(program, program.answered(), details)
         if not program.ended:
             self.callers.end(node, program)
             if not program.ended:
                 raise PropertyError(SETTLES, f"{program.name} cannot be finished")
 
 
-def _at(call: ClientCall, node: FuzzNode) -> bool:
-    return call.answer is None and call.node == node.number
+def _is_in_flight_at(call: ClientCall, node: FuzzNode) -> bool:
+    return call.response is None and call.node == node.number
 
 
-def _is_cut(call: ClientCall, calm: bool) -> bool:
-    """Tell whether a request has no answer of the cluster's own, or without faults no sure one."""
-    if call.answer is None:
+def _is_interrupted(call: ClientCall, no_recent_fault: bool) -> bool:
+    """Return whether a call lost its response or, without faults, has an unknown outcome."""
+    if call.response is None:
         return True
-    if not isinstance(call.answer, Refused):
+    if not isinstance(call.response, Refused):
         return False
-    return call.answer == BROKEN or (calm and call.answer.run_state is RunState.UNKNOWN)
+    return call.response == NODE_LOST or (
+        no_recent_fault and call.response.run_state is RunState.UNKNOWN
+    )
--- a/src/foxwinch/bench/cluster_fuzz/oracle.py
+++ b/src/foxwinch/bench/cluster_fuzz/oracle.py
@@ -1,4 +1,4 @@
-"""What must always hold, in the words of the users; knows nothing of how the cluster does it."""
+"""Properties that must always hold, checked only against what callers and services observe."""
 
 import json
 from collections.abc import Iterator
@@ -12,12 +12,12 @@
 from foxwinch.emulator.engine_answers import WORDS, history_marker
 
 LEAVING_SECONDS = 10.0
-"""After which a leaving worker gets no new work, faults of the nodes included."""
+"""Time after which a leaving worker receives no new work, even under node faults."""
 ORDER = "calls run in their given order"
 HISTORY = "a history is never lost and never mixed"
 BUDGET = "a budget holds"
 MEMORY = "no engine memory stays held for finished programs"
-WHOLE = "a caller receives the whole answer to its own request"
+COMPLETE = "a caller receives the whole answer to its own request"
 NOT_RUN = "a refusal that says not run is true"
 ONCE = "what may not be repeated runs at most once"
 LEAVING = "a leaving back end gets no new work"
@@ -27,10 +27,10 @@
 
 
 class PropertyError(AssertionError):
-    """A property does not hold."""
+    """A property is violated."""
 
     def __init__(self, name: str, detail: str) -> None:
-        """Name the property."""
+        """Store the name of the violated property."""
         super().__init__(f"{name}: {detail}")
         self.name = name
 
@@ -41,10 +41,10 @@
     at_seconds: float
 
 
-def check_always(
+def check_after_step(
     world: FuzzWorld, programs: list[ClientProgram], leaving: dict[str, float]
 ) -> None:
-    """Check what can be seen after every step."""
+    """Check the properties that must hold after every step."""
     if world.failures:
         raise PropertyError(SETTLES, f"a task failed: {world.failures[0]}")
     calls = {call.marker: call for program in programs for call in program.calls}
@@ -54,7 +54,9 @@
         if call.kind is CallKind.ONCE and count > 1:
             raise PropertyError(ONCE, f"{call.marker} ran {count} times")
         if call.refused_as_not_run and count:
-            raise PropertyError(NOT_RUN, f"{call.marker} ran; it was answered {call.answer}")
+            raise PropertyError(
+                NOT_RUN, f"{call.marker} ran, but its caller received {call.response}"
+            )
         if call.kind is CallKind.MODEL and call.succeeded:
             _check_answer(call)
     newest: dict[str, int] = {}
@@ -69,31 +71,37 @@
             raise PropertyError(LEAVING, detail)
 
 
-def check_history(program: ClientProgram, told: list[ClientCall], details: ProgramDetails) -> None:
-    """Check a history that was read; `told` are the calls answered before the read was sent."""
+def check_history(
+    program: ClientProgram, answered: list[ClientCall], details: ProgramDetails
+) -> None:
+    """Check a program's history; `answered` lists the calls answered before the read was sent."""
     seen = [message.content for message in details.history]
     for content in seen:
         own = content.startswith((f"{program.name}#", f"[program={TENANT}/{program.name} "))
         if not own and not content.startswith(("timetable: ", "logged entry ")):
-            raise PropertyError(HISTORY, f"{program.name} has foreign {content!r}")
-    asked = [content for content in seen if content.startswith(f"{program.name}#")]
-    numbers = [int(content.partition("#")[2]) for content in asked]
+            raise PropertyError(
+                HISTORY, f"{program.name} has a message of another program: {content!r}"
+            )
+    user_messages = [content for content in seen if content.startswith(f"{program.name}#")]
+    numbers = [int(content.partition("#")[2]) for content in user_messages]
     if numbers != sorted(set(numbers)):
-        raise PropertyError(ORDER, f"{program.name} has {numbers}")
-    for call in told:
-        if not _is_kept(call, seen):
-            raise PropertyError(HISTORY, f"the answer to {call.marker} is lost")
+        raise PropertyError(ORDER, f"{program.name} has its calls in the order {numbers}")
+    for call in answered:
+        if not _is_in_history(call, seen):
+            raise PropertyError(HISTORY, f"the response to {call.marker} is missing")
     for index, message in enumerate(details.history):
         if message.role == "assistant":
             before = [Message(m.role, m.content) for m in details.history[:index]]
-            if not message.content.startswith(history_marker(program.identity, before)):
-                raise PropertyError(HISTORY, f"{program.name}: {message.content!r} at {index}")
+            if not message.content.startswith(history_marker(program.program_id, before)):
+                raise PropertyError(
+                    HISTORY, f"{program.name}: unexpected {message.content!r} at index {index}"
+                )
     calls = sum(call.succeeded for call in program.calls)
     if program.template == SHORT and max(calls, details.spent.calls) > SHORT_CALLS:
-        raise PropertyError(BUDGET, f"{program.name} made {calls}, spent {details.spent}")
+        raise PropertyError(BUDGET, f"{program.name} made {calls} calls and spent {details.spent}")
 
 
-def _is_kept(call: ClientCall, seen: list[str]) -> bool:
+def _is_in_history(call: ClientCall, seen: list[str]) -> bool:
     if call.kind is CallKind.MODEL:
         return call.text in seen
     if call.kind is CallKind.REPEATABLE:
@@ -102,20 +110,22 @@
 
 
 def check_released(world: FuzzWorld, programs: list[ClientProgram]) -> None:
-    """Check that engines were told to release what finished programs held."""
+    """Check that engines have released the KV cache of finished programs."""
     for program in programs:
         if not program.ended:
             continue
         for name, worker in world.workers.items():
-            if worker.holds(program.identity):
-                raise PropertyError(MEMORY, f"{name} still holds {program.name}, which ended")
+            if worker.holds(program.program_id):
+                raise PropertyError(
+                    MEMORY, f"{name} still holds cache of the finished program {program.name}"
+                )
 
 
 def _check_answer(call: ClientCall) -> None:
     words = "".join(f"{WORDS[i % len(WORDS)]} " for i in range(ANSWER_TOKENS - 1))
     start = f"[program={TENANT}/{call.program} "
     if not call.text.startswith(start) or not call.text.endswith("] " + words):
-        raise PropertyError(WHOLE, f"{call.marker} received {call.text!r}")
+        raise PropertyError(COMPLETE, f"{call.marker} received {call.text!r}")
 
 
 def _tool_runs(world: FuzzWorld, calls: dict[str, ClientCall]) -> Iterator[_Run]:
--- a/src/foxwinch/bench/cluster_fuzz/planted.py
+++ b/src/foxwinch/bench/cluster_fuzz/planted.py
@@ -1,6 +1,6 @@
-"""Planted bugs, one for each property: they show that the fuzzer bites.
+"""Planted bugs, one for each property, which show that the fuzzer detects violations.
 
-Each changes the ports or the parts of the nodes of a fuzzed cluster; the product is not touched.
+Each replaces ports or parts of the nodes of a fuzzed cluster; production code is unchanged.
 """
 
 import asyncio
@@ -21,8 +21,8 @@
 Decorate = Callable[[str, Any], Any]
 
 
-class _Wrapped:
-    """A port of which some methods are replaced."""
+class _PortWrapper:
+    """Base class of ports that replace some methods of another port."""
 
     def __init__(self, inner: Any) -> None:
         self._inner = inner
@@ -31,21 +31,21 @@
         return getattr(self._inner, name)
 
 
-class _LateRepeats(_Wrapped):
-    """Sends a repeatable tool call a second time, some seconds later."""
+class _LateDuplicates(_PortWrapper):
+    """Runs a repeatable tool call a second time, three seconds later."""
 
     async def call(self, order: ToolRequest) -> ToolOutcome:
         if order.tool == REPEATABLE_TOOL:
-            asyncio.get_running_loop().call_later(3.0, self._again, order)
+            asyncio.get_running_loop().call_later(3.0, self._run_again, order)
         outcome: ToolOutcome = await self._inner.call(order)
         return outcome
 
-    def _again(self, order: ToolRequest) -> None:
+    def _run_again(self, order: ToolRequest) -> None:
         self._inner.model.run(order, "late", asyncio.get_running_loop().time())
 
 
-class _DoubledCalls(_Wrapped):
-    """Repeats a tool call whose answer was lost, whatever the tool."""
+class _RetriedCalls(_PortWrapper):
+    """Retries a failed call of the tool that must run at most once."""
 
     async def call(self, order: ToolRequest) -> ToolOutcome:
         outcome: ToolOutcome = await self._inner.call(order)
@@ -54,8 +54,8 @@
         return outcome
 
 
-class _DroppedChunks(_Wrapped):
-    """Loses the second chunk of every answer."""
+class _DroppedChunks(_PortWrapper):
+    """Drops the second chunk of every response."""
 
     async def generate(
         self, worker: WorkerId, order: GenerateRequest
@@ -67,24 +67,24 @@
                 yield event
 
 
-class _ForgottenReleases(_Wrapped):
-    """Answers a release without passing it on."""
+class _IgnoredReleases(_PortWrapper):
+    """Acknowledges a release without forwarding it to the engine."""
 
     async def release(self, worker: WorkerId, program_id: ProgramId) -> Completed:
         return Completed()
 
 
-class _HiddenLeaving(_Wrapped):
-    """Hides from a node that machines are leaving."""
+class _HiddenDepartures(_PortWrapper):
+    """Reports leaving machines as staying."""
 
     async def machines(self) -> Any:
         listed = await self._inner.machines()
         if isinstance(listed, Refused):
             return listed
-        return tuple(_staying(machine) for machine in listed)
+        return tuple(_without_departure(machine) for machine in listed)
 
 
-def _staying(machine: Any) -> Any:
+def _without_departure(machine: Any) -> Any:
     return type(machine)(
         machine.name, machine.kind, machine.address, machine.zone, machine.region, False
     )
@@ -104,48 +104,48 @@
 
 
 def _lose_outcomes(node: FuzzNode) -> None:
-    """Say that outcomes are committed without committing them."""
+    """Acknowledge appended call outcomes without storing them."""
     trees: Any = node.node.parts.records.trees
-    begin = trees.open
+    inner_open = trees.open
 
-    async def opened(root: ProgramId, over: NodeId | None = None) -> Any:
-        found = await begin(root, over)
+    async def open_tree(root: ProgramId, previous_owner: NodeId | None = None) -> Any:
+        found = await inner_open(root, previous_owner)
         if isinstance(found, OpenedTree):
             _lose_outcomes_of(found.journal)
         return found
 
-    trees.open = opened
+    trees.open = open_tree
 
 
 def _lose_outcomes_of(journal: Any) -> None:
     append = journal.append
 
-    async def losing(records: Sequence[JournalRecord]) -> Refused | None:
+    async def append_without_outcomes(records: Sequence[JournalRecord]) -> Refused | None:
         kept = [record for record in records if record.WhichOneof("record") != "call_outcome"]
         if not kept:
             return None
         refused: Refused | None = await append(kept)
         return refused
 
-    journal.append = losing
+    journal.append = append_without_outcomes
 
 
-def _refuse_untruly(node: FuzzNode) -> None:
-    """Tell callers "not run" where nobody knows."""
+def _report_unknown_as_not_run(node: FuzzNode) -> None:
+    """Report an unknown outcome to callers as "not run"."""
     programs: Any = node.node.parts.programs
     execute = programs.execute
 
-    async def untrue(request: Any) -> AsyncGenerator[Any, None]:
+    async def falsified_execute(request: Any) -> AsyncGenerator[Any, None]:
         async for event in execute(request):
             if isinstance(event, Refused) and event.run_state is RunState.UNKNOWN:
                 event = not_run(event.reason, event.detail)
             yield event
 
-    object.__setattr__(programs, "execute", untrue)
+    object.__setattr__(programs, "execute", falsified_execute)
 
 
-def _forget_budgets(node: FuzzNode) -> None:
-    """Let the programs of this node spend without bound."""
+def _disable_budgets(node: FuzzNode) -> None:
+    """Disable the budget check; the patch applies to every node of the process."""
     del node
     budget.Ledger.shortage = _no_shortage  # type: ignore[method-assign,assignment]
 
@@ -154,8 +154,8 @@
     del ledger, amount
 
 
-def _stop_at_once(node: FuzzNode) -> None:
-    """Stop without waiting for the requests in progress."""
+def _stop_without_draining(node: FuzzNode) -> None:
+    """Make draining return at once, without waiting for in-flight requests."""
 
     async def drain() -> bool:
         return True
@@ -163,38 +163,38 @@
     node.node.drain = drain  # type: ignore[method-assign]
 
 
-def _go_back(node: FuzzNode) -> None:
-    """Serve the first configuration again now and then."""
+def _revert_configuration(node: FuzzNode) -> None:
+    """Return the first configuration instead of the current one on every 50th read."""
     configuration: Any = node.node.configuration
     current = configuration.current
-    turns = itertools.count(1)
+    reads = itertools.count(1)
     first: list[Any] = []
 
-    def reverting() -> Any:
+    def current_or_first() -> Any:
         snapshot = current()
         if not isinstance(snapshot, Refused):
             first.append(snapshot)
-        return first[0] if first and next(turns) % 50 == 0 else snapshot
+        return first[0] if first and next(reads) % 50 == 0 else snapshot
 
-    configuration.current = reverting
+    configuration.current = current_or_first
 
 
 def restore() -> None:
-    """Undo what a planted bug changed outside the cluster that it was planted in."""
+    """Undo the changes that a planted bug made to shared classes."""
     budget.Ledger.shortage = _SHORTAGE  # type: ignore[method-assign]
 
 
 _SHORTAGE = budget.Ledger.shortage
 PLANTED: dict[str, Decorate] = {
-    oracle.ORDER: _on_port("tools", _LateRepeats),
+    oracle.ORDER: _on_port("tools", _LateDuplicates),
     oracle.HISTORY: _on_node(_lose_outcomes),
-    oracle.BUDGET: _on_node(_forget_budgets),
-    oracle.MEMORY: _on_port("engine", _ForgottenReleases),
-    oracle.WHOLE: _on_port("engine", _DroppedChunks),
-    oracle.NOT_RUN: _on_node(_refuse_untruly),
-    oracle.ONCE: _on_port("tools", _DoubledCalls),
-    oracle.LEAVING: _on_port("machines", _HiddenLeaving),
-    oracle.PLANNED: _on_node(_stop_at_once),
-    oracle.CONFIGURATION: _on_node(_go_back),
+    oracle.BUDGET: _on_node(_disable_budgets),
+    oracle.MEMORY: _on_port("engine", _IgnoredReleases),
+    oracle.COMPLETE: _on_port("engine", _DroppedChunks),
+    oracle.NOT_RUN: _on_node(_report_unknown_as_not_run),
+    oracle.ONCE: _on_port("tools", _RetriedCalls),
+    oracle.LEAVING: _on_port("machines", _HiddenDepartures),
+    oracle.PLANNED: _on_node(_stop_without_draining),
+    oracle.CONFIGURATION: _on_node(_revert_configuration),
 }
-"""By property: what makes it fail."""
+"""The planted bug that violates each property, by the name of the property."""
--- a/src/foxwinch/bench/cluster_fuzz/runner.py
+++ b/src/foxwinch/bench/cluster_fuzz/runner.py
@@ -1,4 +1,4 @@
-"""Runs the fuzzer from a seed; the same seed makes the same steps."""
+"""Runs the fuzzer from a seed; the same seed takes the same steps."""
 
 import time
 from collections.abc import Callable
@@ -12,19 +12,19 @@
 from foxwinch.bench.cluster_fuzz.planted import Decorate, restore
 
 STEPS = 20
-"""Steps that one cluster takes."""
+"""Number of steps of one cluster."""
 
 
 @dataclass(frozen=True, slots=True)
 class FuzzFailure:
-    """A cluster that broke a property, or stopped by an error of its own."""
+    """A violated property, or another error that ended the run."""
 
     seed: int
     broken: str
-    """Name of the property, or of the error."""
+    """Name of the property, or of the error's class."""
     detail: str
     steps: str
-    """The rules in their order, as Hypothesis prints them."""
+    """The steps in their order, as Hypothesis prints them."""
 
 
 def run_seed(
@@ -34,14 +34,14 @@
     decorate: Decorate | None = None,
     shrink: bool = False,
 ) -> FuzzFailure | None:
-    """Run so many clusters from a seed; `shrink` looks for the shortest steps, which takes long."""
+    """Run `clusters` clusters from a seed; `shrink` minimises the failing steps, which is slow."""
     phases = (Phase.generate, Phase.shrink) if shrink else (Phase.generate,)
     machine = type("SeededMachine", (ClusterMachine,), {"decorate": _static(decorate)})
     try:
         run_state_machine_as_test(
             seed(number)(machine),
             settings=settings(
-                # Hypothesis begins with the least example, a cluster without a step.
+                # The first example of Hypothesis is the minimal one, a cluster without steps.
                 max_examples=clusters + 1,
                 stateful_step_count=steps,
                 deadline=None,
@@ -59,13 +59,15 @@
     return None
 
 
-def run_for(first_seed: int, minutes: float, tell: Callable[[str], None]) -> FuzzFailure | None:
-    """Run seeds from `first_seed` on until the time is over or one fails; 0 minutes: one seed."""
+def run_for(
+    first_seed: int, minutes: float, print_line: Callable[[str], None]
+) -> FuzzFailure | None:
+    """Run consecutive seeds until the time is over or one fails; 0 minutes run a single seed."""
     ends_at = time.monotonic() + minutes * 60.0
     number = first_seed
     while True:
         failure = run_seed(number)
-        tell(f"seed={number} result={'broken' if failure else 'held'}")
+        print_line(f"seed={number} result={'broken' if failure else 'held'}")
         number += 1
         if failure is not None or time.monotonic() >= ends_at:
             return failure
--- a/src/foxwinch/bench/cluster_fuzz/simulated_process.py
+++ b/src/foxwinch/bench/cluster_fuzz/simulated_process.py
@@ -1,4 +1,4 @@
-"""One simulated node process: it may be frozen and killed together with all that it runs."""
+"""A simulated node process, which can be frozen and killed together with its tasks."""
 
 import asyncio
 import inspect
@@ -17,19 +17,19 @@
     """The tasks of one node; each task belongs to the process in whose context it was created."""
 
     def __init__(self, clock: VirtualClock) -> None:
-        """Run on `clock`."""
+        """Use `clock`, which stops while the process is frozen."""
         self.clock = clock
         self.dead = False
         self.frozen = False
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def track(self, task: asyncio.Task[Any]) -> None:
-        """Take a task into this process."""
+        """Add a task to this process."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def gate(self) -> None:
-        """Pass at once, wait while frozen, end the task when dead."""
+        """Return at once, wait while the process is frozen, or cancel the task if it is dead."""
         if self.dead:
             raise asyncio.CancelledError
         await self.clock.sleep(0.0)
@@ -37,17 +37,17 @@
             raise asyncio.CancelledError
 
     def freeze(self) -> None:
-        """Stop, as by SIGSTOP."""
+        """Freeze the process, as SIGSTOP does."""
         self.frozen = True
         self.clock.pause()
 
     def wake(self) -> None:
-        """Go on, as by SIGCONT."""
+        """Resume the process, as SIGCONT does."""
         self.frozen = False
         self.clock.resume()
 
     async def kill(self) -> None:
-        """End every task without a chance to reach anything, as by SIGKILL."""
+        """Cancel every task and block its port calls, as SIGKILL does."""
         self.dead = True
         self.clock.resume()
         own = asyncio.current_task()
@@ -57,13 +57,13 @@
             await asyncio.wait(tasks, timeout=1.0)
 
 
-def install(loop: asyncio.AbstractEventLoop) -> None:
-    """Make every new task of the loop belong to the process of its context."""
+def install_task_factory(loop: asyncio.AbstractEventLoop) -> None:
+    """Assign every new task of the loop to the process of its context."""
 
     def factory(
-        loop: asyncio.AbstractEventLoop, work: Coroutine[Any, Any, Any], **options: Any
+        loop: asyncio.AbstractEventLoop, coroutine: Coroutine[Any, Any, Any], **options: Any
     ) -> asyncio.Task[Any]:
-        task: asyncio.Task[Any] = asyncio.Task(work, loop=loop, **options)
+        task: asyncio.Task[Any] = asyncio.Task(coroutine, loop=loop, **options)
         process = CURRENT.get()
         if process is not None:
             process.track(task)
@@ -72,16 +72,16 @@
     loop.set_task_factory(factory)  # type: ignore[arg-type]
 
 
-class Guarded:
-    """A port of a node whose calls pass the process's gate before and after."""
+class GuardedPort:
+    """Wrapper of a port; each call passes the process's gate before and after."""
 
     def __init__(self, inner: Any, process: SimulatedProcess) -> None:
-        """Guard `inner`."""
+        """Wrap `inner`."""
         self._inner = inner
         self._process = process
 
     def __getattr__(self, name: str) -> Any:
-        """Return the guarded method, or a plain attribute as it is."""
+        """Return a guarded method, or any other attribute unchanged."""
         attribute = getattr(self._inner, name)
         if inspect.isasyncgenfunction(attribute):
             return self._stream(attribute)
@@ -110,28 +110,28 @@
 
 
 class GuardedPeers:
-    """The peer port of a node; what a handler starts belongs to the node that serves it."""
+    """Wrapper of a node's peer port; handlers and their tasks belong to the serving node."""
 
     def __init__(self, inner: PeerPort, process: SimulatedProcess) -> None:
-        """Guard `inner`."""
+        """Wrap `inner`."""
         self._inner = inner
         self._process = process
-        self._guarded = Guarded(inner, process)
+        self._guarded = GuardedPort(inner, process)
 
     def __getattr__(self, name: str) -> Any:
-        """Return a guarded method or a plain attribute."""
+        """Return a guarded method, or any other attribute unchanged."""
         return getattr(self._guarded, name)
 
     def stream(
         self, address: PeerAddress, method: str, payload: bytes, deadline_seconds: float
     ) -> AsyncGenerator[Any, None]:
-        """See the port."""
+        """Stream a request to a peer through the gate; see `PeerPort.stream`."""
         guarded = self._guarded._stream(self._inner.stream)
         events: AsyncGenerator[Any, None] = guarded(address, method, payload, deadline_seconds)
         return events
 
     def send_datagram(self, address: PeerAddress, payload: bytes) -> None:
-        """Send, unless the node is frozen or dead."""
+        """Send a datagram, unless the node is frozen or dead."""
         if not self._process.dead and not self._process.frozen:
             self._inner.send_datagram(address, payload)
 
@@ -151,10 +151,10 @@
         async def serve(context: PeerContext, payload: bytes) -> AsyncGenerator[Any, None]:
             CURRENT.set(self._process)
             await self._process.gate()
-            async with aclosing(handler(context, payload)) as answers:  # type: ignore[type-var]
-                async for answer in answers:
+            async with aclosing(handler(context, payload)) as responses:  # type: ignore[type-var]
+                async for response in responses:
                     await self._process.gate()
-                    yield answer
+                    yield response
 
         self._inner.handle_stream(method, serve)
 
--- a/src/foxwinch/bench/cluster_fuzz/world.py
+++ b/src/foxwinch/bench/cluster_fuzz/world.py
@@ -1,4 +1,4 @@
-"""A cluster of whole nodes in one process: virtual time, in-memory network, stand-in platform."""
+"""A simulated cluster in one process: virtual time, in-memory network, emulated platform."""
 
 import asyncio
 import random
@@ -12,10 +12,10 @@
 from foxwinch.bench.cluster_fuzz.document import ENGINES, MODEL, REGION, ZONES, document
 from foxwinch.bench.cluster_fuzz.simulated_process import (
     CURRENT,
-    Guarded,
     GuardedPeers,
+    GuardedPort,
     SimulatedProcess,
-    install,
+    install_task_factory,
 )
 from foxwinch.emulator.clock import VirtualClock
 from foxwinch.emulator.engine_worker import EngineWorker, EngineWorkerSettings
@@ -40,15 +40,15 @@
 
 Result = TypeVar("Result")
 NOOP_CYCLES = 2
-"""Idle turns of the loop before virtual time jumps; the default of 42 took most of a run."""
+"""Idle loop cycles before virtual time advances; the default of 42 dominated the run time."""
 PEER_PORT = 7000
 LOSSY = LinkFaults(loss=0.1, doubling=0.05, reordering=0.1)
-CALM = LinkFaults()
+NO_LINK_FAULTS = LinkFaults()
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """A call that an engine was asked to run."""
+    """A call that was dispatched to an engine."""
 
     worker: str
     program: str
@@ -56,17 +56,17 @@
 
 
 class RecordingEngine(InProcessEngine):
-    """Engines that record what was dispatched to them."""
+    """Engine port that records every dispatched call."""
 
     def __init__(self, workers: dict[WorkerId, EngineWorker]) -> None:
-        """Use `workers`."""
+        """Dispatch to `workers`."""
         super().__init__(workers)
         self.dispatches: list[Dispatch] = []
 
     async def generate(
         self, worker: WorkerId, order: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
-        """Record and run."""
+        """Record the call and run it."""
         now = asyncio.get_running_loop().time()
         self.dispatches.append(Dispatch(worker, order.program_id, now))
         async for event in super().generate(worker, order):
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class FuzzNode:
-    """A simulated node process with its way to the outside."""
+    """A simulated node process with its address and its ports."""
 
     number: int
     process: SimulatedProcess
@@ -88,23 +88,23 @@
 
     @property
     def usable(self) -> bool:
-        """True when callers may be sent here."""
+        """True if callers may send requests to this node."""
         return self.started and not self.process.dead and not self.draining
 
 
 class FuzzWorld:
-    """The cluster, its platform and its engines; `decorate` may change the ports of a new node."""
+    """The cluster, its platform and its engines; `decorate` may replace ports of a new node."""
 
     def __init__(self, seed: int, decorate: "Callable[[str, Any], Any] | None" = None) -> None:
         """Start without nodes."""
         self.random = random.Random(seed)
         self.loop = looptime.new_event_loop(start=0.0, noop_cycles=NOOP_CYCLES)
-        install(self.loop)
+        install_task_factory(self.loop)
         self.failures: list[str] = []
-        self.loop.set_exception_handler(self._note_failure)
+        self.loop.set_exception_handler(self._record_failure)
         self.decorate = decorate or (lambda name, port: port)
         self.clock = VirtualClock(seed)
-        self.network = MemoryNetwork(seed, CALM)
+        self.network = MemoryNetwork(seed, NO_LINK_FAULTS)
         self.store, self.tool_model = RecordStoreModel(self.clock), ToolModel()
         self.machines = MachineModel(
             tuple(
@@ -120,10 +120,10 @@
         }
         self.engine = RecordingEngine(self.workers)
         self.nodes: list[FuzzNode] = []
-        self.lives = 0
+        self.incarnations = 0
         self.store_faults = ServiceFaults()
         self.tool_faults = ToolFaults()
-        self.network_faults = CALM
+        self.network_faults = NO_LINK_FAULTS
 
     # --- time ------------------------------------------------------------------------------
 
@@ -132,28 +132,28 @@
         """Virtual seconds since the start."""
         return self.loop.time()
 
-    def run(self, work: Awaitable[Result], seconds: float = 600.0) -> Result:
-        """Run until `work` ends; raises `TimeoutError` when it takes too long."""
+    def run(self, awaitable: Awaitable[Result], seconds: float = 600.0) -> Result:
+        """Run until `awaitable` ends; raise `TimeoutError` after `seconds` of virtual time."""
 
         async def bounded() -> Result:
             async with asyncio.timeout(seconds):
-                return await work
+                return await awaitable
 
         return self.loop.run_until_complete(bounded())
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time."""
         self.run(asyncio.sleep(seconds), seconds + 1.0)
 
     # --- nodes -----------------------------------------------------------------------------
 
-    def begin(self, count: int) -> None:
-        """Start the first nodes together."""
+    def start_nodes(self, count: int) -> None:
+        """Start the first nodes concurrently."""
         nodes = [self._new_node(number) for number in range(count)]
         self.run(self._start_all(nodes))
 
     def start_node(self) -> FuzzNode:
-        """Start one more node, at an address that is free."""
+        """Start one more node at an unused address."""
         used = {node.number for node in self.nodes}
         number = next(n for n in range(100) if n not in used)
         node = self._new_node(number)
@@ -161,7 +161,7 @@
         return node
 
     def kill(self, node: FuzzNode) -> None:
-        """End a node without warning."""
+        """Kill a node without draining it."""
         self.nodes.remove(node)
         self.network.kill(node.address)
         self.run(node.process.kill())
@@ -172,12 +172,12 @@
         node.process.freeze()
 
     def wake(self, node: FuzzNode) -> None:
-        """Let a frozen node go on."""
+        """Resume a frozen node."""
         node.process.wake()
         self.network.resume(node.address)
 
     async def drain(self, node: FuzzNode) -> None:
-        """Stop a node as planned."""
+        """Drain and stop a node."""
         node.draining = True
         CURRENT.set(node.process)
         await node.node.drain()
@@ -189,24 +189,24 @@
         await node.process.kill()
 
     def set_store_faults(self, faults: ServiceFaults) -> None:
-        """Change the shared store for every node."""
+        """Set the faults of the shared store for every node."""
         self.store_faults = faults
         for node in self.nodes:
             node.records.gate.faults = faults
 
     def set_network_faults(self, faults: LinkFaults) -> None:
-        """Change every link."""
+        """Set the faults of every network link."""
         self.network_faults = faults
         self.network.set_default(faults)
 
     def set_tool_faults(self, faults: ToolFaults) -> None:
-        """Change the tool services for every node."""
+        """Set the faults of the tools for every node."""
         self.tool_faults = faults
         for node in self.nodes:
             node.tools.gate.faults = faults
 
     def close(self) -> None:
-        """End everything."""
+        """Kill every node, stop the engines and close the loop."""
         for node in list(self.nodes):
             self.kill(node)
         for worker in self.workers.values():
@@ -227,11 +227,11 @@
         await asyncio.gather(*(start(node) for node in nodes))
 
     def _new_node(self, number: int) -> FuzzNode:
-        self.lives += 1
+        self.incarnations += 1
         process = SimulatedProcess(
             VirtualClock(self.random.getrandbits(32), self.random.uniform(-60.0, 60.0))
         )
-        identity = NodeId(f"node-{number}-{self.lives}")
+        identity = NodeId(f"node-{number}-{self.incarnations}")
         address = PeerAddress(f"127.0.0.{number + 1}", PEER_PORT)
         records = InProcessRecords(self.store, self.clock, self.store_faults)
         tools = InProcessTools(self.tool_model, self.clock, self.tool_faults)
@@ -263,9 +263,9 @@
         return fuzz_node
 
     def _port(self, name: str, port: Any, process: SimulatedProcess) -> Any:
-        return Guarded(self.decorate(name, port), process)
+        return GuardedPort(self.decorate(name, port), process)
 
-    def _note_failure(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _record_failure(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if not isinstance(error, asyncio.CancelledError):
             self.failures.append(f"{context.get('message')}: {error!r}")
--- a/tests/test_cluster_fuzz.py
+++ b/tests/test_cluster_fuzz.py
@@ -1,4 +1,4 @@
-"""Whole clusters keep every property under faults, and a bug planted for each property is found."""
+"""Simulated clusters keep every property under faults; a bug planted for each one is detected."""
 
 import logging
 
@@ -12,7 +12,7 @@
 from foxwinch.bench.cluster_fuzz.runner import run_seed
 
 SEEDS = (1, 2, 3)
-"""Fixed, so that every run has the same verdict."""
+"""Fixed seeds, so that every run has the same result."""
 MODEL, REPEATABLE, ONCE = CallKind
 
 
@@ -24,53 +24,53 @@
     restore()
 
 
-def talk(cluster, kind, calls=1):
+def send_calls(cluster, kind, calls=1):
     cluster.converse(choice=0, which=0, kind=kind, again=calls)
-    cluster.hold()
+    cluster.check_properties()
 
 
 def lose_tool_answers(cluster):
     cluster.tools(fault="answers lost")
     for _ in range(8):
-        talk(cluster, ONCE)
+        send_calls(cluster, ONCE)
         cluster.wait(seconds=8.0)
-        cluster.hold()
+        cluster.check_properties()
 
 
 def repeat_late(cluster):
-    talk(cluster, REPEATABLE)
-    talk(cluster, ONCE)
+    send_calls(cluster, REPEATABLE)
+    send_calls(cluster, ONCE)
     cluster.wait(seconds=8.0)
-    cluster.hold()
+    cluster.check_properties()
 
 
-def spend(cluster):
+def exceed_budget(cluster):
     for _ in range(6):
         cluster.converse(choice=0, which=1, kind=ONCE, again=1)
     cluster.read(choice=0, which=1)
 
 
-def lose_owner(cluster):
-    talk(cluster, MODEL, 2)
+def kill_owners(cluster):
+    send_calls(cluster, MODEL, 2)
     for choice in range(3):
         cluster.kill(choice=choice)
         cluster.wait(seconds=30.0)
-    cluster.hold()
+    cluster.check_properties()
 
 
-def answer(cluster):
-    talk(cluster, MODEL)
+def complete_one_call(cluster):
+    send_calls(cluster, MODEL)
     cluster.wait(seconds=1.0)
-    cluster.hold()
+    cluster.check_properties()
 
 
-def leave(cluster):
+def drain_workers(cluster):
     cluster.worker_leaves(which=1)
     cluster.worker_leaves(which=2)
     cluster.wait(seconds=30.0)
     for which in range(3):
         cluster.converse(choice=which, which=which, kind=MODEL, again=3)
-        cluster.hold()
+        cluster.check_properties()
 
 
 def roll_out(cluster):
@@ -83,31 +83,31 @@
     for rate in (600, 700, 800):
         cluster.change_configuration(one=0, other=1, rate=rate)
         cluster.wait(seconds=8.0)
-        cluster.hold()
+        cluster.check_properties()
     for _ in range(60):
-        cluster.hold()
+        cluster.check_properties()
 
 
 STEPS = {
     oracle.ORDER: repeat_late,
-    oracle.HISTORY: lose_owner,
-    oracle.BUDGET: spend,
-    oracle.MEMORY: answer,
-    oracle.WHOLE: answer,
+    oracle.HISTORY: kill_owners,
+    oracle.BUDGET: exceed_budget,
+    oracle.MEMORY: complete_one_call,
+    oracle.COMPLETE: complete_one_call,
     oracle.NOT_RUN: lose_tool_answers,
     oracle.ONCE: lose_tool_answers,
-    oracle.LEAVING: leave,
+    oracle.LEAVING: drain_workers,
     oracle.PLANNED: roll_out,
     oracle.CONFIGURATION: reconfigure,
 }
 
 
 def run_steps(name, decorate):
-    """Take the steps on a cluster of three; return the property that broke."""
+    """Run the steps on a cluster of three nodes; return the name of the violated property."""
     machine = type("StepMachine", (ClusterMachine,), {"decorate": decorate})()
     try:
         machine.begin(nodes=3, seed=1)
-        machine.hold()
+        machine.check_properties()
         STEPS[name](machine)
         machine._settle()
     except PropertyError as error:
