--- a/src/foxwinch/bench/fuzz/__init__.py
+++ b/src/foxwinch/bench/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Stateful fuzzing of whole clusters on virtual time against a simple oracle."""
+"""Stateful property-based fuzzing of a deployment's cluster on virtual time."""
--- a/src/foxwinch/bench/fuzz/machine.py
+++ b/src/foxwinch/bench/fuzz/machine.py
@@ -1,4 +1,4 @@
-"""The rules of the fuzzing: what callers, operators and faults do, in any order."""
+"""State machine of the fuzzer: actions of callers and operators, and faults, in any order."""
 
 from typing import Any, ClassVar
 
@@ -15,13 +15,13 @@
 from foxwinch.bench.fuzz.world import World
 from foxwinch.settings.cluster import ClusterConfiguration
 
-MINIMUM_NODES = 3
+MIN_NODES = 3
 MAX_NODES = 6
-PROGRAMS = 4
+MAX_PROGRAMS = 4
 RECOVERY_SECONDS = 20.0
-"""Between two losses of nodes: time to detect the first, take over and copy."""
+"""Time after the loss of a node for detection, takeover and replication."""
 ANY_NODE = st.integers(0, MAX_NODES - 1)
-ANY_PROGRAM = st.integers(0, PROGRAMS - 1)
+ANY_PROGRAM = st.integers(0, MAX_PROGRAMS - 1)
 
 
 class ClusterMachine(RuleBasedStateMachine):
@@ -34,97 +34,97 @@
         super().__init__()
         self.world: World | None = None
 
-    @initialize(nodes=st.integers(MINIMUM_NODES, 5), seed=st.integers(0, 1_000))
+    @initialize(nodes=st.integers(MIN_NODES, 5), seed=st.integers(0, 1_000))
     def begin(self, nodes: int, seed: int) -> None:
         """Start a cluster."""
         self.world = World(self.document, nodes, seed)
 
     @property
-    def running(self) -> World:
-        """Return the world."""
+    def started_world(self) -> World:
+        """The world, once `begin` has created it."""
         assert self.world is not None
         return self.world
 
-    def impaired(self) -> bool:
-        """Tell whether a node is frozen or cut off."""
-        return self.running.paused is not None or self.running.cut is not None
+    def is_impaired(self) -> bool:
+        """Return whether a node is frozen or isolated."""
+        return self.started_world.paused is not None or self.started_world.isolated is not None
 
     @rule(program=ANY_PROGRAM, node=ANY_NODE)
     def create(self, program: int, node: int) -> None:
         """Create a program."""
         name = f"program-{program}"
-        if name not in self.running.oracle.programs:
-            self.running.create(name, node)
+        if name not in self.started_world.oracle.programs:
+            self.started_world.create(name, node)
 
     @rule(program=ANY_PROGRAM, node=ANY_NODE, tool=st.booleans())
     def call(self, program: int, node: int, tool: bool) -> None:
-        """Send a program's next call, once the one before has ended."""
+        """Send a program's next call, unless its previous call is in flight."""
         name = f"program-{program}"
-        if name not in self.running.oracle.programs or self.running.busy(name):
+        if name not in self.started_world.oracle.programs or self.started_world.busy(name):
             return
         if tool:
-            self.running.tool(name, node)
+            self.started_world.tool(name, node)
         else:
-            self.running.call(name, node)
+            self.started_world.call(name, node)
 
     @rule(seconds=st.sampled_from([0.01, 0.05, 0.3, 1.0, 5.0]))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
-        self.running.advance(seconds)
+        """Advance virtual time."""
+        self.started_world.advance(seconds)
 
-    @precondition(lambda self: not self.impaired())
+    @precondition(lambda self: not self.is_impaired())
     @rule(node=ANY_NODE)
     def kill(self, node: int) -> None:
-        """End a node at once; a successor comes."""
-        world = self.running
+        """Kill a node and start a replacement."""
+        world = self.started_world
         world.run(world.cluster.kill(world.node(node)))
         world.run(world.cluster.add())
         world.advance(RECOVERY_SECONDS)
 
-    @precondition(lambda self: not self.impaired())
+    @precondition(lambda self: not self.is_impaired())
     @rule(node=ANY_NODE)
     def drain(self, node: int) -> None:
-        """Replace a node as planned."""
-        world = self.running
+        """Start a replacement, then drain and stop a node."""
+        world = self.started_world
         world.run(world.cluster.add())
         world.advance(RECOVERY_SECONDS)
         world.run(world.cluster.drain(world.node(node)))
 
-    @precondition(lambda self: not self.impaired())
+    @precondition(lambda self: not self.is_impaired())
     @rule(node=ANY_NODE)
     def pause(self, node: int) -> None:
         """Freeze a node."""
-        world = self.running
+        world = self.started_world
         chosen = world.node(node)
         world.cluster.pause(chosen)
         world.paused = chosen
 
-    @precondition(lambda self: not self.impaired())
+    @precondition(lambda self: not self.is_impaired())
     @rule(node=ANY_NODE)
     def cut(self, node: int) -> None:
-        """Cut a node off from its fellows."""
-        world = self.running
-        world.cut = world.node(node)
-        world.cluster.partition([world.cut])
+        """Isolate a node from the other nodes."""
+        world = self.started_world
+        world.isolated = world.node(node)
+        world.cluster.partition([world.isolated])
 
     @rule(down=st.booleans())
-    def table(self, down: bool) -> None:
-        """Let the platform's store fail or work."""
-        self.running.set_table(down=down)
+    def store_fault(self, down: bool) -> None:
+        """Make the shared store unavailable or available."""
+        self.started_world.set_store_down(down=down)
 
     @rule()
-    def mend(self) -> None:
-        """End every fault."""
-        self.running.mend()
+    def lift_faults(self) -> None:
+        """Clear every active fault."""
+        self.started_world.lift_faults()
 
     @invariant()
-    def holds(self) -> None:
-        """Check what can be checked at any moment."""
+    def check_properties(self) -> None:
+        """Check the properties that must hold after every step."""
         if self.world is not None:
             self.world.check()
 
     def teardown(self) -> None:
-        """Let all settle and check everything."""
+        """Clear all faults and check every property of the settled cluster."""
         if self.world is None:
             return
         try:
@@ -134,10 +134,10 @@
 
 
 def machine_for(document: ClusterConfiguration) -> type[ClusterMachine]:
-    """Return the state machine over clusters of a deployment."""
+    """Return the state machine for clusters with this configuration."""
     return type("ClusterMachine", (ClusterMachine,), {"document": document})
 
 
 def run_machine(machine: type[RuleBasedStateMachine], settings: Any) -> None:
-    """Run the machine under Hypothesis settings; raises at the first broken property."""
+    """Run the machine with Hypothesis settings; raise at the first violated property."""
     run_state_machine_as_test(machine, settings=settings)
--- a/src/foxwinch/bench/fuzz/run.py
+++ b/src/foxwinch/bench/fuzz/run.py
@@ -1,4 +1,4 @@
-"""Runs the fuzzing: seed after seed, until the time is over or a property is broken."""
+"""Runs the fuzzer with consecutive seeds until time is over or a property is violated."""
 
 import time
 from collections.abc import Callable
@@ -14,27 +14,27 @@
 STEPS = 20
 RUNS_PER_SEED = 5
 PHASES = (Phase.generate,)
-"""Shrinking takes minutes a failure; the seed replays the steps as they are."""
+"""Shrinking takes minutes per failure, and the seed already replays the failing steps."""
 
 
 @dataclass(frozen=True, slots=True)
 class FuzzReport:
-    """What a run of the fuzzing did."""
+    """Summary of a fuzzer run."""
 
     seeds: int
     runs: int
-    """Clusters started, at most; Hypothesis may stop a seed earlier."""
+    """Upper bound of the clusters started; Hypothesis may end a seed earlier."""
     failed_seed: int | None
     problem: str
-    """The broken properties and the steps taken; empty when none was."""
+    """The violated properties and the steps taken; empty if no property was violated."""
 
 
 def run_seed(
     document: ClusterConfiguration, seed: int, runs: int = RUNS_PER_SEED, steps: int = STEPS
 ) -> str:
-    """Run one seed; returns the broken properties with their steps, or an empty string.
+    """Run one seed; return the violated properties with their steps, or an empty string.
 
-    The same seed takes the same steps with the same version of the code and of Hypothesis.
+    A seed takes the same steps under the same versions of the code and Hypothesis.
     """
     machine = hypothesis.seed(seed)(machine_for(document))
     settings = hypothesis.settings(
@@ -57,14 +57,14 @@
     document: ClusterConfiguration,
     first_seed: int,
     minutes: float,
-    tell: Callable[[str], None],
+    print_line: Callable[[str], None],
 ) -> FuzzReport:
-    """Run seeds from `first_seed` on until the time is over or one fails."""
+    """Run consecutive seeds from `first_seed` until the time is over or one fails."""
     ends_at = time.monotonic() + minutes * 60
     seed = first_seed
     while True:
         problem = run_seed(document, seed)
-        tell(f"seed={seed} result={'broken' if problem else 'held'}")
+        print_line(f"seed={seed} result={'broken' if problem else 'held'}")
         count = seed - first_seed + 1
         if problem:
             return FuzzReport(count, count * RUNS_PER_SEED, seed, problem)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""The fuzzing holds on fixed seeds, and finds planted faults by the property they break."""
+"""Fixed seeds violate no property, and planted faults are found by the property they violate."""
 
 import logging
 from pathlib import Path
@@ -6,7 +6,7 @@
 import pytest
 
 from foxwinch._generated.journal_pb2 import HistoryMessage
-from foxwinch.bench.fuzz.oracle import Oracle, Sent
+from foxwinch.bench.fuzz.oracle import Oracle, SentRequest
 from foxwinch.bench.fuzz.run import run_seed
 from foxwinch.bench.fuzz.world import PropertyBrokenError, World
 from foxwinch.emulator.in_process import InProcessTools
@@ -28,8 +28,8 @@
 
 
 def oracle():
-    first, second = Sent("a 1", answer="one"), Sent("a 2", answer="two")
-    return Oracle({"a": [first, second], "b": [Sent("b 1", answer="other")]})
+    first, second = SentRequest("a 1", response="one"), SentRequest("a 2", response="two")
+    return Oracle({"a": [first, second], "b": [SentRequest("b 1", response="other")]})
 
 
 @pytest.mark.parametrize(
@@ -49,8 +49,8 @@
 
 
 def test_the_oracle_judges_refusals_and_tools():
-    refused = Sent("a 1", "session-log", refused=RunState.NOT_RUN)
-    answered = Sent("a 2", "session-log", answer="logged")
+    refused = SentRequest("a 1", "session-log", refused=RunState.NOT_RUN)
+    answered = SentRequest("a 2", "session-log", response="logged")
     judge = Oracle({"a": [refused, answered]})
     assert judge.tool_problems({"a 2": 1}) == []
     assert "not run is true" in judge.tool_problems({"a 1": 1, "a 2": 1})[0]
@@ -60,12 +60,12 @@
     assert "went from 4 to 3" in judge.revision_problems("n", 3)[0]
 
 
-def test_a_fixed_seed_holds():
+def test_fixed_seed_violates_no_property():
     assert run_seed(PHYSIO, seed=1, runs=2, steps=10) == ""
 
 
 @pytest.mark.parametrize("fault", ["runs twice", "says not run although it ran"])
-def test_a_planted_fault_is_found(monkeypatch, fault):
+def test_planted_fault_is_found(monkeypatch, fault):
     call = InProcessTools.call
 
     async def faulty(self, order):
