--- a/src/foxwinch/bench/failover/__init__.py
+++ b/src/foxwinch/bench/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Failover: programs under load on real node processes, faults, and what became of every call."""
+"""Failover benchmark: load on real node processes, injected faults, and the outcome of calls."""
--- a/src/foxwinch/bench/failover/calls.py
+++ b/src/foxwinch/bench/failover/calls.py
@@ -1,4 +1,4 @@
-"""One caller: sends a logical call under one key until it has a final outcome."""
+"""A caller that retries each logical call under one idempotency key until the outcome is final."""
 
 import asyncio
 import json
@@ -13,52 +13,52 @@
 
 from foxwinch.bench.failover.cluster import FailoverCluster, TestedNode
 
-ATTEMPT_SECONDS = 30.0
-"""A caller gives an attempt up after so long and asks again under the same key."""
-PATIENCE_SECONDS = 60.0
-"""A caller asks again for so long; far above any recovery that is wanted."""
-FIRST_PAUSE_SECONDS = 0.1
-MAX_PAUSE_SECONDS = 1.0
-LASTING_REASONS = frozenset({"outcome_unknown", "tool_timeout", "backend_failed", "cancelled"})
-"""Outcomes that are recorded: asking again under the key gives the same."""
-LASTING_REASON_ONCE = "backend_unavailable"
-"""Recorded too, for a call that may not be repeated: its service broke off."""
-LASTING_ANSWERS = 2
-"""Such a call is asked for once more: the repetition must not run it, which the stand-ins count."""
+ATTEMPT_TIMEOUT_SECONDS = 30.0
+"""Timeout of one attempt; the caller then retries with the same idempotency key."""
+CALL_DEADLINE_SECONDS = 60.0
+"""Time for which a call is retried; far above any acceptable recovery time."""
+INITIAL_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 1.0
+RECORDED_REASONS = frozenset({"outcome_unknown", "tool_timeout", "backend_failed", "cancelled"})
+"""Reasons of recorded outcomes; a retry with the same key returns the same outcome."""
+RECORDED_REASON_ONCE = "backend_unavailable"
+"""Recorded as well for a non-repeatable call, whose service closed the connection."""
+REQUIRED_REPEATS = 2
+"""Responses with that reason before it is final; the emulator detects a retry that runs again."""
 
 
 class Outcome(StrEnum):
-    """What a caller knows of a call."""
+    """Outcome of a call as its caller knows it."""
 
     DONE = "done"
     NOT_RUN = "not_run"
     RAN = "ran"
     UNKNOWN = "unknown"
     CUT = "cut"
-    """The connection ended before the answer did."""
+    """The connection ended, or the attempt timed out, before the response was complete."""
     UNREACHED = "unreached"
-    """No connection: certainly not sent."""
+    """No connection was established, so the request was not sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """What came of one request."""
+    """Result of one request."""
 
     outcome: Outcome
     text: str = ""
-    """Of a model's answer."""
+    """Text of a model's response."""
     message: dict[str, Any] = field(default_factory=dict)
-    """Of a tool's answer, or the document of the program API."""
+    """JSON document of a response that is not streamed."""
     reason: str = ""
     detail: str = ""
     retry_after_seconds: float | None = None
     streaming: bool = False
-    """True when the answer had begun."""
+    """True if the refusal ended a stream that had begun."""
 
 
 @dataclass(slots=True)
 class LogicalCall:
-    """One call as its caller meant it, whatever number of requests it took."""
+    """One call, however many attempts it took."""
 
     program: str
     kind: str
@@ -68,68 +68,73 @@
     outcome: Outcome = Outcome.UNKNOWN
     reason: str = ""
     cuts: list[str] = field(default_factory=list)
-    """Reasons of attempts that were cut after they had been taken."""
+    """Reasons of the attempts that were interrupted or had an uncertain outcome."""
     refusals: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A request in a caller's words."""
+class CallRequest:
+    """Parameters of a request to the public API."""
 
     path: str
     body: dict[str, Any] | None
     key: str
     stream: bool = False
     once: bool = False
-    """The call may not be repeated."""
+    """True for a call of a non-repeatable tool."""
     resend_not_run: Callable[[], bool] = lambda: True
-    """False: a truthful "not run" ends the call, to be checked against the stand-ins."""
+    """Return False to end the call at a "not run" refusal, to verify it against the emulator."""
 
 
 class Caller:
-    """Sends calls to nodes drawn at random among those that a caller would reach."""
+    """Sends calls to randomly chosen usable nodes."""
 
     def __init__(self, cluster: FailoverCluster, seed: int) -> None:
-        """Draw by `seed`."""
+        """Choose nodes at random, seeded by `seed`."""
         self._cluster = cluster
         self._random = random.Random(seed)
 
-    async def run(self, call: LogicalCall, ask: Ask) -> Attempt:
-        """Send until there is a final outcome, which is noted in `call`."""
-        deadline = call.started_at + PATIENCE_SECONDS
-        pause = FIRST_PAUSE_SECONDS
+    async def run(self, call: LogicalCall, request: CallRequest) -> Attempt:
+        """Retry until the outcome is final or the deadline passes; record the outcome in `call`."""
+        deadline_at = call.started_at + CALL_DEADLINE_SECONDS
+        backoff_seconds = INITIAL_BACKOFF_SECONDS
         attempt = Attempt(Outcome.UNREACHED)
-        while time.monotonic() < deadline:
-            attempt = await self._attempt(ask)
-            if self._is_final(attempt, call, ask):
+        while time.monotonic() < deadline_at:
+            attempt = await self._attempt(request)
+            if self._is_final(attempt, call, request):
                 break
-            wait = attempt.retry_after_seconds
-            await asyncio.sleep(min(wait if wait is not None else pause, MAX_PAUSE_SECONDS))
-            pause = min(2 * pause, MAX_PAUSE_SECONDS)
+            delay_seconds = attempt.retry_after_seconds
+            await asyncio.sleep(
+                min(
+                    delay_seconds if delay_seconds is not None else backoff_seconds,
+                    MAX_BACKOFF_SECONDS,
+                )
+            )
+            backoff_seconds = min(2 * backoff_seconds, MAX_BACKOFF_SECONDS)
         call.ended_at, call.outcome, call.reason = time.monotonic(), attempt.outcome, attempt.reason
         return attempt
 
-    def _is_final(self, attempt: Attempt, call: LogicalCall, ask: Ask) -> bool:
+    def _is_final(self, attempt: Attempt, call: LogicalCall, request: CallRequest) -> bool:
         if attempt.outcome is Outcome.DONE:
             return True
         if attempt.outcome is Outcome.NOT_RUN:
             call.refusals += 1
-            return attempt.retry_after_seconds is None or not ask.resend_not_run()
+            return attempt.retry_after_seconds is None or not request.resend_not_run()
         if attempt.outcome is Outcome.UNREACHED:
             return False
         call.cuts.append(attempt.reason or attempt.outcome)
-        if ask.once and attempt.reason == LASTING_REASON_ONCE:
-            return call.cuts.count(attempt.reason) >= LASTING_ANSWERS
-        return attempt.reason in LASTING_REASONS
+        if request.once and attempt.reason == RECORDED_REASON_ONCE:
+            return call.cuts.count(attempt.reason) >= REQUIRED_REPEATS
+        return attempt.reason in RECORDED_REASONS
 
-    async def _attempt(self, ask: Ask) -> Attempt:
+    async def _attempt(self, request: CallRequest) -> Attempt:
         nodes = self._cluster.usable()
         if not nodes:
             return Attempt(Outcome.UNREACHED)
         node = self._random.choice(nodes)
         try:
-            async with asyncio.timeout(ATTEMPT_SECONDS):
-                return await self._send(node, ask)
+            async with asyncio.timeout(ATTEMPT_TIMEOUT_SECONDS):
+                return await self._send(node, request)
         except aiohttp.ClientConnectorError:
             return Attempt(Outcome.UNREACHED)
         except TimeoutError:
@@ -137,23 +142,25 @@
         except (aiohttp.ClientError, OSError) as error:
             return Attempt(Outcome.CUT, reason=f"connection_lost:{type(error).__name__}")
 
-    async def _send(self, node: TestedNode, ask: Ask) -> Attempt:
+    async def _send(self, node: TestedNode, request: CallRequest) -> Attempt:
         headers = {"Authorization": f"Bearer {self._cluster.caller_key}"}
-        if ask.key:
-            headers["Idempotency-Key"] = ask.key
-        method = "GET" if ask.body is None else "POST"
-        url = node.caller_url + ask.path
+        if request.key:
+            headers["Idempotency-Key"] = request.key
+        method = "GET" if request.body is None else "POST"
+        url = node.caller_url + request.path
         async with self._cluster.session.request(
-            method, url, json=ask.body, headers=headers
+            method, url, json=request.body, headers=headers
         ) as response:
             if response.status >= 400:
-                return _refusal(await response.json(), response.headers.get("Retry-After"))
-            if not ask.stream:
+                return _decode_refusal(await response.json(), response.headers.get("Retry-After"))
+            if not request.stream:
                 return Attempt(Outcome.DONE, message=await response.json())
-            return _streamed(await response.read())
+            return _decode_stream(await response.read())
 
 
-def _refusal(document: dict[str, Any], retry_after: str | None, streaming: bool = False) -> Attempt:
+def _decode_refusal(
+    document: dict[str, Any], retry_after: str | None, streaming: bool = False
+) -> Attempt:
     error = document["error"]
     return Attempt(
         Outcome(error["run_state"]),
@@ -164,7 +171,7 @@
     )
 
 
-def _streamed(data: bytes) -> Attempt:
+def _decode_stream(data: bytes) -> Attempt:
     text: list[str] = []
     for line in data.split(b"\n\n"):
         payload = line.removeprefix(b"data: ")
@@ -174,7 +181,7 @@
             continue
         document = json.loads(payload)
         if "error" in document:
-            return _refusal(document, None, streaming=True)
+            return _decode_refusal(document, None, streaming=True)
         for choice in document.get("choices", ()):
             text.append(choice["delta"].get("content") or "")
     return Attempt(Outcome.CUT, reason="stream_ended", streaming=True)
--- a/src/foxwinch/bench/failover/cluster.py
+++ b/src/foxwinch/bench/failover/cluster.py
@@ -1,4 +1,4 @@
-"""Real nodes beside an emulator process, a fault proxy before each node's peer side."""
+"""A cluster of node processes and an emulator, with a fault proxy before each peer endpoint."""
 
 import asyncio
 import json
@@ -19,17 +19,17 @@
 from foxwinch.settings.cluster import ClusterConfiguration
 from foxwinch.settings.process import NodeSettings, PlatformSettings
 
-FIRST_HOST = 11
-"""Nodes listen on 127.0.0.11 and up, so that a proxy can tell their traffic apart."""
+BASE_HOST_NUMBER = 11
+"""Nodes listen on addresses above 127.0.0.11, so that proxies can block traffic by source."""
 DRAIN_SECONDS = 60.0
 READY_POLL_SECONDS = 0.1
-READY_SECONDS = 60.0
+READY_TIMEOUT_SECONDS = 60.0
 ANSWER_TOKENS = 16
 
 
 @dataclass(slots=True)
 class TestedNode:
-    """One node process and the proxy before its peer side."""
+    """A node process and the proxy before its peer endpoint."""
 
     __test__ = False
     name: str
@@ -38,34 +38,34 @@
     process: TestedProcess
     proxy: FaultProxy
     paused: bool = False
-    cut: bool = False
+    isolated: bool = False
     stopping: bool = False
     ready: bool = False
-    """True once it has said so; callers are sent to ready nodes only."""
+    """True once the node has reported ready; callers use only ready nodes."""
 
     @property
     def caller_url(self) -> str:
-        """Base URL for callers."""
+        """Base URL of the public API."""
         return self.process.printed["caller_url"]
 
     @property
     def operator_address(self) -> tuple[str, int]:
-        """Host and port for operators."""
+        """Host and port of the operator API."""
         host, _, port = self.process.printed["operator_address"].rpartition(":")
         return host, int(port)
 
     @property
     def is_usable(self) -> bool:
-        """True unless a fault makes the node unreachable or silent."""
+        """True if callers can reach the node, which may be isolated from its peers."""
         up = self.ready and self.process.is_running
         return up and not self.paused and not self.stopping
 
 
 class FailoverCluster:
-    """An emulator and nodes, one to a zone at first; a context that stops them all."""
+    """Context manager of an emulator and nodes, initially one node per zone."""
 
     def __init__(self, document: ClusterConfiguration, directory: Path) -> None:
-        """Keep settings and logs under `directory`."""
+        """Prepare the cluster; settings and logs are written to `directory`."""
         self.caller_key = secrets.token_urlsafe(24)
         self.operator_key = secrets.token_urlsafe(24)
         self.directory = directory
@@ -74,11 +74,11 @@
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=True)
         )
-        self._started = 0
+        self._started_count = 0
         self._emulator: TestedProcess | None = None
 
     async def __aenter__(self) -> "FailoverCluster":
-        """Start everything and wait until every node is ready."""
+        """Start the emulator and the nodes, and wait until every node is ready."""
         try:
             await self._start_emulator()
             for zone in self.document.zones:
@@ -91,11 +91,11 @@
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        """Stop everything."""
+        """Stop all processes and proxies."""
         await self.close()
 
     async def close(self) -> None:
-        """End every process and proxy."""
+        """Kill every process, stop every proxy and close the HTTP session."""
         for node in self.nodes:
             await node.process.kill()
             await node.proxy.stop()
@@ -106,10 +106,10 @@
     # --- nodes -------------------------------------------------------------------------------
 
     async def start_node(self, zone: str) -> TestedNode:
-        """Start one more node in a zone."""
-        self._started += 1
-        host = f"127.0.0.{FIRST_HOST + self._started}"
-        name = f"node-{self._started}"
+        """Start one more node in `zone`."""
+        self._started_count += 1
+        host = f"127.0.0.{BASE_HOST_NUMBER + self._started_count}"
+        name = f"node-{self._started_count}"
         peer_port = _free_port(host)
         proxy = FaultProxy(PeerAddress(host, peer_port), host=host)
         await proxy.start()
@@ -127,8 +127,8 @@
         return node
 
     async def wait_ready(self, node: TestedNode) -> None:
-        """Wait until a node takes work."""
-        async with asyncio.timeout(READY_SECONDS):
+        """Wait until a node reports ready."""
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             ready = await self._is_ready(node)
             while not ready:
                 await asyncio.sleep(READY_POLL_SECONDS)
@@ -136,37 +136,37 @@
         node.ready = True
 
     async def kill(self, node: TestedNode) -> None:
-        """End a node without warning."""
+        """Kill a node without draining it."""
         await node.process.kill()
         await node.proxy.stop()
 
     def pause(self, node: TestedNode) -> None:
-        """Stop a node's process for a while."""
+        """Pause a node's process."""
         node.paused = True
         node.process.signal(signal.SIGSTOP)
 
     def resume(self, node: TestedNode) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         node.process.signal(signal.SIGCONT)
         node.paused = False
 
-    def cut(self, node: TestedNode) -> None:
-        """Cut a node from all others, in both directions."""
-        node.cut = True
+    def isolate(self, node: TestedNode) -> None:
+        """Isolate a node from all other nodes, in both directions."""
+        node.isolated = True
         node.proxy.program(block_to_target=True, block_to_client=True)
         for other in self.nodes:
             if other is not node:
                 other.proxy.block_source(node.host)
 
     def heal(self, node: TestedNode) -> None:
-        """Mend the links of a node."""
-        node.cut = False
+        """Restore the links of an isolated node."""
+        node.isolated = False
         node.proxy.heal()
         for other in self.nodes:
             other.proxy.unblock_source(node.host)
 
     async def replace(self, node: TestedNode) -> int:
-        """Start a successor in the node's zone, then stop the node as planned; its exit code."""
+        """Start a successor in the node's zone, then drain the node; return its exit code."""
         successor = await self.start_node(node.zone)
         await self.wait_ready(successor)
         node.stopping = True
@@ -176,25 +176,25 @@
         return code
 
     def usable(self) -> list[TestedNode]:
-        """Return the nodes that a caller would reach."""
+        """Return the nodes that callers can reach."""
         return [node for node in self.nodes if node.is_usable]
 
     # --- the emulator ------------------------------------------------------------------------
 
     async def set_faults(self, faults: dict[str, Any]) -> None:
-        """Put faults of the stand-ins in force."""
+        """Activate faults of the emulated services."""
         async with self.session.post(f"{self.emulator_url}/faults", json=faults) as response:
             response.raise_for_status()
 
     async def emulator_state(self) -> dict[str, Any]:
-        """Return what the stand-ins saw."""
+        """Return the state of the emulated services."""
         async with self.session.get(f"{self.emulator_url}/state") as response:
             state: dict[str, Any] = await response.json()
             return state
 
     @property
     def emulator_url(self) -> str:
-        """Base URL of the stand-ins."""
+        """Base URL of the emulator."""
         assert self._emulator is not None
         return self._emulator.printed["emulator_url"]
 
@@ -214,7 +214,7 @@
         )
 
     def _with_addresses(self, printed: dict[str, str]) -> ClusterConfiguration:
-        """Point the workers at the stand-ins and give the first tenant this run's key."""
+        """Set the workers' URLs to the emulator, and the key and limits of the first tenant."""
         kinds = {pool.name: pool.kind for pool in self.document.pools}
         bases = {"engine": printed["workers_url"], "tool": printed["tools_url"]}
         workers = tuple(
@@ -278,7 +278,7 @@
 
 
 def _toml(values: dict[str, Any]) -> str:
-    """Write plain values as TOML: scalars and lists first, then tables."""
+    """Encode plain values as TOML, with scalars and lists before tables."""
     lines: list[str] = []
     _write_table(lines, (), values)
     return "\n".join(lines) + "\n"
--- a/src/foxwinch/bench/failover/processes.py
+++ b/src/foxwinch/bench/failover/processes.py
@@ -1,4 +1,4 @@
-"""A foxwinch process under test: started, killed, paused and stopped by its own identifier."""
+"""A foxwinch process under test, signalled only by its own process identifier."""
 
 import asyncio
 import os
@@ -7,19 +7,19 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-READY_SECONDS = 30.0
-"""For a process to print its addresses on a busy machine."""
-STOP_SECONDS = 90.0
-"""For a planned stop; above the drain limit of the nodes under test."""
+READY_TIMEOUT_SECONDS = 30.0
+"""Timeout for a process to print its addresses, sufficient on a busy machine."""
+STOP_TIMEOUT_SECONDS = 90.0
+"""Timeout for a process to stop; above the drain timeout of the nodes under test."""
 
 
 class TestedProcess:
-    """`python -m foxwinch ARGUMENTS`; its log goes to a file."""
+    """A process `python -m foxwinch ARGUMENTS`, whose log is written to a file."""
 
     __test__ = False
 
     def __init__(self, arguments: Iterable[str], expected: Iterable[str], log: Path) -> None:
-        """Wait for the `expected` names to be printed when started."""
+        """Prepare the process; it is ready once it has printed every name in `expected`."""
         self._arguments = tuple(arguments)
         self._expected = frozenset(expected)
         self._log = log
@@ -29,11 +29,11 @@
 
     @property
     def is_running(self) -> bool:
-        """True until the process has ended."""
+        """True while the process runs."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
-        """Start and wait until it is ready; raises `RuntimeError` when it ends before."""
+        """Start the process and wait until it is ready; raise `RuntimeError` if it exits before."""
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -44,23 +44,23 @@
                 stderr=log,
                 env=dict(os.environ),
             )
-        async with asyncio.timeout(READY_SECONDS):
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             await self._read_addresses(self._process)
         self._draining = asyncio.create_task(self._discard_output(self._process))
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process is running."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
     async def wait(self) -> int:
-        """Wait for the end; returns the exit code."""
+        """Wait until the process exits; return its exit code."""
         assert self._process is not None
-        async with asyncio.timeout(STOP_SECONDS):
+        async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
             return await self._process.wait()
 
     async def kill(self) -> None:
-        """End it at once, also when it is paused."""
+        """Kill the process, even if it is paused."""
         if self.is_running:
             self.signal(signal.SIGKILL)
             await self.wait()
@@ -73,7 +73,9 @@
             line = await process.stdout.readline()
             if not line:
                 code = await process.wait()
-                raise RuntimeError(f"{self._arguments[0]} ended with {code}; log: {self._log}")
+                raise RuntimeError(
+                    f"{self._arguments[0]} exited with code {code} before ready; log: {self._log}"
+                )
             name, _, value = line.decode().strip().partition("=")
             self.printed[name] = value
 
--- a/src/foxwinch/bench/failover/programs.py
+++ b/src/foxwinch/bench/failover/programs.py
@@ -1,4 +1,4 @@
-"""Programs under load: model calls, repeatable tools, and each non-repeatable tool once."""
+"""Load of programs that make model calls, repeatable tool calls and non-repeatable tool calls."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 from typing import Any
 
 from foxwinch.backends.ports import Message
-from foxwinch.bench.failover.calls import Ask, Attempt, Caller, LogicalCall, Outcome
+from foxwinch.bench.failover.calls import Attempt, Caller, CallRequest, LogicalCall, Outcome
 from foxwinch.bench.failover.cluster import FailoverCluster
 from foxwinch.core.program.identity import scoped_program_id
 from foxwinch.emulator.engine_answers import history_marker
@@ -15,24 +15,24 @@
 from foxwinch.settings.cluster import ClusterConfiguration, TemplateSettings
 
 TURNS = 6
-"""Model calls of a program; with its tools it lasts some ten seconds."""
-THINK_SECONDS = 0.3
-"""Longest pause between two calls of a program."""
-GIVE_UP_SHARE = 0.5
-"""Share of the "not run" answers to non-repeatable calls that end the call: these are checked."""
+"""Model calls of a program, which takes about ten seconds with its tool calls."""
+MAX_THINK_SECONDS = 0.3
+"""Maximum pause between two turns of a program."""
+ABANDON_SHARE = 0.5
+"""Share of non-repeatable calls that are not retried after "not run", to verify the refusal."""
 
 
 @dataclass(slots=True)
 class ProgramRecord:
-    """One program as its caller knows it."""
+    """The calls and the history of one program as its caller knows them."""
 
     name: str
     program_id: str
     expected: list[tuple[str, str]] = field(default_factory=list)
-    """Role and content of every message that the caller knows to be in the history."""
+    """Role and content of every message that the history must contain."""
     calls: list[LogicalCall] = field(default_factory=list)
     tools: dict[str, LogicalCall] = field(default_factory=dict)
-    """The one call of each non-repeatable tool."""
+    """The single call of each non-repeatable tool."""
     lost: list[str] = field(default_factory=list)
     mixed: list[str] = field(default_factory=list)
     untrue_not_run: list[str] = field(default_factory=list)
@@ -40,28 +40,28 @@
 
 
 class ProgramLoad:
-    """So many callers, each running one program after another until stopped."""
+    """Concurrent callers, each of which runs one program after another until stopped."""
 
     def __init__(self, cluster: FailoverCluster, callers: int, seed: int) -> None:
-        """Use the template of the configuration with the most tools."""
+        """Use the template with the most tools in the configuration."""
         self._cluster = cluster
         self._callers = callers
         self._seed = seed
         self._template = max(cluster.document.templates, key=lambda t: len(t.tools))
-        self._tools = _tools_of(cluster.document, self._template)
+        self._tools = _template_tools(cluster.document, self._template)
         self._stopping = False
         self.records: list[ProgramRecord] = []
 
     async def run(self) -> None:
-        """Run until `stop`; then every program ends with its present call."""
+        """Run until `stop` is called and every caller has finished its program."""
         await asyncio.gather(*(self._run_caller(number) for number in range(self._callers)))
 
     def stop(self) -> None:
-        """Let every caller end its program: history read back, then finished."""
+        """Make every caller read back and finish its program after the current turn."""
         self._stopping = True
 
     def calls(self) -> list[LogicalCall]:
-        """Return every call so far."""
+        """Return every call sent so far."""
         return [call for record in self.records for call in record.calls]
 
     async def _run_caller(self, number: int) -> None:
@@ -82,7 +82,7 @@
     once: tuple[str, ...]
 
 
-def _tools_of(document: ClusterConfiguration, template: TemplateSettings) -> _Tools:
+def _template_tools(document: ClusterConfiguration, template: TemplateSettings) -> _Tools:
     declared = {tool.name: tool.repeatable for tool in document.tools}
     return _Tools(
         tuple(name for name in template.tools if declared[name]),
@@ -91,7 +91,7 @@
 
 
 class _ProgramDriver:
-    """Runs one program."""
+    """Runs one program from creation to finish."""
 
     def __init__(
         self,
@@ -110,18 +110,18 @@
         self._path = f"/v1/programs/{name}"
 
     async def run(self, is_stopping: Any) -> None:
-        """Create, call, read back, finish."""
+        """Create the program, make its calls, read back its history and finish it."""
         body = {"template": self._template.name, "name": self.record.name}
-        created = await self._call("create", Ask("/v1/programs", body, self._key("create")))
+        created = await self._call("create", CallRequest("/v1/programs", body, self._key("create")))
         if created.outcome is not Outcome.DONE:
             return
         for turn in range(TURNS):
             await self._turn(turn)
             if is_stopping():
                 break
-            await asyncio.sleep(self._random.random() * THINK_SECONDS)
+            await asyncio.sleep(self._random.random() * MAX_THINK_SECONDS)
         await self._read_back()
-        await self._call("finish", Ask(f"{self._path}/finish", {}, self._key("finish")))
+        await self._call("finish", CallRequest(f"{self._path}/finish", {}, self._key("finish")))
 
     async def _turn(self, turn: int) -> None:
         await self._model(turn)
@@ -140,47 +140,47 @@
             "stream": True,
             "max_tokens": 16,
         }
-        ask = Ask(f"{self._path}/calls", body, self._key(f"model-{turn}"), stream=True)
-        answer = await self._call("model", ask)
-        if answer.outcome is Outcome.DONE:
-            self._check_marker(messages, answer.text)
-            self.record.expected = [*messages, ("assistant", answer.text)]
+        request = CallRequest(f"{self._path}/calls", body, self._key(f"model-{turn}"), stream=True)
+        attempt = await self._call("model", request)
+        if attempt.outcome is Outcome.DONE:
+            self._check_marker(messages, attempt.text)
+            self.record.expected = [*messages, ("assistant", attempt.text)]
         else:
-            await self._resume_from_history(question, answer)
+            await self._resume_from_history(question, attempt)
 
     async def _tool(self, tool: str, turn: int, once: bool) -> None:
         arguments = {"train": self.record.name, "seats": ["1A"], "entry": self.record.name}
         body = {"tool": tool, "arguments": arguments}
-        give_up = once and self._random.random() < GIVE_UP_SHARE
-        ask = Ask(
+        abandon = once and self._random.random() < ABANDON_SHARE
+        request = CallRequest(
             f"{self._path}/tools",
             body,
             self._key(f"{tool}-{turn}"),
             once=once,
-            resend_not_run=lambda: not give_up,
+            resend_not_run=lambda: not abandon,
         )
-        answer = await self._call(tool, ask)
+        attempt = await self._call(tool, request)
         if once:
             self.record.tools[tool] = self.record.calls[-1]
-        if answer.outcome is Outcome.DONE:
-            content = str(answer.message["message"]["content"])
+        if attempt.outcome is Outcome.DONE:
+            content = str(attempt.message["message"]["content"])
             self.record.expected.append(("tool", content))
         else:
-            await self._resume_from_history("", answer)
+            await self._resume_from_history("", attempt)
 
     def _check_marker(self, messages: list[tuple[str, str]], text: str) -> None:
-        """Compare the history that the engine answered to with the caller's own."""
+        """Check that the engine responded to the history that the caller knows."""
         sent = [Message(role, content) for role, content in messages]
         marker = history_marker(self.record.program_id, sent)  # type: ignore[arg-type]
         if text.startswith(marker):
             return
         if f"[program={self.record.program_id} " in text:
-            self.record.lost.append(f"answered to another history: {text[:120]!r}")
+            self.record.lost.append(f"response to another history: {text[:120]!r}")
         else:
-            self.record.mixed.append(f"answer to another program: {text[:120]!r}")
+            self.record.mixed.append(f"response to another program: {text[:120]!r}")
 
     async def _resume_from_history(self, question: str, attempt: Attempt) -> None:
-        """After a call without an answer: take the history as it is, checking what is known."""
+        """Adopt the stored history after a call without a response, and check its known part."""
         history = await self._history()
         if history is None:
             return
@@ -190,9 +190,9 @@
             cuts = ",".join(self.record.calls[-2].cuts)
             self.record.untrue_not_run.append(
                 f"history grew by {len(added)} messages after {attempt.reason}"
-                f" ({attempt.detail}); earlier attempts: {cuts or 'none'}"
+                f" ({attempt.detail}); interrupted attempts: {cuts or 'none'}"
             )
-        self._check_own(added)
+        self._check_foreign(added)
         self.record.expected = history
 
     async def _read_back(self) -> None:
@@ -201,31 +201,35 @@
             return
         self.record.read_back = True
         self._check_known(history)
-        self._check_own(history)
+        self._check_foreign(history)
         if len(history) > len(self.record.expected):
-            self.record.mixed.append(f"{len(history) - len(self.record.expected)} messages more")
+            self.record.mixed.append(
+                f"{len(history) - len(self.record.expected)} unexpected messages at the end"
+            )
 
     def _check_known(self, history: list[tuple[str, str]]) -> None:
         known = self.record.expected
         if history[: len(known)] != known:
             same = sum(a == b for a, b in zip(history, known, strict=False))
-            self.record.lost.append(f"{len(known)} messages known, {same} of them found in place")
+            self.record.lost.append(
+                f"{len(known)} messages known, {same} of them at their position in the history"
+            )
 
-    def _check_own(self, messages: list[tuple[str, str]]) -> None:
+    def _check_foreign(self, messages: list[tuple[str, str]]) -> None:
         for role, content in messages:
             if role in ("user", "assistant") and self.record.name not in content:
-                self.record.mixed.append(f"foreign message: {content[:120]!r}")
+                self.record.mixed.append(f"message of another program: {content[:120]!r}")
 
     async def _history(self) -> list[tuple[str, str]] | None:
-        answer = await self._call("history", Ask(f"{self._path}/history", None, ""))
-        if answer.outcome is not Outcome.DONE:
+        attempt = await self._call("history", CallRequest(f"{self._path}/history", None, ""))
+        if attempt.outcome is not Outcome.DONE:
             return None
-        return [(m["role"], m["content"]) for m in answer.message["messages"]]
+        return [(m["role"], m["content"]) for m in attempt.message["messages"]]
 
-    async def _call(self, kind: str, ask: Ask) -> Attempt:
+    async def _call(self, kind: str, request: CallRequest) -> Attempt:
         call = LogicalCall(self.record.name, kind, time.monotonic())
         self.record.calls.append(call)
-        return await self._caller.run(call, ask)
+        return await self._caller.run(call, request)
 
     def _key(self, what: str) -> str:
         return f"{self.record.name}-{what}"
--- a/src/foxwinch/bench/failover/run.py
+++ b/src/foxwinch/bench/failover/run.py
@@ -1,4 +1,4 @@
-"""Runs scenarios one after another, each on a cluster of its own, and gathers the figures."""
+"""Runs each scenario on a new cluster and collects the results in a report."""
 
 import asyncio
 import tempfile
@@ -14,22 +14,22 @@
 from foxwinch.bench.failover.verdict import (
     ScenarioResult,
     judge,
-    note_recovery,
+    record_recovery,
     recovery_seconds,
     running_programs,
 )
 from foxwinch.settings.cluster import ClusterConfiguration
 
 WARM_UP_SECONDS = 5.0
-"""Load before the fault, so that every node owns programs in the middle of calls."""
+"""Duration of load before the fault, so that every node owns programs with calls in flight."""
 SETTLE_SECONDS = 3.0
-"""After the load, before the stand-ins are asked: late effects must have arrived."""
+"""Delay between the end of load and reading the emulator's state, for late effects to arrive."""
 CONFIGURATION_DELAY_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class FailoverOptions:
-    """What is run."""
+    """Options of a benchmark run."""
 
     document: ClusterConfiguration
     scenarios: Sequence[Scenario]
@@ -38,8 +38,8 @@
     keep_logs: Path | None = None
 
 
-def run_failover(options: FailoverOptions, tell: Callable[[str], None]) -> dict[str, Any]:
-    """Run every scenario; returns the report."""
+def run_failover(options: FailoverOptions, print_line: Callable[[str], None]) -> dict[str, Any]:
+    """Run every scenario and return the report."""
     report: dict[str, Any] = {
         "deployment": options.document.deployment,
         "detection_seconds": DETECTION_SECONDS,
@@ -49,7 +49,7 @@
     for scenario in options.scenarios:
         result = asyncio.run(_run_in_directory(options, scenario))
         report["scenarios"][scenario.name] = result.document()
-        tell(_line(scenario, result))
+        print_line(_summary_line(scenario, result))
     return report
 
 
@@ -65,7 +65,7 @@
 async def run_scenario(
     options: FailoverOptions, scenario: Scenario, directory: Path
 ) -> ScenarioResult:
-    """Run one scenario on a cluster of its own."""
+    """Run one scenario on a new cluster."""
     async with FailoverCluster(options.document, directory) as cluster:
         load = ProgramLoad(cluster, options.callers, options.seed)
         running = asyncio.create_task(load.run())
@@ -79,7 +79,7 @@
             running.cancel()
         await asyncio.sleep(SETTLE_SECONDS)
         result = judge(load.records, await cluster.emulator_state(), log.windows, scenario.planned)
-    _note_recoveries(result, load, log)
+    _record_recoveries(result, load, log)
     result.config_seconds_max = configuration_seconds
     result.exit_codes = log.exit_codes
     result.details += [f"exit code {code}" for code in log.exit_codes if code != 0]
@@ -87,7 +87,7 @@
 
 
 async def _with_fault(cluster: FailoverCluster, scenario: Scenario, log: FaultLog) -> float | None:
-    """Let the fault act, and change the configuration meanwhile or afterwards."""
+    """Inject the fault, and change the configuration during or after it."""
     fault = asyncio.ensure_future(scenario.fault(cluster, log))
     try:
         if scenario.configuration_during:
@@ -102,15 +102,15 @@
     return seconds
 
 
-def _note_recoveries(result: ScenarioResult, load: ProgramLoad, log: FaultLog) -> None:
+def _record_recoveries(result: ScenarioResult, load: ProgramLoad, log: FaultLog) -> None:
     found: list[float] = []
     for fault_at, affected in log.affected:
         running = running_programs(load.records, fault_at)
         found += recovery_seconds(load.records, affected & running or running, fault_at)
-    note_recovery(result, found)
+    record_recovery(result, found)
 
 
-def _line(scenario: Scenario, result: ScenarioResult) -> str:
+def _summary_line(scenario: Scenario, result: ScenarioResult) -> str:
     return (
         f"{scenario.name}: calls={result.calls} lost={result.lost_histories}"
         f" mixed={result.mixed_histories} double={result.double_runs}"
--- a/src/foxwinch/bench/failover/verdict.py
+++ b/src/foxwinch/bench/failover/verdict.py
@@ -1,4 +1,4 @@
-"""What a scenario has shown: the caller's records against the stand-ins' own counts."""
+"""Evaluation of a scenario: the callers' records against the counts of the emulated services."""
 
 import statistics
 from collections import Counter
@@ -8,12 +8,12 @@
 from foxwinch.bench.failover.calls import LogicalCall, Outcome
 from foxwinch.bench.failover.programs import ProgramRecord
 
-READS = frozenset({"history"})
+READ_KINDS = frozenset({"history"})
 
 
 @dataclass(frozen=True, slots=True)
 class FaultWindow:
-    """From the fault's beginning to its end, on the monotonic clock."""
+    """Beginning and end of a fault, in seconds of the monotonic clock."""
 
     begins_at: float
     ends_at: float
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ScenarioResult:
-    """Figures of one scenario, under the names of the report."""
+    """Figures of one scenario; the field names are keys of the report."""
 
     calls: int = 0
     lost_histories: int = 0
@@ -30,30 +30,30 @@
     untrue_not_run: int = 0
     cut_requests: int = 0
     cuts_by_reason: dict[str, int] = field(default_factory=dict)
-    """The cut requests under "kind of call: reason"."""
+    """Number of interrupted requests by "kind of call: reason"."""
     unknown: int = 0
-    """Of calls in flight at the fault."""
+    """Unknown outcomes of calls that were in flight during a fault."""
     unknown_outside_fault: int = 0
-    """Must be 0: nothing was wrong when these calls were made."""
+    """Unknown outcomes of calls outside any fault; must be 0."""
     recovery_seconds_p50: float | None = None
     recovery_seconds_max: float | None = None
     config_seconds_max: float | None = None
     planned: bool = False
     unanswered: int = 0
-    """Calls whose callers gave up after a minute of asking."""
+    """Calls that had no final outcome after a minute of retries."""
     not_read_back: int = 0
-    """Programs whose history could not be read at the end."""
+    """Created programs whose history could not be read at the end."""
     exit_codes: list[int] = field(default_factory=list)
-    """Of nodes that were stopped as planned."""
+    """Exit codes of the drained nodes."""
     details: list[str] = field(default_factory=list)
     """One line for each violation."""
 
     def document(self) -> dict[str, Any]:
-        """Return plain values for the report."""
+        """Return the figures as plain values for the report."""
         return asdict(self)
 
     def violations(self) -> int:
-        """Count what must never be."""
+        """Return the number of violations."""
         counts = self.lost_histories + self.mixed_histories + self.double_runs
         counts += self.untrue_not_run + self.unknown_outside_fault
         return counts + (self.cut_requests if self.planned else 0)
@@ -65,7 +65,7 @@
     windows: list[FaultWindow],
     planned: bool,
 ) -> ScenarioResult:
-    """Compare every record with the executions that the stand-ins counted."""
+    """Compare every record with the tool executions that the emulator counted."""
     result = ScenarioResult(planned=planned)
     runs = Counter((run["program"], run["tool"]) for run in state["tool_executions"])
     for record in records:
@@ -96,7 +96,7 @@
 def _judge_tool(
     record: ProgramRecord, tool: str, call: LogicalCall, runs: int, result: ScenarioResult
 ) -> None:
-    """A call that may not be repeated: at most one run, exactly one when answered as done."""
+    """Check that a non-repeatable call ran at most once, and exactly once if it succeeded."""
     if runs > 1:
         result.double_runs += runs - 1
         result.details.append(f"double run: {record.name}: {tool} ran {runs} times")
@@ -116,7 +116,7 @@
         result.cuts_by_reason[name] = result.cuts_by_reason.get(name, 0) + 1
     if result.planned:
         result.details += [f"cut: {call.program}: {call.kind}: {cut}" for cut in call.cuts]
-    if call.kind in READS:
+    if call.kind in READ_KINDS:
         return
     if call.outcome in (Outcome.UNREACHED, Outcome.CUT):
         result.unanswered += 1
@@ -134,7 +134,7 @@
 def recovery_seconds(
     records: list[ProgramRecord], affected: set[str], fault_at: float
 ) -> list[float]:
-    """Return, for each affected program, the time from the fault to its next whole answer."""
+    """Return the seconds from the fault to the next completed call of each affected program."""
     found: list[float] = []
     for record in records:
         if record.program_id not in affected:
@@ -147,7 +147,7 @@
 
 
 def running_programs(records: list[ProgramRecord], at: float) -> set[str]:
-    """Return the programs that had begun and were not at their end at a time."""
+    """Return the programs that had started, but not begun to finish, at the given time."""
     found: set[str] = set()
     for record in records:
         begun = bool(record.calls) and record.calls[0].started_at < at
@@ -157,8 +157,8 @@
     return found
 
 
-def note_recovery(result: ScenarioResult, seconds: list[float]) -> None:
-    """Put the median and the longest recovery into the result."""
+def record_recovery(result: ScenarioResult, seconds: list[float]) -> None:
+    """Record the median and the maximum recovery time in the result."""
     if seconds:
         result.recovery_seconds_p50 = round(statistics.median(seconds), 3)
         result.recovery_seconds_max = round(max(seconds), 3)
