--- a/src/foxwinch/commands/apply_configuration.py
+++ b/src/foxwinch/commands/apply_configuration.py
@@ -31,33 +31,33 @@
 from foxwinch.records.ports import Written
 from foxwinch.settings.cluster import ClusterConfiguration
 
-ATTEMPTS = 5
-"""With the waits below, an operator has an answer within about 20 s of a store that is down."""
-ATTEMPT_BACKOFF = Backoff(base_seconds=0.2, cap_seconds=2.0)
+MAX_ATTEMPTS = 5
+"""With the backoff below, an operator gets an answer within about 20 s while the store is down."""
+RETRY_BACKOFF = Backoff(base_seconds=0.2, cap_seconds=2.0)
 TOKEN_PATTERN = re.compile(r"[A-Za-z0-9-]{8,64}")
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyConfiguration:
-    """An operator's change: a whole document in place of revision `expected`."""
+    """A request to replace revision `expected` of the configuration with a new document."""
 
     token: str
-    """Chosen by the operator's client; sending a change again under it applies it once."""
+    """Idempotency token chosen by the operator's client."""
     expected: Revision
-    """The revision that the operator read; 0 proposes the first document."""
+    """The revision that the operator read; 0 for the first document."""
     document: ClusterConfiguration
     repeated: bool = False
-    """True when the token was sent before: then nothing short of proof is called not run."""
+    """True for a token that was sent before; `not_run` is then reported only if it is proven."""
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyPorts:
-    """What applying a change needs of the node."""
+    """The dependencies of `apply_configuration`."""
 
     clock: Clock
     store: ConfigurationStore
     load: Callable[[StoredHead], Awaitable[HeldConfiguration | Refused | None]]
-    """Bring the node to the head and return what it holds; None when the table holds nothing."""
+    """Bring the node up to the head; returns its configuration, or None when the table is empty."""
 
 
 @dataclass(slots=True)
@@ -69,35 +69,35 @@
 async def apply_configuration(
     ports: ApplyPorts, command: ApplyConfiguration
 ) -> tuple[ChangeAccepted, Change | None] | Refused:
-    """Accept a change, or refuse it truthfully.
+    """Commit a change by compare-and-set on the expected revision.
 
-    `CONFLICT` names the newer revision; `UNKNOWN` says that the same token must be sent again to
-    learn what became of the change. The second value is the change when this run made it.
+    `CONFLICT` names the newer revision. With run state `UNKNOWN`, the caller must send the same
+    token again to learn the outcome. The second value is the change if this invocation made it.
     """
-    state = _check(command)
+    state = _validate(command)
     if isinstance(state, Refused):
         return state
     progress = _Progress(may_have_run=command.repeated)
     failure: Refused | None = None
-    for attempt in range(ATTEMPTS):
+    for attempt in range(MAX_ATTEMPTS):
         outcome = await _attempt(ports, command, state, progress)
         if isinstance(outcome, ChangeAccepted):
             return outcome, progress.change
         if isinstance(outcome, ChangeRejected):
-            return _conflict(command, outcome.newer)
+            return _conflict_refusal(command, outcome.newer)
         if outcome.reason in (Reason.INVALID_REQUEST, Reason.OUTCOME_UNKNOWN):
             return outcome
         failure = outcome
-        wait = ATTEMPT_BACKOFF.wait_seconds(attempt, ports.clock.uniform())
+        wait = RETRY_BACKOFF.wait_seconds(attempt, ports.clock.uniform())
         await ports.clock.sleep(max(wait, min(outcome.retry_after_seconds or 0.0, 2.0)))
     assert failure is not None
     if progress.may_have_run:
-        detail = "the table did not say whether the change was accepted; send the token again"
+        detail = "the store did not confirm whether the change was accepted; resend the same token"
         return outcome_unknown(Reason.STORE_UNAVAILABLE, detail)
     return not_run(Reason.STORE_UNAVAILABLE, failure.detail, failure.retry_after_seconds or 5.0)
 
 
-def _check(command: ApplyConfiguration) -> DocumentState | Refused:
+def _validate(command: ApplyConfiguration) -> DocumentState | Refused:
     if not TOKEN_PATTERN.fullmatch(command.token):
         detail = "token: 8 to 64 letters, digits and hyphens are required"
         return not_run(Reason.INVALID_REQUEST, detail)
@@ -115,15 +115,15 @@
         return head
     target = Revision(command.expected + 1)
     if head.revision >= target:
-        return await _settled(ports, command, head, progress)
+        return await _resolve_committed(ports, command, head, progress)
     if head.revision < command.expected:
         return ChangeRejected(head.revision)
     base = await ports.load(head)
     if isinstance(base, Refused):
         return base
     if (base.revision if base else 0) != command.expected:
-        return not_run(Reason.CONFLICT, "the node does not hold the revision to build on", 0.1)
-    change = _change(command, state, base)
+        return not_run(Reason.CONFLICT, "the node does not have the expected base revision", 0.1)
+    change = _build_change(command, state, base)
     if isinstance(change, (ChangeAccepted, Refused)):
         return change
     progress.change = change
@@ -137,23 +137,24 @@
     head: StoredHead,
     progress: _Progress,
 ) -> ChangeAccepted | Refused:
-    whole = None
+    snapshot = None
     if change.base == 0 or change.revision % SNAPSHOT_REVISIONS == 0:
-        whole = Change(
+        snapshot = Change(
             change.revision, Revision(0), change.token, state.digest, Delta(state.entries)
         )
-    outcome = await ports.store.commit(change, whole, head)
+    outcome = await ports.store.commit(change, snapshot, head)
     if isinstance(outcome, Written):
         return ChangeAccepted(change.revision)
     if not isinstance(outcome, Refused):
-        # A call that was delivered twice conflicts with itself: only the head's token tells.
+        # A write that was delivered twice conflicts with itself; the head's token shows which
+        # change was committed.
         progress.may_have_run = True
-        return not_run(Reason.CONFLICT, "the head has moved on", 0.0)
+        return not_run(Reason.CONFLICT, "a newer revision was committed concurrently", 0.0)
     progress.may_have_run |= outcome.run_state is not RunState.NOT_RUN
     return outcome
 
 
-def _change(
+def _build_change(
     command: ApplyConfiguration, state: DocumentState, base: HeldConfiguration | None
 ) -> Change | ChangeAccepted | Refused:
     target = Revision(command.expected + 1)
@@ -169,10 +170,10 @@
     return Change(target, command.expected, command.token, state.digest, delta)
 
 
-async def _settled(
+async def _resolve_committed(
     ports: ApplyPorts, command: ApplyConfiguration, head: StoredHead, progress: _Progress
 ) -> ChangeAccepted | ChangeRejected | Refused:
-    """The revision is taken: by this very change, or by another one."""
+    """Determine whether the target revision was committed by this change or by another one."""
     target = Revision(command.expected + 1)
     token = await ports.store.read_token(target)
     if isinstance(token, Refused):
@@ -181,11 +182,11 @@
     if isinstance(outcome, (ChangeAccepted, ChangeRejected)):
         return outcome
     if progress.may_have_run:
-        detail = f"the row of revision {target} is no longer kept"
+        detail = f"the row of revision {target} is no longer stored"
         return outcome_unknown(Reason.OUTCOME_UNKNOWN, detail)
     return ChangeRejected(head.revision)
 
 
-def _conflict(command: ApplyConfiguration, newer: Revision) -> Refused:
+def _conflict_refusal(command: ApplyConfiguration, newer: Revision) -> Refused:
     detail = f"revision {newer} is in force; the change was made for revision {command.expected}"
     return not_run(Reason.CONFLICT, detail)
--- a/src/foxwinch/commands/call_settings.py
+++ b/src/foxwinch/commands/call_settings.py
@@ -1,10 +1,10 @@
-"""What the cluster configuration says of a program and its calls."""
+"""Look up the settings of a program and its calls in the cluster configuration."""
 
 from dataclasses import dataclass
 
 from foxwinch._generated.journal_pb2 import ProgramBudget, ProgramCreated
-from foxwinch.commands.model_call import CallTerms
-from foxwinch.commands.tool_call import ToolTerms
+from foxwinch.commands.model_call import ModelCallSettings
+from foxwinch.commands.tool_call import ToolCallSettings
 from foxwinch.core.program.state import Program
 from foxwinch.identifiers import ClassName, ProgramId, TenantName
 from foxwinch.outcomes import Reason, Refused, not_run
@@ -13,39 +13,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ToolDeclaration:
-    """A tool as a program may use it."""
+    """A tool that a program may call."""
 
-    terms: ToolTerms
+    settings: ToolCallSettings
     repeatable: bool
 
 
 def find_template(
     document: ClusterConfiguration, tenant: TenantName, name: str
 ) -> TemplateSettings | Refused:
-    """Find a template that the tenant may use."""
+    """Return a template, or a refusal if the tenant may not use it."""
     template = next((t for t in document.templates if t.name == name), None)
     if template is None:
         allowed = ", ".join(t.name for t in document.templates)
         return not_run(
             Reason.INVALID_REQUEST, f"template = {name!r}: not known; allowed: {allowed}"
         )
-    settings = next((t for t in document.tenants if t.name == tenant), None)
-    if settings is not None and settings.classes and template.class_name not in settings.classes:
+    tenant_settings = next((t for t in document.tenants if t.name == tenant), None)
+    if (
+        tenant_settings is not None
+        and tenant_settings.classes
+        and template.class_name not in tenant_settings.classes
+    ):
         return not_run(
             Reason.INVALID_REQUEST,
-            f"template = {name!r}: its class {template.class_name!r} is not among the tenant's",
+            f"template = {name!r}: the tenant may not use its class {template.class_name!r}",
         )
     return template
 
 
-def creation(
+def creation_record(
     template: TemplateSettings,
     tenant: TenantName,
     program_id: ProgramId,
     now_seconds: float,
     parent: Program | None = None,
 ) -> ProgramCreated:
-    """Return the record of a new program; `now_seconds` is wall time."""
+    """Return the creation record of a new program; `now_seconds` is wall time."""
     budget = template.budget
     return ProgramCreated(
         program_id=program_id,
@@ -67,10 +71,10 @@
     )
 
 
-def model_terms(
+def model_call_settings(
     document: ClusterConfiguration, program: Program, model: str
-) -> CallTerms | Refused:
-    """Return the terms of a model call, or refuse a model that the template does not name."""
+) -> ModelCallSettings | Refused:
+    """Return the settings of a model call, or a refusal if the template does not list the model."""
     template = _template_of(document, program)
     if isinstance(template, Refused):
         return template
@@ -85,26 +89,28 @@
         (c.deadline_seconds for c in document.classes if c.name == class_name),
         program.created.budget.wall_seconds,
     )
-    return CallTerms(ClassName(class_name), deadline, document.cost_per_token)
+    return ModelCallSettings(ClassName(class_name), deadline, document.cost_per_token)
 
 
 def tool_declaration(
     document: ClusterConfiguration, program: Program, tool: str
 ) -> ToolDeclaration | Refused:
-    """Return how a tool is called, or refuse a tool that the template does not name."""
+    """Return the declaration of a tool, or a refusal if the template does not list it."""
     template = _template_of(document, program)
     if isinstance(template, Refused):
         return template
-    settings = next((t for t in document.tools if t.name == tool), None)
-    if settings is None or tool not in template.tools:
+    tool_settings = next((t for t in document.tools if t.name == tool), None)
+    if tool_settings is None or tool not in template.tools:
         allowed = ", ".join(template.tools) or "none"
         return not_run(
             Reason.INVALID_REQUEST,
             f"tool = {tool!r}: not allowed by template {template.name!r}; allowed: {allowed}",
         )
     class_name = ClassName(program.created.class_name)
-    terms = ToolTerms(class_name, settings.timeout_seconds, document.cost_per_tool_call)
-    return ToolDeclaration(terms, settings.repeatable)
+    settings = ToolCallSettings(
+        class_name, tool_settings.timeout_seconds, document.cost_per_tool_call
+    )
+    return ToolDeclaration(settings, tool_settings.repeatable)
 
 
 def _template_of(document: ClusterConfiguration, program: Program) -> TemplateSettings | Refused:
--- a/src/foxwinch/commands/ports.py
+++ b/src/foxwinch/commands/ports.py
@@ -1,4 +1,4 @@
-"""What the commands of programs need of a node."""
+"""Ports that the program commands depend on."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramPorts:
-    """The ports that the commands of programs use."""
+    """The dependencies of the program commands."""
 
     clock: Clock
     configuration: ConfigurationView
@@ -29,16 +29,16 @@
     engine: GeneratePort
     tools: ToolPort
     history_bytes: int = DEFAULT_HISTORY_BYTES
-    """Longest history of one program."""
+    """Maximum size of a program's history in bytes."""
     retries: CallRetries = field(default_factory=CallRetries)
-    """Circuits and budgets of repeats, shared by all calls of the node."""
+    """Circuit breakers and retry budgets, shared by all calls of the node."""
 
 
 class LocateTree(Protocol):
-    """Finds the node that serves a program tree; one without a node is served here from then on."""
+    """Locates the node that serves a program tree; this node starts to serve an unserved one."""
 
     async def __call__(
-        self, root: ProgramId, over: NodeId | None = None
+        self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> ServedTree | OwnedElsewhere | Refused:
-        """Return the program tree, or the node that serves it unless that is `over`."""
+        """Return the tree, or the node that serves it; take it over from `previous_owner`."""
         ...
--- a/src/foxwinch/gateway/request_body.py
+++ b/src/foxwinch/gateway/request_body.py
@@ -1,4 +1,4 @@
-"""Read and check the bodies of callers' requests within their limits."""
+"""Read and validate request bodies within the caller limits."""
 
 import asyncio
 import json
@@ -15,10 +15,10 @@
 
 DEFAULT_MAXIMUM_TOKENS = 1_024
 ROLES = frozenset({"system", "developer", "user", "assistant", "tool", "function"})
-OWN_FIELDS = frozenset(
+INTERPRETED_FIELDS = frozenset(
     {"model", "messages", "stream", "stream_options", "max_tokens", "max_completion_tokens", "n"}
 )
-"""Fields that foxwinch reads itself; all others are passed through to the engine."""
+"""Fields that foxwinch interprets; all others are passed through to the engine."""
 CHECKED_TYPES: dict[str, tuple[tuple[type, ...], str]] = {
     "temperature": ((int, float), "a number"),
     "top_p": ((int, float), "a number"),
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatBody:
-    """A checked body in the chat-completions shape."""
+    """A validated body in the chat-completions format."""
 
     model: str
     messages: tuple[HistoryMessage, ...]
@@ -43,20 +43,20 @@
 
 
 async def read_json(request: web.Request, limits: CallerLimits) -> dict[str, Any] | Refused:
-    """Read a JSON object; a body that does not arrive in time is refused."""
+    """Read a JSON object; returns a refusal if the body is too long, late or malformed."""
     header_bytes = sum(len(name) + len(value) for name, value in request.raw_headers)
     if header_bytes > limits.header_bytes:
         return not_run(
             Reason.INVALID_REQUEST, f"headers are longer than {limits.header_bytes} bytes"
         )
     try:
-        if request.content.is_eof():  # the whole body has arrived: no timer is needed
+        if request.content.is_eof():  # the whole body has arrived; no timeout is needed
             data = await request.read()
         else:
             async with asyncio.timeout(limits.read_seconds):
                 data = await request.read()
     except TimeoutError:
-        detail = f"the body did not arrive within {limits.read_seconds:g} seconds"
+        detail = f"the body was not received within {limits.read_seconds:g} seconds"
         return not_run(Reason.INVALID_REQUEST, detail)
     except web.HTTPRequestEntityTooLarge:
         return not_run(Reason.INVALID_REQUEST, f"the body is longer than {limits.body_bytes} bytes")
@@ -72,20 +72,20 @@
 
 
 def check_chat_body(body: dict[str, Any], may_be_empty: bool) -> ChatBody | Refused:
-    """Check a body in the chat-completions shape; `may_be_empty` allows no messages."""
+    """Validate a body in the chat-completions format; `may_be_empty` permits no messages."""
     model = body.get("model")
     if not isinstance(model, str) or not model:
         return invalid_field("model", model, "the name of a model")
-    messages = _messages(body.get("messages", [] if may_be_empty else None), may_be_empty)
+    messages = _check_messages(body.get("messages", [] if may_be_empty else None), may_be_empty)
     if isinstance(messages, Refused):
         return messages
     maximum = _maximum_tokens(body)
     if isinstance(maximum, Refused):
         return maximum
-    wrong = _wrong_type(body)
-    if wrong is not None:
-        return wrong
-    parameters = {name: value for name, value in body.items() if name not in OWN_FIELDS}
+    refusal = _check_types(body)
+    if refusal is not None:
+        return refusal
+    parameters = {name: value for name, value in body.items() if name not in INTERPRETED_FIELDS}
     return ChatBody(
         model=model,
         messages=messages,
@@ -96,8 +96,8 @@
     )
 
 
-def check_text(body: dict[str, Any], field: str, required: bool) -> str | Refused:
-    """Return a text field, empty when it is absent and not required."""
+def text_field(body: dict[str, Any], field: str, required: bool) -> str | Refused:
+    """Return a text field, or an empty string if it is absent and not required."""
     value = body.get(field)
     if value is None and not required:
         return ""
@@ -106,19 +106,19 @@
     return invalid_field(field, value, "a non-empty string" if required else "a string")
 
 
-def _messages(value: object, may_be_empty: bool) -> tuple[HistoryMessage, ...] | Refused:
+def _check_messages(value: object, may_be_empty: bool) -> tuple[HistoryMessage, ...] | Refused:
     if not isinstance(value, list) or not (value or may_be_empty):
         return invalid_field("messages", value, "a non-empty list of messages")
     found = []
     for index, message in enumerate(value):
-        wrong = _wrong_message(f"messages[{index}]", message)
-        if wrong is not None:
-            return wrong
+        refusal = _check_message(f"messages[{index}]", message)
+        if refusal is not None:
+            return refusal
         found.append(to_history(message))
     return tuple(found)
 
 
-def _wrong_message(field: str, message: object) -> Refused | None:
+def _check_message(field: str, message: object) -> Refused | None:
     if not isinstance(message, dict):
         return invalid_field(field, message, "an object")
     role = message.get("role")
@@ -141,12 +141,12 @@
     return DEFAULT_MAXIMUM_TOKENS
 
 
-def _wrong_type(body: dict[str, Any]) -> Refused | None:
+def _check_types(body: dict[str, Any]) -> Refused | None:
     stream = body.get("stream")
     if stream is not None and not isinstance(stream, bool):
         return invalid_field("stream", stream, "true or false")
     if body.get("n") not in (None, 1):
-        return invalid_field("n", body["n"], "1: a call gives one answer")
+        return invalid_field("n", body["n"], "1, since a call has one answer")
     for field, (types, allowed) in CHECKED_TYPES.items():
         value = body.get(field)
         if value is not None and (isinstance(value, bool) or not isinstance(value, types)):
--- a/src/foxwinch/node/parts/grants.py
+++ b/src/foxwinch/node/parts/grants.py
@@ -1,8 +1,8 @@
-"""Part: grants of workers, their coordinators and the orders to engines."""
+"""Grants subsystem: grants of workers, their coordinators and orders to engines."""
 
 from dataclasses import dataclass, field
 
-from foxwinch.commands.operator import StaticWorkers, WorkerDrains
+from foxwinch.commands.operator import StaticWorkers, WorkerDrainPort
 from foxwinch.core.orders.reconciler import OrderPolicy
 from foxwinch.identifiers import RegionName
 from foxwinch.node.parts.configuration import ConfigurationPart
@@ -21,39 +21,38 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantsPart:
-    """Access to the coordinators of all workers."""
+    """Views and services of the grants subsystem."""
 
     grants: GrantView
     facts: WorkerFacts = field(default_factory=NoWorkers)
-    drains: WorkerDrains = field(default_factory=StaticWorkers)
+    drains: WorkerDrainPort = field(default_factory=StaticWorkers)
     services: tuple[NodeService, ...] = ()
 
 
 class GrantServices:
-    """Coordinator, orders and grants as one service: their orders of start and drain differ."""
+    """Coordinator, orders and grants as one service; their start and drain orders differ."""
 
     def __init__(
         self, coordinator: CoordinatorService, orders: OrdersService, grants: GrantsService
     ) -> None:
-        """Hold the three."""
         self._coordinator = coordinator
         self._orders = orders
         self._grants = grants
 
     async def start(self) -> None:
-        """Start the coordinator first: the others use it."""
+        """Start the coordinator first, because the other services use it."""
         await self._coordinator.start()
         await self._orders.start()
         await self._grants.start()
 
     async def stop(self) -> None:
-        """Stop in reverse."""
+        """Stop the services in reverse order."""
         await self._grants.stop()
         await self._orders.stop()
         await self._coordinator.stop()
 
     async def drain(self) -> None:
-        """Give every grant back before the workers are handed over."""
+        """Return all grants before the workers are handed over."""
         await self._grants.drain()
         await self._coordinator.drain()
 
@@ -64,7 +63,7 @@
     configuration: ConfigurationPart,
     records: RecordsPart,
 ) -> GrantsPart:
-    """Build the part; a node without fellow nodes is coordinator of every worker."""
+    """Build the subsystem; a node without peers is the coordinator of every worker."""
     directory = CoordinatorDirectory(membership.membership, membership.gossip)
     coordinator = CoordinatorService(
         _coordinator_ports(context, membership, configuration, records), directory
--- a/src/foxwinch/operator/handlers.py
+++ b/src/foxwinch/operator/handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of the operators' service: each turns a message into one query or command."""
+"""Handlers of the operator service: each runs one query or command for a request."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Any, TypeVar
@@ -24,7 +24,7 @@
 
 
 class OperatorHandlers(OperatorBase):
-    """The service `foxwinch.v1.Operator`."""
+    """Implementation of the gRPC service `foxwinch.v1.Operator`."""
 
     def __init__(
         self,
@@ -33,59 +33,59 @@
         commands: OperatorCommands,
         revisions_at_nodes: Callable[[], Awaitable[Sequence[NodeRevision]]],
     ) -> None:
-        """Answer by `queries` and `commands`."""
+        """Serve requests with `queries` and `commands`."""
         self._revisions_at_nodes = revisions_at_nodes
         self._configuration = configuration
         self._queries = queries
         self._commands = commands
 
     async def ListNodes(self, stream: Stream[Any, Any]) -> None:
-        """Answer with every known node."""
-        await _answer(stream, self._list_nodes)
+        """Return all known nodes."""
+        await _serve_unary(stream, self._list_nodes)
 
     async def ListWorkers(self, stream: Stream[Any, Any]) -> None:
-        """Answer with the workers of all coordinators."""
-        await _answer(stream, lambda request: self._queries.workers())
+        """Return the workers of all coordinators."""
+        await _serve_unary(stream, lambda request: self._queries.workers())
 
     async def ListPrograms(self, stream: Stream[Any, Any]) -> None:
-        """Answer with programs that match."""
-        await _answer(stream, self._queries.programs)
+        """Return the programs that match the filter."""
+        await _serve_unary(stream, self._queries.programs)
 
     async def ShowProgram(self, stream: Stream[Any, Any]) -> None:
-        """Answer with one program."""
-        await _answer(stream, self._show_program)
+        """Return the details of one program."""
+        await _serve_unary(stream, self._show_program)
 
     async def GetConfiguration(self, stream: Stream[Any, Any]) -> None:
-        """Answer with the configuration in force at this node."""
-        await _answer(stream, self._get_configuration)
+        """Return the active configuration of this node."""
+        await _serve_unary(stream, self._get_configuration)
 
     async def CheckConfiguration(self, stream: Stream[Any, Any]) -> None:
-        """Answer with what is wrong with a document."""
-        await _answer(stream, self._check_configuration)
+        """Validate a configuration document and return its problems."""
+        await _serve_unary(stream, self._check_configuration)
 
     async def DiffConfiguration(self, stream: Stream[Any, Any]) -> None:
-        """Answer with the differences from the configuration in force."""
-        await _answer(stream, self._diff_configuration)
+        """Return the differences between a document and the active configuration."""
+        await _serve_unary(stream, self._diff_configuration)
 
     async def GetConfigurationStatus(self, stream: Stream[Any, Any]) -> None:
-        """Answer with the revision at each node."""
-        await _answer(stream, self._configuration_status)
+        """Return the configuration revision of each node."""
+        await _serve_unary(stream, self._configuration_status)
 
     async def DrainNode(self, stream: Stream[Any, Any]) -> None:
-        """Begin the planned stop of a node."""
-        await _answer(stream, self._drain_node)
+        """Start the drain and shutdown of a node."""
+        await _serve_unary(stream, self._drain_node)
 
     async def DrainWorker(self, stream: Stream[Any, Any]) -> None:
         """Take a worker out of service."""
-        await _answer(stream, self._drain_worker)
+        await _serve_unary(stream, self._drain_worker)
 
     async def AbandonProgram(self, stream: Stream[Any, Any]) -> None:
         """Abandon a program."""
-        await _answer(stream, self._abandon_program)
+        await _serve_unary(stream, self._abandon_program)
 
     async def ApplyConfiguration(self, stream: Stream[Any, Any]) -> None:
-        """Put a document in force."""
-        await _answer(stream, self._apply_configuration)
+        """Make a document the active configuration."""
+        await _serve_unary(stream, self._apply_configuration)
 
     async def _list_nodes(self, request: pb.ListNodesRequest) -> pb.ListNodesResponse:
         return pb.ListNodesResponse(nodes=await self._queries.nodes())
@@ -122,13 +122,13 @@
         snapshot = self._configuration.current()
         if isinstance(snapshot, Refused):
             return snapshot
-        found = [
+        items = [
             pb.ConfigurationDifference(
                 path=item.path, in_force_json=item.in_force or "", proposed_json=item.proposed or ""
             )
             for item in differences(snapshot, document)
         ]
-        return pb.DiffConfigurationResponse(revision=snapshot.revision, differences=found)
+        return pb.DiffConfigurationResponse(revision=snapshot.revision, differences=items)
 
     async def _configuration_status(
         self, request: pb.GetConfigurationStatusRequest
@@ -185,13 +185,13 @@
     )
 
 
-async def _answer(
+async def _serve_unary(
     stream: Stream[Any, Any], handler: Callable[[Request], Awaitable[Response | Refused]]
 ) -> None:
-    """Read the one request, and send the one answer or a refusal."""
+    """Read the request of a unary call, and send the response or a refusal."""
     request = await stream.recv_message()
     if request is None:
-        refused = not_run(Reason.INVALID_REQUEST, "the request carries no message")
+        refused = not_run(Reason.INVALID_REQUEST, "the request has no message")
         await _refuse(stream, refused)
         return
     outcome = await handler(request)
--- a/src/foxwinch/platform/connections.py
+++ b/src/foxwinch/platform/connections.py
@@ -1,8 +1,8 @@
-"""Kept connections that are replaced together once one of them has gone silent.
+"""Connection pools that are replaced as a whole after one connection stops responding.
 
-Connections may go silent without a reset, many at the same moment, while new ones work. A call that
-got no answer therefore takes the whole pool out of use: its retry must not meet the next silent
-connection. Calls that are under way on the old pool go on, and close it when the last has ended.
+Many connections can stop responding at the same time without a reset while new connections work. A
+call that times out therefore retires the whole pool, so that its retry does not pick another dead
+connection. Calls in flight on a retired pool continue, and the last of them closes it.
 """
 
 import socket
@@ -12,77 +12,77 @@
 
 import aiohttp
 
-CONNECT_SECONDS = 0.5
-"""Until another way is tried: many times the way between zones, and below the second after which
-a lost opening packet is sent again."""
-UNACKNOWLEDGED_MS = 1_000
-"""Until a connection whose peer acknowledges nothing is given up: lost packets are sent again two
-or three times within it, and a busy process does not delay it, as its system acknowledges."""
-PROBE_IDLE_SECONDS = 1
-"""Before an idle connection is probed; the shortest that the system knows."""
-PROBE_SECONDS = 1
-"""Between probes; the shortest that the system knows."""
-MAX_PROBES = 2
+CONNECT_TIMEOUT_SECONDS = 0.5
+"""Connect timeout: many times the round trip between zones, and below the 1 s after which a lost
+SYN packet is retransmitted."""
+USER_TIMEOUT_MS = 1_000
+"""Timeout for unacknowledged data (`TCP_USER_TIMEOUT`). It allows two or three retransmissions. A
+busy peer process does not exceed it, because its kernel sends the acknowledgements."""
+KEEPALIVE_IDLE_SECONDS = 1
+"""Idle time before the first keepalive probe; the shortest that the kernel supports."""
+KEEPALIVE_INTERVAL_SECONDS = 1
+"""Interval between keepalive probes; the shortest that the kernel supports."""
+MAX_KEEPALIVE_PROBES = 2
 
 
-def open_session(kept_seconds: float, **options: Any) -> aiohttp.ClientSession:
-    """Open a session whose connections are closed once their peer is silent at the system's level.
+def open_session(keepalive_seconds: float, **options: Any) -> aiohttp.ClientSession:
+    """Return a session that closes connections whose peer stops acknowledging packets.
 
-    Idle connections are kept for `kept_seconds`; `options` go to the session.
+    Idle connections are kept for `keepalive_seconds`; `options` are passed to `ClientSession`.
     """
     connector = aiohttp.TCPConnector(
-        limit=0, keepalive_timeout=kept_seconds, socket_factory=_open_socket
+        limit=0, keepalive_timeout=keepalive_seconds, socket_factory=_open_socket
     )
     return aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS),
+        timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
         **options,
     )
 
 
 def _open_socket(address: tuple[Any, ...]) -> socket.socket:
     family, kind, protocol, *_ = address
-    opened = socket.socket(family, kind, protocol)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_SECONDS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_PROBES)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-    return opened
+    sock = socket.socket(family, kind, protocol)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    return sock
 
 
 class ConnectionPool:
-    """A client session that can be replaced while calls are under way."""
+    """A client session that can be replaced while calls are in flight."""
 
     def __init__(self, make_session: Callable[[], aiohttp.ClientSession]) -> None:
-        """Open sessions by `make_session`; call on the running loop."""
+        """Create sessions with `make_session`; must be called in a running event loop."""
         self._make_session = make_session
         self._current = make_session()
-        self._calls: dict[aiohttp.ClientSession, int] = {}
+        self._calls_in_flight: dict[aiohttp.ClientSession, int] = {}
 
     @asynccontextmanager
     async def session(self) -> AsyncIterator[aiohttp.ClientSession]:
-        """Lend the newest session for one call."""
+        """Provide the current session for one call."""
         session = self._current
-        self._calls[session] = self._calls.get(session, 0) + 1
+        self._calls_in_flight[session] = self._calls_in_flight.get(session, 0) + 1
         try:
             yield session
         finally:
-            self._calls[session] -= 1
-            if not self._calls[session]:
-                del self._calls[session]
+            self._calls_in_flight[session] -= 1
+            if not self._calls_in_flight[session]:
+                del self._calls_in_flight[session]
                 if session is not self._current:
                     await session.close()
 
     def retire(self, session: aiohttp.ClientSession) -> bool:
-        """Let later calls open connections of their own; False when they do so already."""
+        """Replace the session for later calls; return False if it has already been replaced."""
         if session is not self._current:
             return False
         self._current = self._make_session()
         return True
 
     async def close(self) -> None:
-        """Close every connection, those of calls under way too."""
-        for session in {self._current, *self._calls}:
+        """Close all connections, including those of calls in flight."""
+        for session in {self._current, *self._calls_in_flight}:
             await session.close()
--- a/src/foxwinch/queries/configuration_difference.py
+++ b/src/foxwinch/queries/configuration_difference.py
@@ -1,4 +1,4 @@
-"""How a proposed cluster configuration differs from the one in force."""
+"""Compare a proposed cluster configuration with the active one."""
 
 import json
 from collections.abc import Iterator, Sequence
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One place where a proposed document differs from the one in force."""
+    """A value that differs between a proposed document and the active one."""
 
     path: str
     in_force: str | None
-    """JSON of the value, None when it is absent."""
+    """The value as JSON, or None if it is absent."""
     proposed: str | None
 
 
 def parse_document(text: str) -> ClusterConfiguration | SettingsError:
-    """Read and check a document given as JSON."""
+    """Parse and validate a document given as JSON."""
     source = "configuration"
     try:
         values = json.loads(text)
@@ -35,20 +35,20 @@
 def differences(
     snapshot: ConfigurationSnapshot, proposed: ClusterConfiguration
 ) -> Sequence[Difference]:
-    """Compare a proposed document with the one in force; entries of a list go by their name."""
-    old = dict(_leaves("", snapshot.document.model_dump(mode="json")))
-    new = dict(_leaves("", proposed.model_dump(mode="json")))
+    """Compare a proposed document with the active one; list entries are matched by name."""
+    old = dict(_leaf_values("", snapshot.document.model_dump(mode="json")))
+    new = dict(_leaf_values("", proposed.model_dump(mode="json")))
     paths = sorted(path for path in old.keys() | new.keys() if old.get(path) != new.get(path))
     return [Difference(path, old.get(path), new.get(path)) for path in paths]
 
 
-def _leaves(path: str, value: Any) -> Iterator[tuple[str, str]]:
+def _leaf_values(path: str, value: Any) -> Iterator[tuple[str, str]]:
     if isinstance(value, dict):
         for name, item in value.items():
-            yield from _leaves(f"{path}.{name}" if path else name, item)
+            yield from _leaf_values(f"{path}.{name}" if path else name, item)
     elif _is_list_of_named(value):
         for item in value:
-            yield from _leaves(f"{path}.{item['name']}", item)
+            yield from _leaf_values(f"{path}.{item['name']}", item)
     else:
         yield path, json.dumps(value, sort_keys=True)
 
--- a/src/foxwinch/workers/coordinator_facts.py
+++ b/src/foxwinch/workers/coordinator_facts.py
@@ -43,7 +43,7 @@
 
 
 class GossipedDrains:
-    """Implementation of `foxwinch.commands.operator.WorkerDrains` by gossip."""
+    """Implementation of `foxwinch.commands.operator.WorkerDrainPort` by gossip."""
 
     def __init__(self, configuration: ConfigurationView, gossip: GossipView) -> None:
         self._configuration = configuration
--- a/src/foxwinch/workers/grant_reports.py
+++ b/src/foxwinch/workers/grant_reports.py
@@ -124,7 +124,7 @@
             message = PausedProgram(program_id=program_id, tool=tool, sequence=self.next_sequence())
             self._paused[program_id] = _Pause(worker, message)
 
-    def adopt(self, program_id: ProgramId) -> None:
+    def mark_taken_over(self, program_id: ProgramId) -> None:
         """Record that the program ran under an earlier owner, on workers unknown to this node."""
         self._taken_over.add(program_id)
 
--- a/src/foxwinch/workers/grants_service.py
+++ b/src/foxwinch/workers/grants_service.py
@@ -135,9 +135,9 @@
         self._reports.finish(program_id, self._engine_workers())
         self._report_event.set()
 
-    def adopt(self, program_id: ProgramId) -> None:
+    def mark_taken_over(self, program_id: ProgramId) -> None:
         """Record that the program may have run on any worker under an earlier owner."""
-        self._reports.adopt(program_id)
+        self._reports.mark_taken_over(program_id)
 
     # --- requests ----------------------------------------------------------------------------
 
--- a/src/foxwinch/workers/ports.py
+++ b/src/foxwinch/workers/ports.py
@@ -104,7 +104,7 @@
         """Report the start of a tool call, so that the cache may be kept, moved or dropped."""
         ...
 
-    def adopt(self, program_id: ProgramId) -> None:
+    def mark_taken_over(self, program_id: ProgramId) -> None:
         """Report that the program had an earlier owner, so any worker may hold its cache."""
         ...
 
--- a/tests/test_call_retries.py
+++ b/tests/test_call_retries.py
@@ -1,4 +1,4 @@
-"""Repeats of model calls stay within their budget, and a failing worker is left alone."""
+"""Retries of model calls stay within their budget, and circuit breakers stop dispatches."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class TwoWorkers:
-    """Grants the bad worker first, and another one to a call that failed there."""
+    """Grants the bad worker first; a call that failed there is granted the good one, if any."""
 
     def __init__(self, rig, has_good):
         self.failed = set()
@@ -28,12 +28,12 @@
         settle = rig.grants.settle
         self.has_good = has_good
 
-        def note(grant, usage):
+        def record_usage(grant, usage):
             if usage.failed:
                 self.failed.add(usage.call_id)
             settle(grant, usage)
 
-        rig.grants.settle = note
+        rig.grants.settle = record_usage
 
     async def acquire(self, request):
         good = self.has_good and request.call_id in self.failed
@@ -41,21 +41,21 @@
         return Grant(request.call_id, worker, "http://x", Epoch(1), 0, 0, 0.0, "test")
 
 
-def spend_budget(rig, worker):
-    while rig.ports.retries.may_repeat(TENANT, worker, BROKEN, sent=True):
+def exhaust_budget(rig, worker):
+    while rig.ports.retries.try_retry(TENANT, worker, BROKEN, sent=True):
         pass
 
 
 def open_circuit(rig, worker):
     for _ in range(MIN_CALLS):
-        rig.ports.retries.ended(worker, DOWN, rig.clock.monotonic(), lambda: 0.5)
+        rig.ports.retries.record_end(worker, DOWN, rig.clock.monotonic(), lambda: 0.5)
 
 
 @pytest.mark.parametrize("failure", [DOWN, BROKEN])
-async def test_without_budget_a_failure_is_told_at_once_and_truthfully(failure):
+async def test_without_retry_budget_a_failure_is_returned_immediately_with_its_run_state(failure):
     rig = Rig()
     TwoWorkers(rig, has_good=True)
-    spend_budget(rig, BAD)
+    exhaust_budget(rig, BAD)
     rig.engine.failures = [(0, failure)]
     _, last = await collect(rig.model())
     assert (last.reason, last.run_state) == (failure.reason, failure.run_state)
@@ -63,7 +63,7 @@
     assert len(rig.engine.orders) == 1
 
 
-async def test_an_open_circuit_leads_to_another_worker_without_a_dispatch():
+async def test_a_call_skips_a_worker_with_an_open_circuit_without_a_dispatch():
     rig = Rig()
     TwoWorkers(rig, has_good=True)
     open_circuit(rig, BAD)
@@ -73,7 +73,7 @@
     assert len(rig.engine.orders) == count
 
 
-async def test_an_open_circuit_without_another_worker_is_a_refusal_that_did_not_run():
+async def test_an_open_circuit_without_another_worker_is_refused_as_not_run():
     rig = Rig()
     TwoWorkers(rig, has_good=False)
     open_circuit(rig, BAD)
@@ -85,13 +85,13 @@
     assert isinstance((await collect(rig.model()))[1], CallFinished)
 
 
-def test_repeats_and_refusals_are_counted_and_a_change_of_coordinator_costs_nothing():
+def test_retries_and_refusals_are_counted_and_a_coordinator_change_uses_no_budget():
     registry = CollectorRegistry()
     retries = CallRetries(registry)
     fenced = not_run(Reason.FENCED, "fenced")
-    assert all(retries.may_repeat(TENANT, BAD, fenced, sent=True) for _ in range(20))
-    repeats = sum(retries.may_repeat(TENANT, BAD, DOWN, sent=True) for _ in range(20))
-    assert repeats == RETRY_BURST
+    assert all(retries.try_retry(TENANT, BAD, fenced, sent=True) for _ in range(20))
+    retried = sum(retries.try_retry(TENANT, BAD, DOWN, sent=True) for _ in range(20))
+    assert retried == RETRY_BURST
     spent = {"cause": "budget_spent"}
     assert registry.get_sample_value("foxwinch_call_retries_total") == 20 + RETRY_BURST
     refusals = registry.get_sample_value("foxwinch_call_retry_refusals_total", spent)
--- a/tests/test_coordinator_service.py
+++ b/tests/test_coordinator_service.py
@@ -263,6 +263,6 @@
         await run_call(cluster, second, "c2", "p1")
         cluster.engines[used] = unavailable_engine
         assert all(engine.holds("p1") for engine in cluster.engines.values())
-        second.grants.adopt("p1")
+        second.grants.mark_taken_over("p1")
         second.grants.finish("p1")
         await until(lambda: cluster.cached_programs() == set())
--- a/tests/test_whole_path.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""A caller's request goes through a node to a stand-in engine and comes back whole."""
+"""A request passes through a node to an emulated engine, and its answer returns complete."""
 
 import asyncio
 from pathlib import Path
@@ -28,8 +28,8 @@
 }
 
 
-async def until_served(client):
-    """Wait until the workers have coordinators, asking again when the node says to."""
+async def wait_until_served(client):
+    """Wait until the workers have coordinators, retrying after the node's Retry-After."""
     while True:
         async with client.post("/v1/chat/completions", json=CALL) as response:
             if response.status != 503:
@@ -57,14 +57,14 @@
         async with aiohttp.ClientSession(
             base_url=gateway.make_url("/"), headers={"Authorization": f"Bearer {KEY}"}
         ) as client:
-            await until_served(client)
+            await wait_until_served(client)
             yield client
         await gateway.close()
         await node.stop()
     await engines.close()
 
 
-async def test_whole_answer(caller):
+async def test_complete_answer(caller):
     async with caller.post("/v1/chat/completions", json=CALL) as response:
         document = await response.json()
     assert response.status == 200
--- a/tests/test_serve_command.py
+++ b/tests/test_serve_command.py
@@ -1,4 +1,4 @@
-"""`foxwinch serve` as a process: settings that are refused, start, reload and stop."""
+"""`foxwinch serve` as a process: validation of settings, start, reload and stop."""
 
 import asyncio
 import json
@@ -10,15 +10,15 @@
 
 import pytest
 
-from fake_worker import Answer, FakeWorker
+from fake_platform import SAFE, FakePlatform, configuration, wait_until
+from fake_worker import FakeResponse, FakeWorker
 from foxwinch.cli.settings import SettingsSchemaCommand
 from foxwinch.platform.settings import load_serve_settings
 from foxwinch.settings.base import SettingsError
-from platform_site import SAFE, PlatformSite, configuration, until
 
 ROOT = Path(__file__).parents[1]
 START = ROOT / "deploy" / "start.py"
-GIVEN = {
+TEMPLATE_VALUES = {
     "node_name": "front-1",
     "ip": "10.1.0.38",
     "zone": "z",
@@ -34,15 +34,15 @@
 }
 
 
-def fill(template):
-    """Fill in the template as the platform does."""
+def render_template(template):
+    """Render the template as the platform does."""
 
     def value(match):
         name, _, form = match[1].partition("|")
-        return f'"{GIVEN[name]}"' if form == "json" else GIVEN[name]
+        return f'"{TEMPLATE_VALUES[name]}"' if form == "json" else TEMPLATE_VALUES[name]
 
     def section(match):
-        return match[2] if match[1] in GIVEN else ""
+        return match[2] if match[1] in TEMPLATE_VALUES else ""
 
     sections = re.sub(r"\{\{#(\w+)\}\}(.*?)\{\{/\1\}\}", section, template)
     return re.sub(r"\{\{([^}]+)\}\}", value, sections)
@@ -50,7 +50,7 @@
 
 def test_the_template_gives_valid_settings(tmp_path):
     path = tmp_path / "node.toml"
-    path.write_text(fill((ROOT / "deploy" / "settings.toml").read_text()))
+    path.write_text(render_template((ROOT / "deploy" / "settings.toml").read_text()))
     settings = load_serve_settings(path)
     assert not isinstance(settings, SettingsError), str(settings)
     assert settings.listen.peers == "10.1.0.38:7380"
@@ -58,10 +58,10 @@
     assert settings.store.heartbeat_ms == 1_200
 
 
-def test_the_template_does_without_what_a_deployment_does_not_tell(tmp_path, monkeypatch):
-    monkeypatch.delitem(GIVEN, "heartbeat_ms")
+def test_the_template_is_valid_without_optional_values(tmp_path, monkeypatch):
+    monkeypatch.delitem(TEMPLATE_VALUES, "heartbeat_ms")
     path = tmp_path / "node.toml"
-    path.write_text(fill((ROOT / "deploy" / "settings.toml").read_text()))
+    path.write_text(render_template((ROOT / "deploy" / "settings.toml").read_text()))
     assert not isinstance(load_serve_settings(path), SettingsError)
 
 
@@ -74,7 +74,7 @@
     assert "grace_seconds" in json.loads(capsys.readouterr().out)["properties"]
 
 
-async def run(*arguments, **environment):
+async def start_serve(*arguments, **environment):
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -90,19 +90,19 @@
 @pytest.mark.parametrize(
     ("field", "wrong"), [("ip", '"nowhere"'), ("zone", '""'), ("grace_seconds", "-1")]
 )
-async def test_a_wrong_setting_is_named_with_its_value(tmp_path, field, wrong):
+async def test_an_invalid_setting_is_reported_with_its_value(tmp_path, field, wrong):
     path = tmp_path / "node.toml"
     text = (ROOT / "examples" / "serve.toml").read_text()
     path.write_text(re.sub(rf"^{field} = .*$", f"{field} = {wrong}", text, flags=re.MULTILINE))
-    process = await run(FOXWINCH_CONFIG=str(path))
+    process = await start_serve(FOXWINCH_CONFIG=str(path))
     _, errors = await process.communicate()
     assert process.returncode == 2
     assert field in errors.decode()
     assert wrong.strip('"') in errors.decode()
 
 
-async def test_without_settings_it_says_how_to_give_them():
-    process = await run()
+async def test_missing_settings_are_reported_with_the_variable_to_set():
+    process = await start_serve()
     _, errors = await process.communicate()
     assert process.returncode == 2
     assert "FOXWINCH_CONFIG" in errors.decode()
@@ -112,24 +112,24 @@
     async for line in stream:
         if wanted in line.decode():
             return line.decode()
-    raise AssertionError(f"{wanted} was never logged")
+    raise AssertionError(f"{wanted} was not logged")
 
 
-async def test_a_node_starts_reloads_and_stops_by_signals(tmp_path):
-    async with PlatformSite([FakeWorker(Answer())]) as site:
-        site.model.put("op", "config", configuration())
+async def test_a_node_starts_reloads_and_stops_on_signals(tmp_path):
+    async with FakePlatform([FakeWorker(FakeResponse())]) as platform:
+        platform.model.put("op", "config", configuration())
         path = tmp_path / "node.toml"
-        store = site.store_proxy.address
+        store = platform.store_proxy.address
         text = (ROOT / "examples" / "serve.toml").read_text()
         text = re.sub(r"127\.0\.0\.1:71\d\d", "127.0.0.1:0", text)
         path.write_text(
             text.replace('address = "127.0.0.1:0"', f'address = "{store.host}:{store.port}"')
         )
-        process = await run("--settings", str(path))
+        process = await start_serve("--settings", str(path))
         started = await read_until(process.stdout, "event=started")
         address = re.search(r"callers=(\S+)", started)[1]
         await read_until(process.stdout, "event=workers_listed")
-        served = await site.ask_address(address, SAFE, "r1")
+        served = await platform.request_address(address, SAFE, "r1")
         assert served.status == 200
         process.send_signal(signal.SIGHUP)
         assert "changed=nothing" in await read_until(process.stdout, "event=reloaded")
@@ -139,7 +139,7 @@
         assert process.returncode == 0
 
 
-def test_a_deployed_node_gets_the_versions_that_are_tested():
+def test_deployed_package_versions_match_the_tested_ones():
     pins = re.compile(r"^([a-z-]+)==([\w.]+)", re.MULTILINE)
     deployed = dict(pins.findall((ROOT / "deploy" / "requirements.lock").read_text()))
     tested = dict(pins.findall((ROOT / "requirements.lock").read_text()))
@@ -148,23 +148,23 @@
     assert deployed.items() <= tested.items()
 
 
-def test_a_deployed_start_imports_nothing_of_the_command_line_or_of_our_own_cluster():
+def test_the_deployed_entry_point_imports_no_command_line_and_no_replicated_node():
     deployed = (ROOT / "deploy" / "requirements.lock").read_text()
     assert not re.search(r"^(rich|cappa)==", deployed, re.MULTILINE)
-    look = "import sys, foxwinch.platform.start; print(*sys.modules)"
-    asked = [sys.executable, "-c", look]
-    loaded = subprocess.run(asked, capture_output=True, text=True, check=True).stdout.split()
+    script = "import sys, foxwinch.platform.start; print(*sys.modules)"
+    command = [sys.executable, "-c", script]
+    loaded = subprocess.run(command, capture_output=True, text=True, check=True).stdout.split()
     assert "foxwinch.platform.process" in loaded
     assert not {"cappa", "foxwinch.cli", "foxwinch.settings.cluster", "foxwinch.node"} & set(loaded)
 
 
-# Guards against nodes that a change of settings ended before they had begun to listen.
+# Guards against SIGHUP killing a node that has not installed its signal handler yet.
 @pytest.mark.parametrize(
     "entry", [["-m", "foxwinch", "serve"], [str(ROOT / "deploy" / "start.py")]]
 )
-async def test_a_hangup_does_not_end_a_node_that_starts(tmp_path, entry):
-    async with PlatformSite([FakeWorker(Answer())]) as site:
-        store = site.store_proxy.address
+async def test_sighup_does_not_kill_a_starting_node(tmp_path, entry):
+    async with FakePlatform([FakeWorker(FakeResponse())]) as platform:
+        store = platform.store_proxy.address
         path = tmp_path / "node.toml"
         text = (ROOT / "examples" / "serve.toml").read_text()
         text = re.sub(r"127\.0\.0\.1:71\d\d", "127.0.0.1:0", text)
@@ -181,7 +181,7 @@
         async def is_importing():
             return "uvloop" in maps.read_text()
 
-        await until(is_importing, True)
+        await wait_until(is_importing, True)
         for _ in range(20):
             process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.01)
