--- a/src/foxwinch/bench/fleet/__init__.py
+++ b/src/foxwinch/bench/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of nodes in one process on virtual time, around the real decision code."""
+"""Simulate a fleet of nodes in one process and virtual time with the production decision code."""
--- a/src/foxwinch/bench/schedule/__init__.py
+++ b/src/foxwinch/bench/schedule/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments with scheduling policies on the model of the engines, on virtual time."""
+"""Compare scheduling policies on modelled engines in virtual time."""
--- a/src/foxwinch/bench/schedule/baselines.py
+++ b/src/foxwinch/bench/schedule/baselines.py
@@ -1,9 +1,8 @@
-"""Policies to compare with: what is usually put before a pool of engines.
+"""Baseline policies: common load balancers for a pool of inference engines.
 
-Each sends a call on at once and leaves the queue to the engine, which takes calls by priority,
-then first come first served. They know exactly what they have sent where, which is more than the
-lagging load reports would tell them, and the affinity router reads the same cache events as
-foxwinch.
+Each baseline dispatches a call on arrival and leaves queueing to the engine, which orders calls by
+priority, then by arrival. A baseline tracks its own dispatches exactly, which is more information
+than delayed load reports provide. The affinity router reads the same cache events as foxwinch.
 """
 
 from abc import ABC, abstractmethod
@@ -23,19 +22,20 @@
 from foxwinch.identifiers import CallId, WorkerId
 
 LOAD_BOUND = 1.25
-"""Affinity holds while a worker has at most this multiple of the mean number of calls: the value
-commonly used for consistent hashing with bounded loads."""
+"""Highest load of an affinity worker, as a multiple of the mean number of calls per worker.
+
+The value is the one commonly used for consistent hashing with bounded loads."""
 LOAD_SLACK = 2
-"""And so many calls more, so that the bound means something on an idle pool."""
+"""Calls added to `LOAD_BOUND`, so that the bound also works on an idle pool."""
 
 
 class ImmediateDispatch(ABC):
-    """Common to all baselines: choose a worker on arrival; subclasses say which."""
+    """Base of the baselines: dispatch every call on arrival; subclasses choose the worker."""
 
     uses_priority = False
 
     def __init__(self) -> None:
-        """Start without workers."""
+        """Create a policy without workers."""
         self.outstanding: dict[WorkerId, dict[CallId, PoolCall]] = {}
 
     def handle(self, event: PoolEvent, now: float) -> Sequence[PoolAction]:
@@ -63,10 +63,10 @@
 
 
 class RoundRobin(ImmediateDispatch):
-    """One worker after another, first come first served."""
+    """Cycle through the workers; engines serve calls in order of arrival."""
 
     def __init__(self) -> None:
-        """Start with the first worker."""
+        """Create a policy without workers."""
         super().__init__()
         self._next = 0
 
@@ -78,7 +78,7 @@
 
 
 class LeastLoaded(ImmediateDispatch):
-    """The worker with the fewest calls, first come first served."""
+    """Choose the worker with the fewest calls; engines serve calls in order of arrival."""
 
     def choose(self, call: PoolCall, now: float) -> WorkerId:
         """Return the least loaded worker."""
@@ -86,23 +86,23 @@
 
 
 class ClassPriority(LeastLoaded):
-    """The worker with the fewest calls; engines take calls by class."""
+    """Choose the worker with the fewest calls; engines serve calls by class."""
 
     uses_priority = True
 
 
 class PrefixAffinity(ImmediateDispatch):
-    """The worker with the longest cached prefix, within a bound on load; by class in the engine."""
+    """Choose the longest cached prefix within a load bound; engines serve calls by class."""
 
     uses_priority = True
 
     def __init__(self) -> None:
-        """Start with nothing known to be cached."""
+        """Create a policy with empty cache indexes."""
         super().__init__()
         self._indexes: dict[WorkerId, CacheIndex] = {}
 
     def handle(self, event: PoolEvent, now: float) -> Sequence[PoolAction]:
-        """Keep the index by what is sent and by cache events."""
+        """Update the cache indexes from dispatches and cache events."""
         if isinstance(event, WorkerJoined):
             blocks = event.description.cache_blocks
             self._indexes[event.description.worker] = CacheIndex(blocks)
@@ -115,7 +115,7 @@
         return [ResyncCache(event.worker)] if event.gap else []
 
     def choose(self, call: PoolCall, now: float) -> WorkerId:
-        """Return the worker with the longest prefix among those not overloaded."""
+        """Return the worker with the longest cached prefix among those within the load bound."""
         counts = {worker: len(calls) for worker, calls in self.outstanding.items()}
         bound = LOAD_BOUND * sum(counts.values()) / len(counts) + LOAD_SLACK
         allowed = [worker for worker in counts if counts[worker] <= bound]
--- a/src/foxwinch/bench/schedule/clairvoyant.py
+++ b/src/foxwinch/bench/schedule/clairvoyant.py
@@ -1,7 +1,8 @@
-"""A policy that knows each program's remaining work and each answer's length.
+"""A policy that knows the remaining work of each program and the output length of each call.
 
-It is a reference, not a proven bound: shortest remaining work first within a class, with the
-placement of foxwinch and exact lengths. No policy without that knowledge can order as well.
+It runs the shortest remaining work first within a class and uses the placement of foxwinch with
+exact output lengths. It is a reference and not a proven bound, although no policy without this
+knowledge can order calls as well.
 """
 
 from collections.abc import Callable
@@ -16,22 +17,22 @@
 from foxwinch.identifiers import CallId, ClassName
 
 CLASS_STEP_SECONDS = 1_000.0
-"""More than any program's remaining work: class first, then remaining work."""
+"""Exceeds the remaining work of any program, so that the class takes precedence."""
 
 
 class Clairvoyant(PoolScheduler):
-    """Shortest remaining program first within its class."""
+    """Run the program with the shortest remaining work first within its class."""
 
     remaining_seconds: Callable[[CallId], float]
     answer_tokens: Callable[[CallId], int]
 
     def __init__(self, objective: str) -> None:
-        """Use the placement of foxwinch without admission, which it needs less than others."""
+        """Use the placement of foxwinch without admission, which matters less for this policy."""
         chosen = "cache" if objective == "cache" else "latency"
         super().__init__(policy_for(chosen, Features(admission=False)))  # type: ignore[arg-type]
 
     def handle(self, event: PoolEvent, now: float) -> list[PoolAction]:
-        """Replace the asked bound on the answer by its true length."""
+        """Replace the requested output bound by the true output length."""
         if isinstance(event, CallArrived):
             tokens = self.answer_tokens(event.call.call_id)
             own_class = ClassName(event.call.call_id)
--- a/src/foxwinch/bench/schedule/command.py
+++ b/src/foxwinch/bench/schedule/command.py
@@ -1,4 +1,4 @@
-"""The whole experiment: trials, figures, file, report."""
+"""Run a scheduling experiment and write its JSON file and report."""
 
 import json
 from dataclasses import asdict, dataclass
@@ -22,20 +22,20 @@
 from foxwinch.bench.schedule.workload import STANDARD_WINDOW
 
 TARGET_LOAD = 0.85
-"""Load at which the targets are set, the ablation runs and distributions are plotted."""
+"""Load at which targets apply, the ablation runs and distributions are plotted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """What to run."""
+    """Options of an experiment."""
 
     deployment: str
     loads: tuple[float, ...]
     seeds: tuple[int, ...]
     policies: tuple[str, ...] = ()
-    """Empty: foxwinch, every baseline and the clairvoyant reference."""
+    """Policies to run; empty selects foxwinch, every baseline and the clairvoyant reference."""
     measured_seconds: float = STANDARD_WINDOW.measured_seconds
-    """Arrivals measured; warm-up and cool-down are in proportion."""
+    """Length of the measured arrival window; warm-up and cool-down scale with it."""
     ablation: bool = False
     decisions: bool = False
     json_file: Path | None = None
@@ -43,7 +43,7 @@
 
 
 def run_experiment(experiment: Experiment) -> dict[str, Any]:
-    """Run the trials with progress shown; write the file and the report where asked for."""
+    """Run the trials with a progress bar; write the JSON file and the report if requested."""
     trials = _trials(experiment)
     console = Console(stderr=True)
     with Progress(console=console) as bar:
@@ -65,7 +65,7 @@
 
 
 def experiment_document(experiment: Experiment, results: list[TrialResult]) -> dict[str, Any]:
-    """Return what the JSON file holds; the same trials give the same document."""
+    """Return the content of the JSON file; the same trials give the same document."""
     unloaded = unloaded_figures(experiment.deployment, experiment.seeds)
     return {
         "deployment": experiment.deployment,
@@ -77,7 +77,7 @@
 
 
 def encode_document(document: dict[str, Any]) -> str:
-    """Return the JSON text, keys in order."""
+    """Return the document as JSON with sorted keys."""
     return json.dumps(document, indent=1, sort_keys=True) + "\n"
 
 
--- a/src/foxwinch/bench/schedule/context.py
+++ b/src/foxwinch/bench/schedule/context.py
@@ -1,12 +1,12 @@
-"""Histories as block hashes: what the engines cache and the policies compare."""
+"""Conversation histories as block hashes, which engines cache and policies compare."""
 
 from dataclasses import dataclass
 
-PREFIX_HASHES = 1_000_000
-"""Hashes set aside for one shared system prompt."""
-FIRST_OWN_HASH = 1_000_000_000
-OWN_HASHES = 10_000
-"""Hashes set aside for one program or sub-agent: more than any history has blocks."""
+HASHES_PER_SYSTEM_PROMPT = 1_000_000
+"""Size of the hash range reserved for one shared system prompt."""
+FIRST_CONTEXT_HASH = 1_000_000_000
+HASHES_PER_CONTEXT = 10_000
+"""Size of the hash range of one program or sub-agent; no history has this many blocks."""
 
 
 @dataclass(slots=True)
@@ -17,16 +17,16 @@
     """Unique among programs and sub-agents."""
     block_tokens: int
     shared: tuple[int, ...]
-    """Hashes of whole blocks taken over from the system prompt or the parent's history."""
+    """Hashes of full blocks inherited from the system prompt or the parent's history."""
     tokens: int
 
     def hashes(self, tokens: int) -> tuple[int, ...]:
-        """Return the hash of each whole block of the first `tokens` tokens."""
-        whole = tokens // self.block_tokens
-        if whole <= len(self.shared):
-            return self.shared[:whole]
-        start = FIRST_OWN_HASH + self.number * OWN_HASHES
-        return self.shared + tuple(range(start + len(self.shared), start + whole))
+        """Return the hash of each full block of the first `tokens` tokens."""
+        full_blocks = tokens // self.block_tokens
+        if full_blocks <= len(self.shared):
+            return self.shared[:full_blocks]
+        start = FIRST_CONTEXT_HASH + self.number * HASHES_PER_CONTEXT
+        return self.shared + tuple(range(start + len(self.shared), start + full_blocks))
 
     def fork(self, number: int) -> "Context":
         """Return the history of a sub-agent that starts from this one."""
@@ -34,7 +34,7 @@
 
 
 def system_context(number: int, prefix: int, tokens: int, block_tokens: int) -> Context:
-    """Return the history of a new program: its system prompt."""
-    first = PREFIX_HASHES * prefix
+    """Return the history of a new program, which contains only its system prompt."""
+    first = HASHES_PER_SYSTEM_PROMPT * prefix
     shared = tuple(range(first, first + tokens // block_tokens))
     return Context(number, block_tokens, shared, tokens)
--- a/src/foxwinch/bench/schedule/decision_cost.py
+++ b/src/foxwinch/bench/schedule/decision_cost.py
@@ -1,4 +1,4 @@
-"""What a decision costs on this machine, against queue length and workers in the pool."""
+"""Measure the time of scheduling decisions by queue length and number of workers."""
 
 import time
 from collections.abc import Sequence
@@ -14,14 +14,14 @@
 QUEUE_LENGTHS = (0, 10, 100, 1_000, 10_000)
 WORKER_COUNTS = (4, 9, 18, 36)
 DECISIONS = 200
-SLOTS = 16
+SLOTS_PER_WORKER = 16
 PROMPT_BLOCKS = 40
 MODEL = ModelName("model")
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionCost:
-    """Mean time of taking in one arrival and one finished call."""
+    """Mean time to handle one arriving call and one finished call."""
 
     workers: int
     queued: int
@@ -32,39 +32,43 @@
 def measure_decisions(
     worker_counts: Sequence[int] = WORKER_COUNTS, queue_lengths: Sequence[int] = QUEUE_LENGTHS
 ) -> list[DecisionCost]:
-    """Measure every pair of queue length and number of workers."""
+    """Measure every combination of queue length and number of workers."""
     return [_measure(workers, queued) for workers in worker_counts for queued in queue_lengths]
 
 
 def _measure(workers: int, queued: int) -> DecisionCost:
     scheduler = PoolScheduler(policy_for("latency", Features(admission=False)))
     for index in range(workers):
-        description = WorkerDescription(WorkerId(f"w{index}"), (MODEL,), SLOTS, 1 << 20, 64)
+        description = WorkerDescription(
+            WorkerId(f"w{index}"), (MODEL,), SLOTS_PER_WORKER, 1 << 20, 64
+        )
         scheduler.handle(WorkerJoined(description), 0.0)
     running: list[CallId] = []
     number = 0
     now = 0.0
-    while scheduler.waiting_calls < queued or (queued == 0 and number < workers * SLOTS // 2):
+    while scheduler.waiting_calls < queued or (
+        queued == 0 and number < workers * SLOTS_PER_WORKER // 2
+    ):
         number += 1
-        running += _dispatched(scheduler, CallArrived(_call(number)), now)
+        running += _dispatched_calls(scheduler, CallArrived(_call(number)), now)
     arrival = finish = 0.0
     for _ in range(DECISIONS):
         now += 0.001
         number += 1
-        began = time.perf_counter()
-        started = _dispatched(scheduler, CallArrived(_call(number)), now)
-        arrival += time.perf_counter() - began
-        running += started
+        started_at = time.perf_counter()
+        dispatched = _dispatched_calls(scheduler, CallArrived(_call(number)), now)
+        arrival += time.perf_counter() - started_at
+        running += dispatched
         ended = CallFinished(running.pop(0), 2600, 0, 100)
-        began = time.perf_counter()
-        started = _dispatched(scheduler, ended, now)
-        finish += time.perf_counter() - began
-        running += started
+        started_at = time.perf_counter()
+        dispatched = _dispatched_calls(scheduler, ended, now)
+        finish += time.perf_counter() - started_at
+        running += dispatched
     scale = 1e6 / DECISIONS
     return DecisionCost(workers, queued, arrival * scale, finish * scale)
 
 
-def _dispatched(
+def _dispatched_calls(
     scheduler: PoolScheduler, event: CallArrived | CallFinished, now: float
 ) -> list[CallId]:
     actions = scheduler.handle(event, now)
--- a/src/foxwinch/bench/schedule/deployments.py
+++ b/src/foxwinch/bench/schedule/deployments.py
@@ -1,11 +1,11 @@
-"""The two deployments of the brief as workloads: classes, program shapes, pauses, peaks."""
+"""Workload shapes of the two example deployments: classes, programs, pauses, peaks."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class PauseShape:
-    """A log-normal pause: heavy-tailed."""
+    """Parameters of a log-normal, heavy-tailed pause."""
 
     median_seconds: float
     sigma: float
@@ -14,49 +14,52 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassShape:
-    """Programs of one class. Ranges are inclusive and drawn uniformly."""
+    """Shape of the programs of one class.
+
+    Ranges are inclusive and drawn uniformly; shares are fractions between 0 and 1.
+    """
 
     name: str
     rank: int
     deadline_seconds: float
     share: float
-    """Of all programs."""
+    """Share of all programs."""
     system_prefixes: tuple[int, ...]
     system_tokens: int
     turns: tuple[int, int]
     first_tokens: tuple[int, int]
-    """Fresh tokens of the first call."""
+    """New prompt tokens of the first call."""
     turn_tokens: tuple[int, int]
-    """Fresh tokens of each later turn."""
+    """New prompt tokens of each later turn."""
     output_tokens: tuple[int, int]
     tools: tuple[str, ...]
     """Tools that may follow a call."""
     tool_share: float
-    """Turns that take a tool call, and with it a second model call."""
+    """Share of turns with a tool call, which is followed by a second model call."""
     tool_tokens: tuple[int, int]
-    """Fresh tokens that a tool's result brings."""
-    talks: bool = False
-    """Turns are separated by the user's thinking."""
+    """New prompt tokens of a tool result."""
+    is_interactive: bool = False
+    """Whether the program waits for the user between turns."""
     parallel_share: float = 0.0
-    """Turns that start sub-agents."""
+    """Share of turns that start sub-agents."""
     abandoned_share: float = 0.0
     loop_share: float = 0.0
     peak_factor: float = 1.0
-    """Arrival rate during the peak, against the rest."""
+    """Arrival rate during the peak, relative to the rest of the run."""
     maximum_tokens: int = 512
-    """What callers ask for as the bound on an answer; all that a policy is told of its length."""
+    """Output bound that callers request; policies do not see the actual output length."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentShape:
-    """One deployment."""
+    """Shape of one deployment."""
 
     name: str
     engines: int
     objective: str
     classes: tuple[ClassShape, ...]
     urgent_class: str
-    prime_class: str
+    primary_class: str
     pauses: dict[str, PauseShape]
 
 
@@ -65,7 +68,7 @@
     engines=6,
     objective="latency",
     urgent_class="alert",
-    prime_class="coaching",
+    primary_class="coaching",
     pauses={
         "user": PauseShape(25.0, 1.0, 300.0),
         "session-log": PauseShape(0.4, 0.6, 10.0),
@@ -102,7 +105,7 @@
             tools=("session-log", "exercise-library"),
             tool_share=0.4,
             tool_tokens=(60, 300),
-            talks=True,
+            is_interactive=True,
             parallel_share=0.15,
             abandoned_share=0.12,
             loop_share=0.02,
@@ -134,7 +137,7 @@
     engines=7,
     objective="cache",
     urgent_class="booking",
-    prime_class="journey",
+    primary_class="journey",
     pauses={
         "user": PauseShape(20.0, 1.0, 300.0),
         "timetable": PauseShape(0.8, 0.9, 30.0),
@@ -171,7 +174,7 @@
             tools=("timetable", "hold-seats"),
             tool_share=0.6,
             tool_tokens=(100, 400),
-            talks=True,
+            is_interactive=True,
             parallel_share=0.15,
             abandoned_share=0.15,
             loop_share=0.02,
--- a/src/foxwinch/bench/schedule/engines.py
+++ b/src/foxwinch/bench/schedule/engines.py
@@ -1,4 +1,4 @@
-"""The engine models of a simulation, on its virtual time."""
+"""Engine models driven by the virtual time of a simulation."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,20 +7,20 @@
 from foxwinch.bench.simulator import Simulator
 from foxwinch.core.coordinator.calls import WorkerDescription
 from foxwinch.core.coordinator.events import BlockChange
-from foxwinch.emulator import engine_events as engine_side
+from foxwinch.emulator import engine_events
 from foxwinch.emulator.block_cache import CacheLedger
 from foxwinch.emulator.engine_model import EngineModel
 from foxwinch.emulator.engine_parameters import EngineParameters
 from foxwinch.identifiers import ModelName, WorkerId
 
 MODEL = ModelName("model")
-TakeOutput = Callable[[int, engine_side.EngineOutput, float], None]
-"""Called with an engine's number, what it gave and the time in seconds."""
+OutputHandler = Callable[[int, engine_events.EngineOutput, float], None]
+"""Callback that receives the engine number, its output and the time in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class CachePage:
-    """What changed in an engine's cache since the last page."""
+    """Changes to the cache of an engine since the previous page."""
 
     changes: tuple[BlockChange, ...]
     gap: bool
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineTotals:
-    """What the engines did in the whole run."""
+    """Totals over all engines for a complete run."""
 
     prefill_tokens: dict[str, int]
     wasted_prefill_tokens: dict[str, int]
@@ -38,7 +38,7 @@
 
 
 class Engines:
-    """Engines with one model loaded, by number."""
+    """A numbered set of engines with one model loaded."""
 
     def __init__(
         self,
@@ -46,12 +46,12 @@
         count: int,
         seed: int,
         simulator: Simulator,
-        take_output: TakeOutput,
+        on_output: OutputHandler,
     ) -> None:
-        """Start so many engines; each draws its random numbers from a seed of its own."""
+        """Create `count` engines, each with its own random seed."""
         self._parameters = parameters
         self._simulator = simulator
-        self._take_output = take_output
+        self._on_output = on_output
         self._ledger = CacheLedger()
         self._engines = [
             EngineModel(parameters, [MODEL], seed * 100 + number, self._ledger)
@@ -63,7 +63,7 @@
         self._last_sequence = [0] * count
 
     def description(self, number: int) -> WorkerDescription:
-        """Return what a policy is told of an engine."""
+        """Return the description of an engine for the policy."""
         return WorkerDescription(
             self.names[number],
             (MODEL,),
@@ -72,8 +72,8 @@
             self._parameters.block_tokens,
         )
 
-    def feed(self, number: int, event: engine_side.EngineInput, now: float) -> None:
-        """Give an engine an event and pass on what comes out of it."""
+    def feed(self, number: int, event: engine_events.EngineInput, now: float) -> None:
+        """Pass an event to an engine and forward its outputs to the callback."""
         engine = self._engines[number]
         outputs = engine.handle(event, now)
         self._versions[number] += 1
@@ -82,15 +82,15 @@
             version = self._versions[number]
             self._simulator.at(at, lambda: self._wake(number, version, self._simulator.now))
         for output in outputs:
-            self._take_output(number, output, now)
+            self._on_output(number, output, now)
 
-    def feed_all(self, event: engine_side.EngineInput, now: float) -> None:
-        """Give every engine an event."""
+    def feed_all(self, event: engine_events.EngineInput, now: float) -> None:
+        """Pass an event to every engine."""
         for number in range(len(self._engines)):
             self.feed(number, event, now)
 
     def new_cache_changes(self, number: int, now: float) -> CachePage | None:
-        """Return what changed in an engine's cache since the last page; None without a change."""
+        """Return the cache changes of an engine since the previous page, or None."""
         page = self._engines[number].cache_events(max(1, self._last_sequence[number]), now)
         if not page.events and not page.gap:
             return None
@@ -98,8 +98,8 @@
         changes = tuple(BlockChange(e.kind, e.block_hashes) for e in page.events)
         return CachePage(changes, page.gap)
 
-    def whole_cache(self, number: int, now: float) -> CachePage:
-        """Return all that is in an engine's cache."""
+    def full_cache(self, number: int, now: float) -> CachePage:
+        """Return the full cache content of an engine."""
         page = self._engines[number].cache_events(0, now)
         self._last_sequence[number] = page.next_sequence
         changes = tuple(BlockChange(e.kind, e.block_hashes) for e in page.events)
@@ -116,7 +116,7 @@
         )
 
     def totals(self, now: float) -> EngineTotals:
-        """Close the measurements and return them."""
+        """Close the cache measurements and return the totals."""
         prefill: dict[str, int] = {}
         wasted: dict[str, int] = {}
         for engine in self._engines:
@@ -131,4 +131,4 @@
 
     def _wake(self, number: int, version: int, now: float) -> None:
         if version == self._versions[number]:
-            self.feed(number, engine_side.Tick(), now)
+            self.feed(number, engine_events.Tick(), now)
--- a/src/foxwinch/bench/schedule/experiment.py
+++ b/src/foxwinch/bench/schedule/experiment.py
@@ -1,4 +1,4 @@
-"""Runs of policies side by side on the same arrivals, in up to four processes."""
+"""Run policies on the same arrivals, in up to four processes."""
 
 from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor, as_completed
@@ -14,7 +14,7 @@
     measured_latencies,
     run_figures,
 )
-from foxwinch.bench.schedule.plans import program_alone_seconds
+from foxwinch.bench.schedule.plans import unloaded_program_seconds
 from foxwinch.bench.schedule.policies import build_policy
 from foxwinch.bench.schedule.pool import RELEASE_LAG_SECONDS
 from foxwinch.bench.schedule.result import SimulationResult, TimelinePoint
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """One run: one policy on one workload."""
+    """One run of one policy on one workload."""
 
     deployment: str
     load: float
@@ -45,19 +45,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TrialResult:
-    """Figures of one run, and with `keep_samples` what plots need."""
+    """Figures of one run; samples and timeline are filled if `keep_samples` is set."""
 
     trial: Trial
     classes: dict[str, ClassFigures]
     utilization: float
     release_bound_token_seconds: float
-    """What the lag of one release takes for all tokens held when their programs ended."""
+    """Token seconds held if every cache release takes exactly the release lag."""
     samples: dict[str, list[float]] = field(default_factory=dict)
     timeline: list[TimelinePoint] = field(default_factory=list)
 
 
 def run_trial(trial: Trial) -> TrialResult:
-    """Run one trial; the same trial gives the same result."""
+    """Run one trial deterministically."""
     parameters = load_engine_parameters()
     shape = DEPLOYMENTS[trial.deployment]
     workload = build_workload(shape, trial.load, trial.seed, parameters, trial.window)
@@ -90,43 +90,43 @@
 def run_trials(
     trials: Sequence[Trial], progress: Callable[[TrialResult], None], processes: int = PROCESSES
 ) -> list[TrialResult]:
-    """Run trials in parallel; results come back in the order of the trials."""
-    found: dict[Trial, TrialResult] = {}
+    """Run trials in parallel and return the results in the order of the trials."""
+    results: dict[Trial, TrialResult] = {}
     with ProcessPoolExecutor(max_workers=processes) as pool:
         for future in as_completed([pool.submit(run_trial, trial) for trial in trials]):
             result = future.result()
-            found[result.trial] = result
+            results[result.trial] = result
             progress(result)
-    return [found[trial] for trial in trials]
+    return [results[trial] for trial in trials]
 
 
 def unloaded_figures(deployment: str, seeds: Sequence[int]) -> dict[str, Any]:
-    """Return each class's latency on idle engines with every history cached, over all seeds."""
+    """Return each class's latency on idle engines with cached histories, over all seeds."""
     parameters = load_engine_parameters()
     shape = DEPLOYMENTS[deployment]
     latencies: dict[str, list[float]] = {s.name: [] for s in shape.classes}
     for seed in seeds:
         workload = build_workload(shape, 0.5, seed, parameters)
         for plan in workload.programs:
-            if not plan.loops and plan.abandoned_after is None:
-                alone = program_alone_seconds(parameters, plan)
-                latencies[plan.class_name].append(alone)
+            if not plan.loops and plan.abandoned_call_index is None:
+                seconds = unloaded_program_seconds(parameters, plan)
+                latencies[plan.class_name].append(seconds)
     return {name: latency_figures(values) for name, values in latencies.items()}
 
 
 def summarize(results: Sequence[TrialResult]) -> dict[str, Any]:
-    """Return load -> policy -> class -> figures, means over seeds."""
+    """Return the mean figures over seeds, nested by load, policy and class."""
     grouped: dict[tuple[float, str], list[TrialResult]] = {}
     for result in results:
         grouped.setdefault((result.trial.load, result.trial.policy), []).append(result)
     document: dict[str, Any] = {}
-    for (load, policy), members in grouped.items():
+    for (load, policy), group in grouped.items():
         classes = {
-            name: mean_over_seeds([member.classes[name] for member in members])
-            for name in members[0].classes
+            name: mean_over_seeds([member.classes[name] for member in group])
+            for name in group[0].classes
         }
-        classes["all"]["utilization"] = sum(m.utilization for m in members) / len(members)
-        bound = sum(m.release_bound_token_seconds for m in members) / len(members)
+        classes["all"]["utilization"] = sum(r.utilization for r in group) / len(group)
+        bound = sum(r.release_bound_token_seconds for r in group) / len(group)
         classes["all"]["release_bound_token_seconds"] = bound
         document.setdefault(f"{load:g}", {})[policy] = classes
     return document
--- a/src/foxwinch/bench/schedule/figures.py
+++ b/src/foxwinch/bench/schedule/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run: by class and over all."""
+"""Figures of a run for each class and for all classes together."""
 
 from dataclasses import asdict, dataclass
 from typing import Any
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyFigures:
-    """Latency of programs, their own pauses not counted, in seconds."""
+    """Program latency in seconds, excluding the programs' own pauses."""
 
     mean: float
     p50: float
@@ -30,22 +30,22 @@
 
     program_latency_seconds: LatencyFigures
     deadline_miss: float
-    """Share of the programs neither refused nor abandoned that ended after their deadline."""
+    """Share of programs that missed their deadline, of those neither refused nor abandoned."""
     refused: float
-    """Share of the programs that gave up after refusals."""
+    """Share of programs that ended after repeated refusals."""
     wasted_prefill_tokens: int
     prefill_tokens: int
     wasted_ratio: float
     held_dead_token_seconds: float
     throughput: float
-    """Programs that gave their answer, a second."""
+    """Finished programs per second."""
     programs: int
     longest_seconds: float
-    """Longest latency: nobody is starved where it stays near the 99th percentile."""
+    """Longest latency; a value near the 99th percentile shows that no program starves."""
 
 
 def latency_figures(latencies: list[float]) -> LatencyFigures:
-    """Return mean and percentiles; zeros for no programs."""
+    """Return the mean and percentiles, or zeros without latencies."""
     if not latencies:
         return LatencyFigures(0.0, 0.0, 0.0, 0.0)
     p50, p95, p99 = np.percentile(latencies, [50, 95, 99])
@@ -53,7 +53,7 @@
 
 
 def run_figures(workload: Workload, result: SimulationResult) -> dict[str, ClassFigures]:
-    """Return the figures of each class and of all."""
+    """Return the figures of each class and of all classes together."""
     figures = {}
     names = [shape.name for shape in workload.deployment.classes]
     for name in (*names, ALL_CLASSES):
@@ -63,7 +63,7 @@
 
 
 def measured_latencies(workload: Workload, runs: list[ProgramRun]) -> list[float]:
-    """Return the latencies of measured programs that answered or would have."""
+    """Return the latencies of measured programs that finished or were still running."""
     counted = ("finished", "unfinished")
     return [
         run.latency_seconds
@@ -81,10 +81,10 @@
     missed = [r for r in answered if r.latency_seconds > deadlines[r.plan.class_name]]
     refused = [run for run in measured if run.outcome == "refused"]
     ids = {str(run.program_id) for run in runs}
-    prefill = _sum_of(result.prefill_tokens, ids)
-    wasted = _sum_of(result.wasted_prefill_tokens, ids)
+    prefill = _sum_for_programs(result.prefill_tokens, ids)
+    wasted = _sum_for_programs(result.wasted_prefill_tokens, ids)
     window = workload.duration_seconds - workload.window.warm_up_seconds
-    done = [run for run in runs if run.outcome == "finished" and _ends_in_window(workload, run)]
+    finished = [run for run in runs if run.outcome == "finished" and _ends_in_window(workload, run)]
     latencies = measured_latencies(workload, runs)
     return ClassFigures(
         program_latency_seconds=latency_figures(latencies),
@@ -93,8 +93,8 @@
         wasted_prefill_tokens=int(wasted),
         prefill_tokens=int(prefill),
         wasted_ratio=wasted / max(1.0, prefill),
-        held_dead_token_seconds=_sum_of(result.held_dead_token_seconds, ids),
-        throughput=len(done) / window,
+        held_dead_token_seconds=_sum_for_programs(result.held_dead_token_seconds, ids),
+        throughput=len(finished) / window,
         programs=len(measured),
         longest_seconds=max(latencies, default=0.0),
     )
@@ -102,17 +102,17 @@
 
 def _ends_in_window(workload: Workload, run: ProgramRun) -> bool:
     ended = run.ended_at_seconds
-    begins = workload.window.warm_up_seconds
-    return ended is not None and begins <= ended < workload.duration_seconds
+    start = workload.window.warm_up_seconds
+    return ended is not None and start <= ended < workload.duration_seconds
 
 
-def _sum_of(by_program: dict[str, Any], ids: set[str]) -> float:
-    """Sum over programs and their sub-agents, whose ids are `PROGRAM.NUMBER`."""
+def _sum_for_programs(by_program: dict[str, Any], ids: set[str]) -> float:
+    """Return the sum over programs and their sub-agents, whose IDs are `PROGRAM.NUMBER`."""
     return float(sum(v for program, v in by_program.items() if program.split(".")[0] in ids))
 
 
 def mean_over_seeds(figures: list[ClassFigures]) -> dict[str, Any]:
-    """Return the mean of every figure, and half the width of its confidence interval."""
+    """Return the mean of every figure and half the width of its confidence interval."""
     rows = [_flatten(asdict(figure)) for figure in figures]
     means, widths = {}, {}
     for key in rows[0]:
--- a/src/foxwinch/bench/schedule/plans.py
+++ b/src/foxwinch/bench/schedule/plans.py
@@ -1,4 +1,4 @@
-"""What a program of the workload will do; known to the simulation, unknown to the policies."""
+"""Predetermined behaviour of the programs in a workload, which policies do not see."""
 
 from dataclasses import dataclass
 
@@ -10,43 +10,43 @@
     """One model call and the pause after it."""
 
     fresh_tokens: int
-    """Prompt tokens beyond the history: a question, a tool's result."""
+    """Prompt tokens added to the history, such as a question or a tool result."""
     output_tokens: int
     tool: str
-    """Tool called afterwards; `user` waits for the user; empty when the program ends here."""
+    """Tool called afterwards; `user` waits for the user, empty ends the program."""
     pause_seconds: float
     children: tuple[tuple["CallPlan", ...], ...] = ()
-    """Sub-agents that run in parallel after the call; each starts from the history so far."""
+    """Sub-agents that run in parallel after the call; each inherits the current history."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProgramPlan:
-    """One program."""
+    """Behaviour of one program."""
 
     number: int
     class_name: str
     arrival_seconds: float
     system_prefix: int
-    """Which of the shared system prompts it starts with."""
+    """Number of the shared system prompt."""
     system_tokens: int
     calls: tuple[CallPlan, ...]
-    abandoned_after: int | None = None
-    """Index of the call that the caller gives up in or after, or None."""
-    abandoned_during: float | None = None
-    """Seconds into that call at which it is given up; None: in the pause after it."""
+    abandoned_call_index: int | None = None
+    """Index of the call during or after which the caller abandons the program, or None."""
+    abandon_delay_seconds: float | None = None
+    """Time from the submission of that call to the abandonment; None abandons after its pause."""
     loops: bool = False
-    """True when it repeats itself until it is stopped; it gives no answer."""
+    """Whether the program repeats a call until it is stopped, without a final output."""
 
 
 def call_work_seconds(parameters: EngineParameters, fresh_tokens: int, output_tokens: int) -> float:
-    """Return the engine time of a call whose history is cached, in a full batch."""
+    """Return the engine seconds of a call with cached history in a full batch."""
     shared_step = parameters.step_base_seconds / parameters.maximum_running
     prefill = fresh_tokens * parameters.prefill_token_seconds
     return prefill + output_tokens * (parameters.decode_sequence_seconds + shared_step)
 
 
 def program_work_seconds(parameters: EngineParameters, plan: ProgramPlan) -> float:
-    """Return the engine time of a program without any waste, in full batches."""
+    """Return the engine seconds of a program in full batches, with nothing computed twice."""
     total = 0.0
     for call in plan.calls:
         total += call_work_seconds(parameters, call.fresh_tokens, call.output_tokens)
@@ -56,25 +56,25 @@
     return total
 
 
-def call_alone_seconds(
+def unloaded_call_seconds(
     parameters: EngineParameters, fresh_tokens: int, output_tokens: int
 ) -> float:
-    """Return the latency of a call alone on an engine that has its history cached."""
+    """Return the latency of a single call on an idle engine that has its history cached."""
     steps = -(-fresh_tokens // parameters.step_tokens)
     prefill = steps * parameters.step_base_seconds + fresh_tokens * parameters.prefill_token_seconds
     step = parameters.step_base_seconds + parameters.decode_sequence_seconds
     return prefill + (output_tokens - 1) * step
 
 
-def program_alone_seconds(parameters: EngineParameters, plan: ProgramPlan) -> float:
-    """Return the latency of a program on idle engines, its own pauses not counted."""
+def unloaded_program_seconds(parameters: EngineParameters, plan: ProgramPlan) -> float:
+    """Return the latency of a program on idle engines, excluding its own pauses."""
     total = 0.0
     for call in plan.calls:
-        total += call_alone_seconds(parameters, call.fresh_tokens, call.output_tokens)
+        total += unloaded_call_seconds(parameters, call.fresh_tokens, call.output_tokens)
         total += max((_child_seconds(parameters, child) for child in call.children), default=0.0)
     return total
 
 
 def _child_seconds(parameters: EngineParameters, child: tuple[CallPlan, ...]) -> float:
-    running = sum(call_alone_seconds(parameters, c.fresh_tokens, c.output_tokens) for c in child)
+    running = sum(unloaded_call_seconds(parameters, c.fresh_tokens, c.output_tokens) for c in child)
     return running + sum(c.pause_seconds for c in child[:-1])
--- a/src/foxwinch/bench/schedule/plots.py
+++ b/src/foxwinch/bench/schedule/plots.py
@@ -16,7 +16,7 @@
 
 
 def plot_distributions(path: Path, results: list[TrialResult], policies: list[str]) -> None:
-    """Draw the distribution of latencies of each class, a line for each policy."""
+    """Plot the latency distribution of each class, with one line per policy."""
     kept = [r for r in results if r.samples and r.trial.policy in policies]
     names = list(kept[0].samples)
     figure, axes = plt.subplots(1, len(names), figsize=(5 * len(names), 4), squeeze=False)
@@ -35,7 +35,7 @@
 
 
 def plot_against_load(path: Path, document: dict[str, Any], class_name: str) -> None:
-    """Draw the 95th percentile of a class against load."""
+    """Plot the 95th percentile latency of a class against load."""
     figure, axis = plt.subplots(figsize=(6, 4))
     lines: dict[str, list[tuple[float, float]]] = {}
     for load, policies in document["loads"].items():
@@ -52,7 +52,7 @@
 
 
 def plot_waste(path: Path, policies: dict[str, Any]) -> None:
-    """Draw the wasted share of prefill of each policy."""
+    """Plot the wasted share of prefill tokens for each policy."""
     figure, axis = plt.subplots(figsize=(6, 4))
     ratios = [classes["all"]["wasted_ratio"] for classes in policies.values()]
     axis.barh(list(policies), ratios)
@@ -61,7 +61,7 @@
 
 
 def plot_timeline(path: Path, result: TrialResult) -> None:
-    """Draw running calls and used memory of each engine over time."""
+    """Plot the running calls and used cache blocks of each engine over time."""
     times = [point.at_seconds for point in result.timeline]
     figure, (upper, lower) = plt.subplots(2, 1, figsize=(9, 6), sharex=True)
     upper.stackplot(times, np.array([p.running for p in result.timeline]).T)
--- a/src/foxwinch/bench/schedule/policies.py
+++ b/src/foxwinch/bench/schedule/policies.py
@@ -1,4 +1,4 @@
-"""The policies of an experiment by name, and the variants of foxwinch for the ablation."""
+"""Policies of an experiment by name, including the variants of foxwinch for the ablation."""
 
 from collections.abc import Callable
 from dataclasses import fields, replace
@@ -24,16 +24,16 @@
     "class-priority": ClassPriority,
 }
 POLICY_NAMES = (FOXWINCH, *BASELINES, CLAIRVOYANT)
-WITHOUT = "without-"
-SETTINGS = "set:"
-"""`set:NAME=VALUE:NAME=VALUE` is foxwinch with other constants, for tuning."""
+WITHOUT_PREFIX = "without-"
+SETTINGS_PREFIX = "set:"
+"""Prefix of tuning variants: `set:NAME=VALUE:NAME=VALUE` overrides policy settings."""
 FEATURES = tuple(field.name for field in fields(Features))
-ABLATIONS = tuple(WITHOUT + feature.replace("_", "-") for feature in FEATURES)
+ABLATIONS = tuple(WITHOUT_PREFIX + feature.replace("_", "-") for feature in FEATURES)
 OBJECTIVES = ("objective-latency", "objective-cache")
 
 
 def build_policy(name: str, objective: Objective) -> PoolPolicy:
-    """Return a fresh policy; `without-FEATURE` is foxwinch with that feature turned off."""
+    """Return a new policy; `without-FEATURE` is foxwinch with that feature disabled."""
     if name in BASELINES:
         return BASELINES[name]()
     if name == CLAIRVOYANT:
@@ -42,18 +42,18 @@
         return PoolScheduler(policy_for("latency"))
     if name == "objective-cache":
         return PoolScheduler(policy_for("cache"))
-    if name.startswith(SETTINGS):
+    if name.startswith(SETTINGS_PREFIX):
         return PoolScheduler(_with_settings(policy_for(objective), name))
     features = Features()
-    if name.startswith(WITHOUT):
-        off = name.removeprefix(WITHOUT).replace("-", "_")
-        features = replace(features, **{off: False})
+    if name.startswith(WITHOUT_PREFIX):
+        disabled = name.removeprefix(WITHOUT_PREFIX).replace("-", "_")
+        features = replace(features, **{disabled: False})
     return PoolScheduler(policy_for(objective, features))
 
 
 def _with_settings(policy: PolicySettings, name: str) -> PolicySettings:
     changes: dict[str, Any] = {}
-    for part in name.removeprefix(SETTINGS).split(":"):
+    for part in name.removeprefix(SETTINGS_PREFIX).split(":"):
         field, _, value = part.partition("=")
         changes[field] = type(getattr(policy, field))(float(value))
     return replace(policy, **changes)
--- a/src/foxwinch/bench/schedule/pool.py
+++ b/src/foxwinch/bench/schedule/pool.py
@@ -1,4 +1,4 @@
-"""A pool in a simulation: one policy, the engines it decides for, and the calls in flight."""
+"""Simulated pool: one policy, its engines and the calls in flight."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -30,30 +30,30 @@
     TransferCompleted,
     WorkerJoined,
 )
-from foxwinch.emulator import engine_events as engine_side
+from foxwinch.emulator import engine_events
 from foxwinch.emulator.engine_parameters import EngineParameters
 from foxwinch.identifiers import CallId, ProgramId, WorkerId
 
 POLL_SECONDS = 0.5
-"""Cache events are read so often, and the policy learns that time has passed."""
+"""Interval at which cache events are polled; the policy gets a `Tick` if there are none."""
 RELEASE_LAG_SECONDS = 0.05
-"""From the decision to release cache until the engine has done it."""
+"""Delay between the decision to release or resynchronize a cache and its execution."""
 
 
-class PoolCallers(Protocol):
-    """Who is told what became of a call."""
+class CallListener(Protocol):
+    """Receives the outcome of calls."""
 
     def call_finished(self, chain: Chain, now: float) -> None:
-        """Take a call's whole answer."""
+        """Handle a completed call."""
         ...
 
     def call_refused(self, chain: Chain, retry_after_seconds: float | None, now: float) -> None:
-        """Take a refusal; None: asking again is of no use."""
+        """Handle a refused call; `retry_after_seconds` is None if a retry is pointless."""
         ...
 
 
 class Pool:
-    """Carries out what the policy decides."""
+    """Executes the actions of a policy on the engines."""
 
     def __init__(
         self,
@@ -61,53 +61,53 @@
         parameters: EngineParameters,
         policy: PoolPolicy,
         simulator: Simulator,
-        callers: PoolCallers,
+        listener: CallListener,
         keep_timeline: bool,
     ) -> None:
-        """Prepare engines with the model loaded."""
+        """Create the engines with the model loaded."""
         self._policy = policy
         self._simulator = simulator
-        self._callers = callers
+        self._listener = listener
         self._keep_timeline = keep_timeline
         count = workload.deployment.engines
-        self.engines = Engines(parameters, count, workload.seed, simulator, self._engine_output)
+        self.engines = Engines(parameters, count, workload.seed, simulator, self._handle_output)
         self.chains: dict[CallId, Chain] = {}
         """Chains whose call is queued or running."""
         self.timeline: list[TimelinePoint] = []
-        self._moves: dict[str, CopyPrefix] = {}
+        self._copies: dict[str, CopyPrefix] = {}
 
     def start(self) -> None:
-        """Tell the policy of every engine and begin to read cache events."""
+        """Announce every engine to the policy and start polling cache events."""
         count = len(self.engines.names)
         for number in range(count):
             self.decide(WorkerJoined(self.engines.description(number)), 0.0)
-            self._simulator.at(POLL_SECONDS * (1 + number / count), self._poll_of(number))
+            self._simulator.at(POLL_SECONDS * (1 + number / count), self._poller(number))
 
     def decide(self, event: PoolEvent, now: float) -> None:
-        """Give the policy an event and carry out what it decides."""
+        """Pass an event to the policy and execute its actions."""
         for action in self._policy.handle(event, now):
-            self._act(action, now)
+            self._execute(action, now)
 
     def add_call(self, chain: Chain, call: PoolCall, now: float) -> None:
-        """Take in the current call of a chain."""
+        """Submit the current call of a chain to the policy."""
         self.chains[call.call_id] = chain
         self.decide(CallArrived(call), now)
 
     def withdraw_call(self, chain: Chain, now: float) -> None:
-        """End the call of a chain without an answer, if one is queued or running."""
+        """Cancel the call of a chain if it is queued or running."""
         if chain.call_id is None or chain.call_id not in self.chains:
             return
         del self.chains[chain.call_id]
         if chain.engine is not None:
-            self.engines.feed(chain.engine, engine_side.CancelCall(chain.call_id), now)
+            self.engines.feed(chain.engine, engine_events.CancelCall(chain.call_id), now)
         self.decide(CallWithdrawn(chain.call_id), now)
 
     def end_program(self, program_id: ProgramId, now: float) -> None:
-        """Tell engines and policy that a program is over."""
-        self.engines.feed_all(engine_side.ProgramEnded(program_id), now)
+        """Notify the engines and the policy of the end of a program."""
+        self.engines.feed_all(engine_events.ProgramEnded(program_id), now)
         self.decide(ProgramEnded(program_id), now)
 
-    def _poll_of(self, number: int) -> Callable[[], None]:
+    def _poller(self, number: int) -> Callable[[], None]:
         def poll() -> None:
             now = self._simulator.now
             page = self.engines.new_cache_changes(number, now)
@@ -122,19 +122,19 @@
 
         return poll
 
-    # --- the policy's actions ----------------------------------------------------------------
+    # --- policy actions ----------------------------------------------------------------------
 
-    def _act(self, action: PoolAction, now: float) -> None:
+    def _execute(self, action: PoolAction, now: float) -> None:
         match action:
             case Dispatch():
                 self._dispatch(action, now)
             case RefuseCall():
                 chain = self.chains.pop(action.call_id)
-                self._callers.call_refused(chain, action.refused.retry_after_seconds, now)
+                self._listener.call_refused(chain, action.refused.retry_after_seconds, now)
             case CopyPrefix():
-                self._moves[action.call_id] = action
+                self._copies[action.call_id] = action
                 source = self.engines.numbers[action.source]
-                export = engine_side.ExportBlocks(action.call_id, action.block_hashes)
+                export = engine_events.ExportBlocks(action.call_id, action.block_hashes)
                 self.engines.feed(source, export, now)
             case ReleaseCache():
                 at = now + RELEASE_LAG_SECONDS
@@ -148,7 +148,7 @@
         chain.engine = self.engines.numbers[action.worker]
         chain.dispatched_at_seconds = now
         output = chain.plan.output_tokens
-        submit = engine_side.Submit(
+        submit = engine_events.Submit(
             action.call_id,
             chain.program_id,
             MODEL,
@@ -161,30 +161,30 @@
 
     def _release(self, action: ReleaseCache, now: float) -> None:
         number = self.engines.numbers[action.worker]
-        self.engines.feed(number, engine_side.ReleaseProgram(action.program_id), now)
+        self.engines.feed(number, engine_events.ReleaseProgram(action.program_id), now)
         self.decide(ReleaseCompleted(action.worker, action.program_id, True), now)
 
     def _resync(self, worker: WorkerId, now: float) -> None:
-        page = self.engines.whole_cache(self.engines.numbers[worker], now)
+        page = self.engines.full_cache(self.engines.numbers[worker], now)
         self.decide(CacheChanged(worker, page.changes, page.gap), now)
 
-    # --- what engines give -------------------------------------------------------------------
+    # --- engine outputs ----------------------------------------------------------------------
 
-    def _engine_output(self, number: int, output: engine_side.EngineOutput, now: float) -> None:
+    def _handle_output(self, number: int, output: engine_events.EngineOutput, now: float) -> None:
         match output:
-            case engine_side.CallCompleted():
-                self._completed(output, now)
-            case engine_side.BlocksExported():
-                self._exported(output, now)
-            case engine_side.BlocksImported():
+            case engine_events.CallCompleted():
+                self._handle_completed(output, now)
+            case engine_events.BlocksExported():
+                self._handle_exported(output, now)
+            case engine_events.BlocksImported():
                 done = output.blocks > 0
                 self.decide(TransferCompleted(CallId(output.transfer), done), now)
-            case engine_side.CallRejected():
+            case engine_events.CallRejected():
                 raise AssertionError(f"engine {number}: {output.detail}")
             case _:
                 pass
 
-    def _completed(self, output: engine_side.CallCompleted, now: float) -> None:
+    def _handle_completed(self, output: engine_events.CallCompleted, now: float) -> None:
         chain = self.chains.pop(output.call_id, None)
         if chain is None:
             return
@@ -194,14 +194,16 @@
             output.call_id, output.prompt_tokens, output.cached_tokens, output.completion_tokens
         )
         self.decide(finished, now)
-        self._callers.call_finished(chain, now)
+        self._listener.call_finished(chain, now)
 
-    def _exported(self, output: engine_side.BlocksExported, now: float) -> None:
-        move = self._moves.pop(output.transfer)
-        chain = self.chains.get(move.call_id)
+    def _handle_exported(self, output: engine_events.BlocksExported, now: float) -> None:
+        copy = self._copies.pop(output.transfer)
+        chain = self.chains.get(copy.call_id)
         if not output.block_hashes or chain is None:
-            self.decide(TransferCompleted(move.call_id, False), now)
+            self.decide(TransferCompleted(copy.call_id, False), now)
             return
-        target = self.engines.numbers[move.target]
-        importing = engine_side.ImportBlocks(output.transfer, chain.program_id, output.block_hashes)
-        self.engines.feed(target, importing, now)
+        target = self.engines.numbers[copy.target]
+        import_blocks = engine_events.ImportBlocks(
+            output.transfer, chain.program_id, output.block_hashes
+        )
+        self.engines.feed(target, import_blocks, now)
--- a/src/foxwinch/bench/schedule/pool_policy.py
+++ b/src/foxwinch/bench/schedule/pool_policy.py
@@ -1,4 +1,4 @@
-"""What an experiment asks of a policy."""
+"""Interface of the policies in an experiment."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -8,8 +8,8 @@
 
 
 class PoolPolicy(Protocol):
-    """What decides for the pool."""
+    """Makes the scheduling decisions of a pool."""
 
     def handle(self, event: PoolEvent, now: float) -> Sequence[PoolAction]:
-        """Take in an event and return what is to be done."""
+        """Handle an event and return the actions to execute."""
         ...
--- a/src/foxwinch/bench/schedule/report.py
+++ b/src/foxwinch/bench/schedule/report.py
@@ -1,4 +1,4 @@
-"""The report of an experiment: a Markdown page with plots."""
+"""Write the report of an experiment as a Markdown page with plots."""
 
 from pathlib import Path
 from typing import Any
@@ -12,8 +12,8 @@
     plot_timeline,
     plot_waste,
 )
-from foxwinch.bench.schedule.policies import FOXWINCH, OBJECTIVES, POLICY_NAMES, WITHOUT
-from foxwinch.bench.schedule.targets import targets_of
+from foxwinch.bench.schedule.policies import FOXWINCH, OBJECTIVES, POLICY_NAMES, WITHOUT_PREFIX
+from foxwinch.bench.schedule.targets import evaluate_targets
 
 
 def write_report(
@@ -29,7 +29,7 @@
     load = f"{kept[0].trial.load:g}"
     policies = [name for name in POLICY_NAMES if name in document["loads"][load]]
     plot_distributions(directory / "distributions.png", results, policies)
-    plot_against_load(directory / "load.png", document, shape.prime_class)
+    plot_against_load(directory / "load.png", document, shape.primary_class)
     plot_waste(directory / "waste.png", document["loads"][load])
     timeline = next((r for r in kept if r.trial.policy == FOXWINCH), kept[0])
     plot_timeline(directory / "timeline.png", timeline)
@@ -82,7 +82,7 @@
 
 
 def _targets(document: dict[str, Any], load: str) -> str:
-    targets = targets_of(document, load)
+    targets = evaluate_targets(document, load)
     if not targets:
         return ""
     lines = [
@@ -95,7 +95,7 @@
         clairvoyant = "" if target.clairvoyant is None else f"{target.clairvoyant:.2f}"
         reached = "yes" if target.is_reached else "**no**"
         lines.append(
-            f"| {target.name} | {target.reached_value:.3f} | {sign} {target.limit:g}"
+            f"| {target.name} | {target.measured_value:.3f} | {sign} {target.limit:g}"
             f" | {reached} | {clairvoyant} |"
         )
     return "\n".join(lines) + "\n"
@@ -103,7 +103,7 @@
 
 def _ablation(document: dict[str, Any], load: str) -> str:
     policies = document["loads"][load]
-    variants = [n for n in policies if n.startswith(WITHOUT) or n in OBJECTIVES]
+    variants = [n for n in policies if n.startswith(WITHOUT_PREFIX) or n in OBJECTIVES]
     if not variants:
         return ""
     classes = [shape.name for shape in DEPLOYMENTS[document["deployment"]].classes]
--- a/src/foxwinch/bench/schedule/result.py
+++ b/src/foxwinch/bench/schedule/result.py
@@ -1,4 +1,4 @@
-"""What a simulation gives; figures are made of it elsewhere."""
+"""Raw result of a simulation."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimelinePoint:
-    """The pool at one moment."""
+    """Load of the pool at one point in time."""
 
     at_seconds: float
     running: tuple[int, ...]
@@ -17,13 +17,13 @@
 
 @dataclass(slots=True)
 class SimulationResult:
-    """What one run gave."""
+    """Result of one simulation run."""
 
     runs: list[ProgramRun]
     prefill_tokens: dict[str, int]
     wasted_prefill_tokens: dict[str, int]
     held_dead_token_seconds: dict[str, float]
     ended_tokens: int
-    """Cache tokens held for programs at the moment they ended."""
+    """Cache tokens held for programs at the time they ended."""
     busy_seconds: float
     timeline: list[TimelinePoint] = field(default_factory=list)
--- a/src/foxwinch/bench/schedule/runs.py
+++ b/src/foxwinch/bench/schedule/runs.py
@@ -1,4 +1,4 @@
-"""Programs as they run in a simulation: chains of calls over a history."""
+"""Runtime state of simulated programs: chains of calls on a shared history."""
 
 from dataclasses import dataclass, field
 
@@ -9,32 +9,32 @@
 
 @dataclass(slots=True)
 class ProgramRun:
-    """One program of the workload and what became of it."""
+    """State and outcome of one program of the workload."""
 
     plan: ProgramPlan
     program_id: ProgramId
     paused_seconds: float = 0.0
-    """Its own pauses, which do not count for its latency."""
+    """Total of the program's own pauses, which do not count towards its latency."""
     service_seconds: float = 0.0
     chains: dict[ProgramId, "Chain"] = field(default_factory=dict)
-    """The program's own chain and those of its sub-agents that still run."""
-    children_left: int = 0
+    """The program's own chain and those of its running sub-agents."""
+    running_children: int = 0
     children_started: int = 0
     refusals: int = 0
     ended_at_seconds: float | None = None
     outcome: str = "unfinished"
-    """`finished`, `refused`, `abandoned`, `stopped` (a loop) or `unfinished`."""
+    """One of `finished`, `refused`, `abandoned`, `stopped` (a loop) and `unfinished`."""
 
     @property
     def latency_seconds(self) -> float:
-        """Time from arrival to end without own pauses."""
+        """Time from arrival to end, excluding the program's own pauses."""
         assert self.ended_at_seconds is not None
         return self.ended_at_seconds - self.plan.arrival_seconds - self.paused_seconds
 
 
 @dataclass(slots=True)
 class Chain:
-    """Calls one after another: a program's own or a sub-agent's."""
+    """Sequential calls of a program or of one of its sub-agents."""
 
     run: ProgramRun
     program_id: ProgramId
@@ -48,7 +48,7 @@
 
     @property
     def is_child(self) -> bool:
-        """Tell whether this is a sub-agent's."""
+        """Whether the chain belongs to a sub-agent."""
         return self.program_id != self.run.program_id
 
     @property
@@ -58,5 +58,5 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Tokens of the current call's prompt."""
+        """Prompt tokens of the current call."""
         return self.context.tokens + self.plan.fresh_tokens
--- a/src/foxwinch/bench/schedule/simulation.py
+++ b/src/foxwinch/bench/schedule/simulation.py
@@ -1,4 +1,4 @@
-"""The programs of a workload as callers of a pool, on virtual time."""
+"""Simulate the programs of a workload as callers of a pool in virtual time."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -6,7 +6,7 @@
 
 from foxwinch.bench.schedule.context import system_context
 from foxwinch.bench.schedule.engines import MODEL
-from foxwinch.bench.schedule.plans import CallPlan, program_alone_seconds
+from foxwinch.bench.schedule.plans import CallPlan, unloaded_program_seconds
 from foxwinch.bench.schedule.pool import Pool
 from foxwinch.bench.schedule.pool_policy import PoolPolicy
 from foxwinch.bench.schedule.result import SimulationResult
@@ -19,16 +19,16 @@
 from foxwinch.identifiers import CallId, ClassName, ProgramId, TenantName, ToolName
 
 TENANT = TenantName("tenant")
-RETRIES = 3
-"""A refused program asks again after the time it was told, so often; then it gives up."""
-CHILD_NUMBERS = 1_000_000
-"""Numbers of sub-agents' histories start here."""
+MAX_RETRIES = 3
+"""Retries of a program over all its calls; the next refusal ends the program."""
+FIRST_CHILD_NUMBER = 1_000_000
+"""First history number of sub-agents, above the numbers of programs."""
 MAX_DRAIN_SECONDS = 7200.0
-"""Programs that have not ended so long after the last arrival count as unfinished."""
+"""Time after the last arrival at which running programs count as unfinished."""
 
 
 class Simulation:
-    """One run."""
+    """One simulation run of a workload under one policy."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         policy: PoolPolicy,
         keep_timeline: bool = False,
     ) -> None:
-        """Prepare the pool and programs at their arrival times."""
+        """Create the pool; `run` schedules the arrivals."""
         self._parameters = parameters
         self._shapes = {shape.name: shape for shape in workload.deployment.classes}
         self._workload = workload
@@ -45,11 +45,11 @@
         self._pool = Pool(workload, parameters, policy, self._simulator, self, keep_timeline)
         self._unfinished = 0
         self._calls = 0
-        self._children = CHILD_NUMBERS
+        self._children = FIRST_CHILD_NUMBER
         self._runs: list[ProgramRun] = []
 
     def run(self) -> SimulationResult:
-        """Run until every program has ended."""
+        """Run until every program has ended or the drain time is over."""
         self._pool.start()
         for plan in self._workload.programs:
             run = ProgramRun(plan, ProgramId(f"p{plan.number}"))
@@ -76,14 +76,14 @@
         )
 
     def remaining_seconds(self, call_id: CallId) -> float:
-        """Return what is left of the call's program on idle engines, for a clairvoyant policy."""
+        """Return the remaining latency of a call's program on idle engines, for `Clairvoyant`."""
         run = self._pool.chains[call_id].run
         position = run.chains[run.program_id].position
         rest = replace(run.plan, calls=run.plan.calls[position:])
-        return program_alone_seconds(self._parameters, rest)
+        return unloaded_program_seconds(self._parameters, rest)
 
     def answer_tokens(self, call_id: CallId) -> int:
-        """Return the true length of a call's answer, for a clairvoyant policy."""
+        """Return the true output length of a call, for `Clairvoyant`."""
         return self._pool.chains[call_id].plan.output_tokens
 
     def _start(self, run: ProgramRun) -> None:
@@ -93,10 +93,10 @@
         )
         chain = Chain(run, run.program_id, context, plan.calls)
         run.chains[chain.program_id] = chain
-        self._ask(chain, self._simulator.now)
+        self._submit_call(chain, self._simulator.now)
 
-    def _ask(self, chain: Chain, now: float) -> None:
-        """Ask for the chain's current call, unless the program has ended."""
+    def _submit_call(self, chain: Chain, now: float) -> None:
+        """Submit the current call of a chain, unless the program has ended."""
         run = chain.run
         if run.ended_at_seconds is not None:
             return
@@ -104,7 +104,7 @@
         chain.call_id = CallId(f"c{self._calls}")
         chain.engine = None
         shape = self._shapes[run.plan.class_name]
-        spent = now - run.plan.arrival_seconds - run.paused_seconds
+        elapsed = now - run.plan.arrival_seconds - run.paused_seconds
         call = PoolCall(
             call_id=chain.call_id,
             program_id=chain.program_id,
@@ -116,22 +116,22 @@
             output_tokens=shape.maximum_tokens,
             prefix_hashes=chain.context.hashes(chain.prompt_tokens),
             service_seconds=run.service_seconds,
-            deadline_at_seconds=now + shape.deadline_seconds - spent,
+            deadline_at_seconds=now + shape.deadline_seconds - elapsed,
             tree_id=run.program_id if chain.is_child else None,
         )
-        self._plan_abandonment(chain, now)
+        self._schedule_abandonment(chain, now)
         self._pool.add_call(chain, call, now)
 
-    def _plan_abandonment(self, chain: Chain, now: float) -> None:
+    def _schedule_abandonment(self, chain: Chain, now: float) -> None:
         plan = chain.run.plan
-        if chain.is_child or plan.abandoned_after != chain.position:
+        if chain.is_child or plan.abandoned_call_index != chain.position:
             return
-        if plan.abandoned_during is not None:
-            at = now + plan.abandoned_during
+        if plan.abandon_delay_seconds is not None:
+            at = now + plan.abandon_delay_seconds
             self._simulator.at(at, lambda: self._end(chain.run, "abandoned", self._simulator.now))
 
     def call_finished(self, chain: Chain, now: float) -> None:
-        """Go on after a finished call."""
+        """Continue the program after a finished call."""
         run, plan = chain.run, chain.plan
         chain.context.tokens = chain.prompt_tokens + plan.output_tokens
         chain.position += 1
@@ -140,19 +140,19 @@
         elif plan.tool:
             self._pause(chain, plan.tool, plan.pause_seconds, now)
         elif chain.is_child:
-            self._child_over(chain, now)
+            self._end_child(chain, now)
         else:
             self._end(run, "stopped" if run.plan.loops else "finished", now)
 
     def call_refused(self, chain: Chain, retry_after_seconds: float | None, now: float) -> None:
-        """Ask again after the time told, or give up."""
+        """Retry after the given delay, or end the program."""
         run = chain.run
         run.refusals += 1
-        if run.refusals > RETRIES or retry_after_seconds is None:
+        if run.refusals > MAX_RETRIES or retry_after_seconds is None:
             self._end(run, "refused", now)
         else:
             self._simulator.at(
-                now + retry_after_seconds, lambda: self._ask(chain, self._simulator.now)
+                now + retry_after_seconds, lambda: self._submit_call(chain, self._simulator.now)
             )
 
     def _pause(self, chain: Chain, tool: str, seconds: float, now: float) -> None:
@@ -160,37 +160,37 @@
         self._pool.decide(ProgramPaused(chain.program_id, ToolName(tool)), now)
         if not chain.is_child:
             run.paused_seconds += seconds
-        leaves = not chain.is_child and run.plan.abandoned_after == chain.position - 1
-        if leaves:
+        is_abandoned = not chain.is_child and run.plan.abandoned_call_index == chain.position - 1
+        if is_abandoned:
             self._simulator.at(
                 now + seconds, lambda: self._end(run, "abandoned", self._simulator.now)
             )
         else:
-            self._simulator.at(now + seconds, lambda: self._ask(chain, self._simulator.now))
+            self._simulator.at(now + seconds, lambda: self._submit_call(chain, self._simulator.now))
 
     def _start_children(
         self, parent: Chain, children: Sequence[Sequence[CallPlan]], now: float
     ) -> None:
         run = parent.run
-        run.children_left = len(children)
+        run.running_children = len(children)
         for calls in children:
             run.children_started += 1
             self._children += 1
             program_id = ProgramId(f"{run.program_id}.{run.children_started}")
             child = Chain(run, program_id, parent.context.fork(self._children), tuple(calls))
             run.chains[program_id] = child
-            self._ask(child, now)
+            self._submit_call(child, now)
 
-    def _child_over(self, child: Chain, now: float) -> None:
+    def _end_child(self, child: Chain, now: float) -> None:
         run = child.run
         del run.chains[child.program_id]
         self._pool.end_program(child.program_id, now)
-        run.children_left -= 1
-        if run.children_left == 0:
-            self._ask(run.chains[run.program_id], now)
+        run.running_children -= 1
+        if run.running_children == 0:
+            self._submit_call(run.chains[run.program_id], now)
 
     def _end(self, run: ProgramRun, outcome: str, now: float) -> None:
-        """End a program: withdraw its calls, then tell that its chains are over."""
+        """End a program: cancel its calls, then notify the pool of the end of its chains."""
         if run.ended_at_seconds is not None:
             return
         run.ended_at_seconds = now
--- a/tests/test_bench_schedule.py
+++ b/tests/test_bench_schedule.py
@@ -1,4 +1,4 @@
-"""The experiment tool: same seed, same bytes; fair and whole runs."""
+"""Scheduling experiments are deterministic, and every program ends under every policy."""
 
 import json
 
@@ -20,7 +20,7 @@
     return Trial(deployment, 0.5, 1, policy, keep_samples=True, window=SHORT)
 
 
-def test_same_seed_gives_the_same_bytes_and_a_report(tmp_path) -> None:
+def test_same_seed_gives_an_identical_document_and_a_report(tmp_path) -> None:
     names = ("foxwinch", "prefix-affinity", "clairvoyant")
     experiment = Experiment("physio", (0.5,), (1,))
     texts, results = [], []
@@ -45,7 +45,7 @@
     assert 0 <= figures.wasted_prefill_tokens <= figures.prefill_tokens
 
 
-def test_offered_work_is_the_load_and_seeds_share_programs_across_loads() -> None:
+def test_a_seed_gives_the_same_programs_at_every_load() -> None:
     parameters = load_engine_parameters()
     low = build_workload(DEPLOYMENTS["cledwyn"], 0.5, 3, parameters, SHORT)
     high = build_workload(DEPLOYMENTS["cledwyn"], 0.9, 3, parameters, SHORT)
@@ -54,8 +54,8 @@
     assert len(high.programs) > 1.5 * len(low.programs)
 
 
-def test_release_of_ended_programs_holds_no_longer_than_one_release_takes() -> None:
-    ours = run_trial(trial("foxwinch", "cledwyn"))
-    theirs = run_trial(trial("least-loaded", "cledwyn"))
-    assert ours.classes["all"].held_dead_token_seconds <= ours.release_bound_token_seconds
-    assert theirs.classes["all"].held_dead_token_seconds > theirs.release_bound_token_seconds
+def test_cache_of_ended_programs_is_held_no_longer_than_one_release_takes() -> None:
+    foxwinch = run_trial(trial("foxwinch", "cledwyn"))
+    baseline = run_trial(trial("least-loaded", "cledwyn"))
+    assert foxwinch.classes["all"].held_dead_token_seconds <= foxwinch.release_bound_token_seconds
+    assert baseline.classes["all"].held_dead_token_seconds > baseline.release_bound_token_seconds
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 from foxwinch.bench.fleet.fleet import Fleet, FleetShape
 from foxwinch.bench.fleet.network import NetworkModel
-from foxwinch.bench.fleet.node import HollowNode
+from foxwinch.bench.fleet.node import SimulatedNode
 from foxwinch.core.membership.engine import MembershipEngine
 from foxwinch.core.membership.entry import MAX_PAYLOAD_BYTES, GossipEntry, GossipKind
 from foxwinch.core.membership.member import Member, MemberState
@@ -23,7 +23,7 @@
 
 
 def converged_fleet(nodes: int, seed: int = 1, loss: float = 0.0, regions: int = 1) -> Fleet:
-    model = NetworkModel(loss=loss, world_loss=loss)
+    model = NetworkModel(loss=loss, inter_region_loss=loss)
     fleet = Fleet(FleetShape(nodes, regions, 3 * regions), seed, model)
     fleet.start_all()
     run_until_converged(fleet)
@@ -34,12 +34,12 @@
     end = fleet.simulator.now + limit_seconds
     while True:
         fleet.run(0.5)
-        if fleet.converged():
+        if fleet.is_converged():
             return
         assert fleet.simulator.now < end, "not converged"
 
 
-def state_at(observer: HollowNode, node: HollowNode) -> MemberState:
+def state_at(observer: SimulatedNode, node: SimulatedNode) -> MemberState:
     return next(m.state for m in observer.engine.members() if m.node == node.node)
 
 
@@ -59,17 +59,17 @@
     fleet.start_all()
     fleet.run(2)
     for number, (fault, index) in enumerate(faults):
-        node = fleet.nodes[fleet.places[index % nodes].address]
+        node = fleet.nodes[fleet.locations[index % nodes].address]
         apply(fleet, fault, node)
         if node.running and not node.paused:
             node.publish(GossipEntry(GossipKind.SHARD, f"shard/{index}", number + 1, b"owner"))
         fleet.run(4)
-    for place in fleet.places:
-        node = fleet.nodes[place.address]
+    for location in fleet.locations:
+        node = fleet.nodes[location.address]
         if node.paused:
             node.resume()
         if not node.running:
-            fleet.start(place)
+            fleet.start(location)
     fleet.network.model.loss = 0.0
     run_until_converged(fleet, 200)
     fleet.run(30)
@@ -79,7 +79,7 @@
     assert {entry.owner for entry in held[0].values()} <= present
 
 
-def apply(fleet: Fleet, fault: str, node: HollowNode) -> None:
+def apply(fleet: Fleet, fault: str, node: SimulatedNode) -> None:
     if not node.running:
         return
     if fault == "kill":
@@ -89,7 +89,7 @@
         node.stop()
     elif fault == "restart":
         node.kill()
-        fleet.start(node.place)
+        fleet.start(node.location)
     elif fault == "pause":
         node.pause()
     else:
@@ -117,7 +117,7 @@
     fleet.run(3)
     assert "digest/old" in watcher.engine.entries(GossipKind.COORDINATOR)
     old.kill()
-    new = fleet.start(old.place)
+    new = fleet.start(old.location)
     fleet.run(2)
     assert state_at(watcher, old) is MemberState.DEAD
     assert state_at(watcher, new) is MemberState.ALIVE
@@ -140,18 +140,18 @@
 def test_isolated_region_continues_and_merges_after_the_partition() -> None:
     fleet = converged_fleet(18, regions=3)
     far = RegionName("region-1")
-    inside = next(node for node in fleet.running() if node.place.region == far)
-    outside = next(node for node in fleet.running() if node.place.region != far)
+    inside = next(node for node in fleet.running() if node.location.region == far)
+    outside = next(node for node in fleet.running() if node.location.region != far)
     fleet.run(60)
     assert [r.cut_off for r in outside.engine.regions(fleet.simulator.now)] == [False] * 3
-    fleet.network.model.cut_regions.add(far)
+    fleet.network.model.isolated_regions.add(far)
     outside.publish(GossipEntry(GossipKind.CONFIGURATION, "head", 7, b"seven"))
     fleet.run(200)
     assert "head" not in inside.engine.entries(GossipKind.CONFIGURATION)
     silent = {r.region: r.cut_off for r in outside.engine.regions(fleet.simulator.now)}
-    assert silent == {outside.place.region: False, "region-2": False, far: True}
-    assert fleet.converged()
-    fleet.network.model.cut_regions.clear()
+    assert silent == {outside.location.region: False, "region-2": False, far: True}
+    assert fleet.is_converged()
+    fleet.network.model.isolated_regions.clear()
     fleet.run(30)
     assert inside.engine.entries(GossipKind.CONFIGURATION)["head"].version == 7
 
