--- a/src/foxwinch/bench/overhead.py
+++ b/src/foxwinch/bench/overhead.py
@@ -1,7 +1,8 @@
-"""What a node adds to a request, against a bare pass-through to the same engine.
+"""Measure the overhead of a node relative to a pass-through proxy for the same engine.
 
-Both sides answer the same requests from the same engine process in the same run, in rounds whose
-order alternates, so that other work on the machine falls on both. Only ratios are compared.
+Both sides serve the same requests from the same engine process in the same run. The order of the
+sides alternates between rounds, so that other load on the machine affects both. Only ratios are
+compared.
 """
 
 import asyncio
@@ -49,19 +50,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One load."""
+    """Load of one measurement."""
 
     outstanding: int
     chunks: int
     requests: int
-    """In one round, to each side."""
+    """Requests to each side in one round."""
 
 
 CASES = (Case(1, 8, 200), Case(1, 200, 60), Case(32, 8, 1_500), Case(32, 200, 150))
 WARM_UP_REQUESTS = 100
-START_SECONDS = 60.0
-SERVED_REQUESTS = 300
-"""In a row without a refusal, before anything is measured."""
+START_TIMEOUT_SECONDS = 60.0
+READY_REQUESTS = 300
+"""Successive requests that must succeed before the measurement starts."""
 START_RETRY_SECONDS = 0.2
 
 
@@ -77,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SideFigures:
-    """Medians over the rounds."""
+    """Figures of one side: medians over the rounds, and mean processor time per request."""
 
     requests_per_second: float
     chunks_per_second: float
@@ -87,17 +88,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CaseFigures:
-    """Ratios of one case, each the median of the rounds' ratios."""
+    """Ratios of one case, each the median of the ratios per round."""
 
     outstanding: int
     chunks: int
     throughput_ratio: float
-    """Requests a second of the node to those of the pass-through."""
+    """Requests per second of the node, relative to the pass-through."""
     chunk_ratio: float
     added_latency_ratio: float | None
-    """Median latency above the engine's own: the node's to the pass-through's.
+    """Median latency added to the engine's own by the node, relative to the pass-through.
 
-    None above 1 outstanding request, where requests wait for each other at the engine too.
+    None above 1 outstanding request, where requests also queue behind each other at the engine.
     """
     direct: SideFigures
     pass_through: SideFigures
@@ -106,14 +107,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OverheadReport:
-    """All cases and the ratios that have a goal."""
+    """Figures of all cases, and the ratios that have a goal."""
 
     throughput_ratio: float
-    """Lowest at the most outstanding requests; goal: at least 0.5."""
+    """Lowest ratio with the most outstanding requests; goal: at least 0.5."""
     chunk_ratio: float
-    """Lowest at the most outstanding requests; goal: at least 0.5."""
+    """Lowest ratio with the most outstanding requests; goal: at least 0.5."""
     added_latency_ratio: float
-    """Highest at 1 outstanding request; goal: at most 2.5."""
+    """Highest ratio at 1 outstanding request; goal: at most 2.5."""
     rounds: int
     journal: str
     cases: tuple[CaseFigures, ...]
@@ -124,17 +125,17 @@
 
 
 def run_overhead(
-    rounds: int, tell: Callable[[str], None], cases: Sequence[Case] = CASES
+    rounds: int, print_line: Callable[[str], None], cases: Sequence[Case] = CASES
 ) -> OverheadReport:
-    """Start the processes, run every case, stop the processes."""
+    """Start the processes, run every case and stop the processes."""
     with ExitStack() as stack:
         directory = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         sides = _start(stack, directory)
-        asyncio.run(_wait_until_served(sides[2]))
+        asyncio.run(_wait_until_ready(sides[2]))
         figures = []
         for case in cases:
             figures.append(asyncio.run(_run_case(sides, case, rounds)))
-            tell(_line(figures[-1]))
+            print_line(_format_case(figures[-1]))
     busiest = [f for f in figures if f.outstanding == max(c.outstanding for c in cases)]
     single = [f for f in figures if f.outstanding == min(c.outstanding for c in cases)]
     return OverheadReport(
@@ -182,7 +183,7 @@
     emulator: BenchProcess,
     log: Path,
 ) -> BenchProcess:
-    """Start a node in each zone, each after the first joining it; returns the first."""
+    """Start a node in each zone and return the first one, which the others join."""
     nodes: list[BenchProcess] = []
     for settings in files.nodes:
         arguments = ["--settings", str(settings), "--configuration", str(configuration)]
@@ -203,10 +204,10 @@
     return flags
 
 
-async def _wait_until_served(side: Side) -> None:
-    """Ask until a whole round is served: fresh nodes still take workers over."""
-    load = _load(side, Case(1, 1, 1), SERVED_REQUESTS)
-    async with asyncio.timeout(START_SECONDS):
+async def _wait_until_ready(side: Side) -> None:
+    """Retry until a full round succeeds, as new nodes must first take over the workers."""
+    load = _load(side, Case(1, 1, 1), READY_REQUESTS)
+    async with asyncio.timeout(START_TIMEOUT_SECONDS):
         while True:
             with suppress(IncompleteAnswerError):
                 await run_load(load)
@@ -243,7 +244,9 @@
 def _added_latency_ratio(case: Case, compared: list[tuple[LoadResult, ...]]) -> float | None:
     if case.outstanding > 1:
         return None
-    return statistics.median(_added(d, n) / _added(d, p) for d, p, n in compared)
+    return statistics.median(
+        _added_latency_seconds(d, n) / _added_latency_seconds(d, p) for d, p, n in compared
+    )
 
 
 def _load(side: Side, case: Case, requests: int) -> Load:
@@ -259,12 +262,12 @@
     return Load(side.url, request, requests, case.outstanding, case.chunks)
 
 
-def _added(direct: LoadResult, side: LoadResult) -> float:
-    """Return the median latency that a side adds to the engine's own."""
-    return _median(side) - _median(direct)
+def _added_latency_seconds(direct: LoadResult, side: LoadResult) -> float:
+    """Return the median latency that a side adds to that of the engine."""
+    return _median_latency_seconds(side) - _median_latency_seconds(direct)
 
 
-def _median(result: LoadResult) -> float:
+def _median_latency_seconds(result: LoadResult) -> float:
     return statistics.median(result.latencies_seconds)
 
 
@@ -273,12 +276,12 @@
     return SideFigures(
         statistics.median(result.requests_per_second for result in rounds),
         statistics.median(result.chunks_per_second for result in rounds),
-        statistics.median(_median(result) for result in rounds),
+        statistics.median(_median_latency_seconds(result) for result in rounds),
         processor_seconds / requests,
     )
 
 
-def _line(figures: CaseFigures) -> str:
+def _format_case(figures: CaseFigures) -> str:
     added = figures.added_latency_ratio
     return (
         f"outstanding={figures.outstanding} chunks={figures.chunks} "
--- a/src/foxwinch/bench/peer_echo.py
+++ b/src/foxwinch/bench/peer_echo.py
@@ -1,4 +1,4 @@
-"""Processor time of one request between two nodes, both sides in one process on loopback."""
+"""Measure the processor time of a peer request, with both sides in one process on loopback."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EchoFigures:
-    """Figures of one run; processor time is of both sides together."""
+    """Figures of one round; processor time includes both sides."""
 
     calls: int
     payload_bytes: int
@@ -27,11 +27,11 @@
     calls_per_second: float
     processor_seconds_per_call: float
     latency_seconds_p50: float
-    """Of calls made one after another."""
+    """Median latency of sequential calls."""
 
 
 def run_echo(calls: int, rounds: int) -> dict[str, object]:
-    """Measure several rounds and return the report."""
+    """Measure `rounds` rounds of `calls` calls and return the report."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         figures = [asdict(runner.run(_round(calls))) for _ in range(rounds)]
     command = f"foxwinch bench peer --calls {calls} --rounds {rounds}"
@@ -43,19 +43,19 @@
 
 
 async def _round(calls: int) -> EchoFigures:
-    asking, serving = PeerService(NodeId("asking")), PeerService(NodeId("serving"))
-    serving.handle("echo", _echo)
-    await asking.start()
-    await serving.start()
+    client, server = PeerService(NodeId("asking")), PeerService(NodeId("serving"))
+    server.handle("echo", _echo)
+    await client.start()
+    await server.start()
     try:
-        await _call_many(asking, serving, WARM_UP_CALLS)
+        await _run_calls(client, server, WARM_UP_CALLS)
         wall, processor = time.perf_counter(), time.process_time()
-        await _call_many(asking, serving, calls)
+        await _run_calls(client, server, calls)
         wall, processor = time.perf_counter() - wall, time.process_time() - processor
-        latency = await _latency(asking, serving)
+        latency = await _median_latency_seconds(client, server)
     finally:
-        await asking.stop()
-        await serving.stop()
+        await client.stop()
+        await server.stop()
     return EchoFigures(
         calls=calls,
         payload_bytes=PAYLOAD_BYTES,
@@ -66,21 +66,21 @@
     )
 
 
-async def _call_many(asking: PeerService, serving: PeerService, calls: int) -> None:
+async def _run_calls(client: PeerService, server: PeerService, calls: int) -> None:
     payload = bytes(PAYLOAD_BYTES)
 
-    async def one_after_another() -> None:
+    async def call_sequentially() -> None:
         for _ in range(calls // OUTSTANDING):
-            answer = await asking.call(serving.address, "echo", payload, 10.0)
-            assert not isinstance(answer, Refused), answer
+            response = await client.call(server.address, "echo", payload, 10.0)
+            assert not isinstance(response, Refused), response
 
-    await asyncio.gather(*(one_after_another() for _ in range(OUTSTANDING)))
+    await asyncio.gather(*(call_sequentially() for _ in range(OUTSTANDING)))
 
 
-async def _latency(asking: PeerService, serving: PeerService) -> float:
+async def _median_latency_seconds(client: PeerService, server: PeerService) -> float:
     seconds = []
     for _ in range(WARM_UP_CALLS):
         started = time.perf_counter()
-        await asking.call(serving.address, "echo", bytes(PAYLOAD_BYTES), 10.0)
+        await client.call(server.address, "echo", bytes(PAYLOAD_BYTES), 10.0)
         seconds.append(time.perf_counter() - started)
     return sorted(seconds)[len(seconds) // 2]
--- a/src/foxwinch/bench/unit_costs.py
+++ b/src/foxwinch/bench/unit_costs.py
@@ -1,8 +1,8 @@
-"""Processor time and bytes of single steps, in memory: `python -m foxwinch.bench.unit_costs FILE`.
+"""Measure processor time and sizes of single steps: `python -m foxwinch.bench.unit_costs FILE`.
 
-Each figure is the median of several rounds of one process, for coordinator decisions the lowest.
-Nothing here crosses a socket, so the cost of the request itself between nodes (`foxwinch bench
-peer`) comes on top where there is one.
+Each figure is the median of several rounds in one process, or the minimum for coordinator
+decisions. All steps run in memory, so the cost of a request between nodes (`foxwinch bench peer`)
+must be added for steps that need one.
 """
 
 import json
@@ -27,8 +27,8 @@
 from foxwinch.records.tree_rows import batch_writes, records_of
 
 ROUNDS = 5
-NODES_OF_A_REGION = 71
-WORKERS_OF_A_NODE = 9
+NODES_PER_REGION = 71
+WORKERS_PER_NODE = 9
 TENANTS = 7_800
 RECORD_BYTES = (200, 4_000, 32_000)
 APPENDS = 500
@@ -38,53 +38,53 @@
 
 
 class AppendCost(NamedTuple):
-    """One record of a journal: written as a batch of rows, and read back."""
+    """Cost of one journal record, written as a batch of rows and read back."""
 
     record_bytes: int
     processor_seconds: float
     row_bytes: int
-    """Of all rows of the batch."""
+    """Total size of the rows in the batch."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShareCost:
-    """Shares of all tenants' limits among the nodes of a region."""
+    """Cost of sharing the limits of all tenants among the nodes of a region."""
 
     nodes: int
     tenants: int
     digest_entries: int
     digest_bytes: int
     share_seconds: float
-    """One share, as a request asks for it."""
+    """Time to compute the share of one tenant, as each request does."""
     digest_seconds: float
-    """Reading and counting one digest of another node."""
+    """Time to decode and record the digest of another node."""
     update_seconds: float
-    """Adding up all nodes' demand, once a second."""
+    """Time to add up the demand of all nodes, which happens once per second."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueryCost:
-    """An operator's query of all nodes of a region: their answers made, read and put in order."""
+    """Cost of an operator query to all nodes of a region: encode, decode and sort the responses."""
 
     nodes: int
     workers: int
     processor_seconds: float
     answer_bytes: int
-    """Of all nodes together."""
+    """Total size of the responses of all nodes."""
 
 
 def median_seconds(steps: int, run: Callable[[], None]) -> float:
-    """Return the median processor time of a step, where `run` takes `steps` of them."""
-    found = []
+    """Return the median processor time per step, where one call of `run` executes `steps` steps."""
+    seconds_per_step = []
     for _ in range(ROUNDS):
-        began = time.process_time()
+        started_at = time.process_time()
         run()
-        found.append((time.process_time() - began) / steps)
-    return statistics.median(found)
+        seconds_per_step.append((time.process_time() - started_at) / steps)
+    return statistics.median(seconds_per_step)
 
 
 def append_cost(record_bytes: int, appends: int = APPENDS) -> AppendCost:
-    """Measure a record's way into the rows of its batch and back."""
+    """Measure the conversion of a record into the rows of its batch and back."""
     root = ProgramId("tenant/program")
     answer = HistoryMessage(role="assistant", content="x" * record_bytes)
     record = JournalRecord(call_outcome=CallOutcome(answer=[answer]))
@@ -103,8 +103,8 @@
     return AppendCost(record_bytes, median_seconds(appends, run), size)
 
 
-def share_cost(nodes: int = NODES_OF_A_REGION, tenants: int = TENANTS) -> ShareCost:
-    """Measure shares with every node busy for other tenants, as many as a digest tells."""
+def share_cost(nodes: int = NODES_PER_REGION, tenants: int = TENANTS) -> ShareCost:
+    """Measure limit sharing with a full digest from every node, each for different tenants."""
     table = ShareTable(NodeId("node-0"), 0.0)
     digests = [
         UsageDigest(
@@ -120,11 +120,11 @@
     now = PROPAGATION_SECONDS
     table.update(names, now)
 
-    def shares() -> None:
+    def compute_shares() -> None:
         for tenant in range(tenants):
             table.share(tenant, now)
 
-    def tell() -> None:
+    def record_digests() -> None:
         for name, payload in zip(names[1:], payloads[1:], strict=True):
             digest = decode(payload)
             assert digest is not None
@@ -138,32 +138,32 @@
         tenants,
         MAX_DIGEST_ENTRIES,
         max(map(len, payloads)),
-        median_seconds(tenants, shares),
-        median_seconds(nodes - 1, tell),
+        median_seconds(tenants, compute_shares),
+        median_seconds(nodes - 1, record_digests),
         median_seconds(1, update),
     )
 
 
-def query_cost(nodes: int = NODES_OF_A_REGION, workers: int = WORKERS_OF_A_NODE) -> QueryCost:
-    """Measure the list of all workers of a region."""
+def query_cost(nodes: int = NODES_PER_REGION, workers: int = WORKERS_PER_NODE) -> QueryCost:
+    """Measure a query for all workers of a region."""
     facts = [_facts(node, workers) for node in range(nodes)]
-    size = sum(len(answer.SerializeToString()) for answer in facts)
+    size = sum(len(response.SerializeToString()) for response in facts)
     request = FactsRequest(workers=True).SerializeToString()
 
     def run() -> None:
         for _ in range(QUERIES):
-            found: list[WorkerStatus] = []
-            for answer in facts:
+            listed: list[WorkerStatus] = []
+            for response in facts:
                 assert FactsRequest.FromString(request).workers
-                found += FactsResponse.FromString(answer.SerializeToString()).workers
-            found.sort(key=lambda worker: worker.worker)
-            assert len(found) == nodes * workers
+                listed += FactsResponse.FromString(response.SerializeToString()).workers
+            listed.sort(key=lambda worker: worker.worker)
+            assert len(listed) == nodes * workers
 
     return QueryCost(nodes, nodes * workers, median_seconds(QUERIES, run), size)
 
 
 def decision_costs(workers: Sequence[int], queues: Sequence[int]) -> list[dict[str, float]]:
-    """Measure decisions: the lowest of the rounds, since these are taken by the wall clock."""
+    """Measure scheduling decisions; return the minimum over rounds, as they use the wall clock."""
     rounds = [measure_decisions(workers, queues) for _ in range(ROUNDS)]
     return [
         {name: min(asdict(cost)[name] for cost in costs) for name in asdict(costs[0])}
@@ -175,7 +175,7 @@
     coordinator_workers: Sequence[int] = COORDINATOR_WORKERS,
     coordinator_queues: Sequence[int] = COORDINATOR_QUEUES,
 ) -> dict[str, object]:
-    """Measure everything."""
+    """Run every measurement and return the report."""
     return {
         "command": "python -m foxwinch.bench.unit_costs docs/measurements/unit_costs.json",
         "commit": current_commit(),
@@ -194,7 +194,7 @@
         node=name, address=f"10.0.0.{node}:7000", zone="zone-1", region="region-1",
         state="alive", incarnation=1, answered=True, configuration_revision=9, held_families=1,
     )  # fmt: skip
-    found = [
+    statuses = [
         WorkerStatus(
             worker=f"worker-{node}-{number}", pool="engines", zone="zone-1",
             url=f"http://10.1.{node}.{number}:8000", steward=name, epoch=1 << 32, state="ready",
@@ -202,11 +202,11 @@
         )
         for number in range(workers)
     ]  # fmt: skip
-    return FactsResponse(node=status, workers=found)
+    return FactsResponse(node=status, workers=statuses)
 
 
 def main(path: Path) -> None:
-    """Write the report."""
+    """Write the report as JSON."""
     path.write_text(json.dumps(report(), indent=1) + "\n", encoding="utf-8")
 
 
--- a/tests/test_overhead_bench.py
+++ b/tests/test_overhead_bench.py
@@ -1,4 +1,4 @@
-"""The overhead bench counts whole answers only, and its ratios come from both sides."""
+"""The overhead bench counts only complete responses and computes every ratio."""
 
 import asyncio
 import json
@@ -22,10 +22,10 @@
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
-async def load_of(answer, chunks, requests=4):
+async def run_load_against(response, chunks, requests=4):
     async def serve(reader, writer):
         while await reader.read(65_536):
-            writer.write(answer)
+            writer.write(response)
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     url = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -33,27 +33,27 @@
         return await run_load(Load(url, prepare_request(url, b"{}", {}), requests, 2, chunks))
 
 
-async def test_whole_answers_are_counted():
-    answer = HEAD + chunked(CHUNK) + chunked(CHUNK + DONE) + b"0\r\n\r\n"
-    result = await load_of(answer, chunks=2)
+async def test_complete_responses_are_counted():
+    response = HEAD + chunked(CHUNK) + chunked(CHUNK + DONE) + b"0\r\n\r\n"
+    result = await run_load_against(response, chunks=2)
     assert (result.requests, result.chunks) == (4, 8)
     assert len(result.latencies_seconds) == 4
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         HEAD + chunked(CHUNK) + chunked(DONE) + b"0\r\n\r\n",
         HEAD + chunked(CHUNK) + chunked(CHUNK) + b"0\r\n\r\n",
         b"HTTP/1.1 503 Busy\r\n\r\n" + chunked(b"") + b"0\r\n\r\n",
     ],
 )
-async def test_an_answer_that_is_not_whole_fails_the_run(answer):
+async def test_an_incomplete_response_fails_the_run(response):
     with pytest.raises(IncompleteAnswerError):
-        await load_of(answer, chunks=2)
+        await run_load_against(response, chunks=2)
 
 
-def test_a_short_run_gives_every_figure():
+def test_a_short_run_reports_every_figure():
     lines = []
     report = run_overhead(1, lines.append, (Case(1, 8, 5), Case(4, 8, 8)))
     document = json.loads(report.to_json())
--- a/tests/test_unit_costs.py
+++ b/tests/test_unit_costs.py
@@ -1,9 +1,9 @@
-"""The costs of single steps are measured, and their parts agree."""
+"""Unit costs are measured and consistent with their parameters."""
 
 from foxwinch.bench.unit_costs import append_cost, query_cost, share_cost
 
 
-def test_unit_costs_are_measured_and_their_parts_agree() -> None:
+def test_unit_costs_are_consistent_with_their_parameters() -> None:
     append = append_cost(200, appends=20)
     assert append.row_bytes > 200
     assert append.processor_seconds > 0
