--- a/src/foxwinch/commands/call_lifecycle.py
+++ b/src/foxwinch/commands/call_lifecycle.py
@@ -1,7 +1,7 @@
-"""What every call goes through: turn, start, intent, outcome.
+"""The steps common to all calls: queueing, start, intent, outcome.
 
-The intent is committed before anything is dispatched and the outcome before the caller is told
-the end. A call that is refused before its intent leaves no trace in the journal.
+The intent is committed before anything is dispatched, and the outcome before the caller receives
+the final event. A call that is refused before its intent is not recorded in the journal.
 """
 
 import asyncio
@@ -29,13 +29,13 @@
     RunState.RAN: CallOutcome.FAILED_RAN,
     RunState.UNKNOWN: CallOutcome.FAILED_UNKNOWN,
 }
-RETRY_UNCOMMITTED_SECONDS = 1.0
-"""When a caller whose outcome could not be committed in time should ask again."""
+UNCOMMITTED_RETRY_AFTER_SECONDS = 1.0
+"""Retry-After for a caller whose outcome was not committed in time."""
 
 
 @dataclass(slots=True)
 class CallLifecycle:
-    """Takes one call from its arrival to its committed end."""
+    """Takes one call from its arrival to its committed outcome."""
 
     ports: ProgramPorts
     tree: ServedTree
@@ -48,19 +48,19 @@
         """Return the program of the call."""
         return self.running.program
 
-    async def wait_turn(self) -> None:
+    async def wait_for_earlier_calls(self) -> None:
         """Wait until every earlier call of the program has ended."""
         table = self.tree.table
         if table.next_waiting(self.program) == self.running.call_id:
             return
-        turn = asyncio.get_running_loop().create_future()
-        self.running.turn = turn
+        earlier_calls_ended = asyncio.get_running_loop().create_future()
+        self.running.earlier_calls_ended = earlier_calls_ended
         with self.running.interruptible():
-            await turn
+            await earlier_calls_ended
 
     def start(self, intent: CallIntent) -> CallAdmitted | Refused:
         """Check the call against the program's state and reserve its budget."""
-        if self.program.program_id in self.tree.ending:
+        if self.program.program_id in self.tree.ending_programs:
             return not_run(Reason.PROGRAM_FINISHED, "the program is being ended")
         started = start_call(self.program, intent, self.ports.clock.wall())
         if isinstance(started, Refused):
@@ -69,17 +69,18 @@
         return started.admitted
 
     def refuse(self, refused: Refused) -> None:
-        """End a call whose intent was never sent to the journal."""
+        """End a call whose intent has not been sent to the journal."""
         self.tree.table.withdraw(self.program, self.running.call_id)
         self.running.end(refused)
 
     async def commit_intent(self, following: list[JournalRecord] | None = None) -> bool:
-        """Commit the intent, with the program's creation where that is still open.
+        """Commit the intent, along with the program's creation if that is uncommitted.
 
-        `following` is committed with it. On False the call has ended and nothing was dispatched.
+        `following` is committed in the same batch. Returns False if the call has ended instead;
+        nothing was dispatched in that case.
         """
         assert self.admitted is not None
-        creation = self.tree.uncommitted.get(self.program.program_id)
+        creation = self.tree.uncommitted_creations.get(self.program.program_id)
         records = [creation] if creation is not None else []
         records += [JournalRecord(call_admitted=self.admitted), *(following or [])]
         self.running.intent_sent = True
@@ -95,22 +96,22 @@
         return False
 
     async def _cancel_intent(self, records: list[JournalRecord], refused: Refused) -> None:
-        """Note that nothing was dispatched, since the intent may be in the journal."""
+        """Record that nothing was dispatched, because the intent may be in the journal."""
         self.running.end(not_run(refused.reason, refused.detail, refused.retry_after_seconds))
-        outcome = self.failed(not_run(refused.reason, refused.detail), Amount())
-        records = [*records, *self._closing_records(outcome)]
+        outcome = self.failure_outcome(not_run(refused.reason, refused.detail), Amount())
+        records = [*records, *self._outcome_records(outcome)]
         await self.tree.commit_until_done(records, lambda _: None)
 
-    def step(self, state: CallState) -> None:
-        """Note a step of the call."""
+    def set_state(self, state: CallState) -> None:
+        """Set the state of the call."""
         self.tree.table.step(self.program, self.running.call_id, state)
 
     async def commit_outcome(self, outcome: CallOutcome, final: FinalEvent) -> None:
-        """Commit the outcome, then tell the end."""
-        self.step(CallState.COMMITTING)
+        """Commit the outcome, then send the final event to the followers."""
+        self.set_state(CallState.COMMITTING)
         outcome.finished_at_seconds = self.ports.clock.wall()
         done = await self.tree.commit_until_done(
-            self._closing_records(outcome), self._tell_uncommitted
+            self._outcome_records(outcome), self._report_uncommitted
         )
         if done:
             if outcome.result != CallOutcome.SUCCEEDED:
@@ -124,13 +125,13 @@
             if self.single_call:
                 self.ports.grants.finish(self.program.program_id)
 
-    def forgive_cancellation(self) -> None:
-        """Let the task go on after `RunningCall.cancel` cut its wait."""
+    def clear_cancellation(self) -> None:
+        """Clear the task's cancellation after `RunningCall.cancel` interrupted a wait."""
         task = asyncio.current_task()
         if task is not None and task.cancelling():
             task.uncancel()
 
-    def failed(self, refused: Refused, spent: Amount) -> CallOutcome:
+    def failure_outcome(self, refused: Refused, spent: Amount) -> CallOutcome:
         """Return the outcome of a call that ended without an answer."""
         return CallOutcome(
             program_id=self.program.program_id,
@@ -142,20 +143,20 @@
         )
 
     def close(self) -> None:
-        """Let the program's next call go; runs when the call's task ends, however it ends."""
+        """Remove the call and start the program's next one; runs whenever the call's task ends."""
         tree, program = self.tree, self.program
         tree.running.pop(self.running.call_id, None)
         if tree.lost:
             return
-        tree.advance(program.program_id)
-        creation_open = program.program_id in tree.uncommitted
-        if creation_open and not program.waiting and program.active is None:
+        tree.start_next_call(program.program_id)
+        is_creation_uncommitted = program.program_id in tree.uncommitted_creations
+        if is_creation_uncommitted and not program.waiting and program.active is None:
             tree.table.drop_uncommitted(program.program_id)
-            del tree.uncommitted[program.program_id]
+            del tree.uncommitted_creations[program.program_id]
         elif self.single_call and not program.keys:
             tree.table.forget(program.program_id)
 
-    def _closing_records(self, outcome: CallOutcome) -> list[JournalRecord]:
+    def _outcome_records(self, outcome: CallOutcome) -> list[JournalRecord]:
         records = [JournalRecord(call_outcome=outcome)]
         if self.single_call:
             finished = ProgramFinished(
@@ -166,12 +167,12 @@
             records.append(JournalRecord(program_finished=finished))
         return records
 
-    def _tell_uncommitted(self, refused: Refused) -> None:
+    def _report_uncommitted(self, refused: Refused) -> None:
         self.running.end(
             Refused(
                 refused.reason,
                 RunState.UNKNOWN,
-                "the call has ended but its outcome is not committed: " + refused.detail,
-                RETRY_UNCOMMITTED_SECONDS,
+                "the call has ended but its outcome is not committed yet: " + refused.detail,
+                UNCOMMITTED_RETRY_AFTER_SECONDS,
             )
         )
--- a/tests/operator_clients.py
+++ b/tests/operator_clients.py
@@ -1,6 +1,7 @@
-"""Asks a node's health and reflection services by grpcio's own clients; prints what they found.
+"""Queries a node's health and reflection services with grpcio's clients and prints the results.
 
-A process of its own: grpcio's and grpclib's generated messages cannot be loaded into one.
+Runs as a separate process, because the generated messages of grpcio and grpclib cannot be loaded
+into the same one.
 """
 
 import json
@@ -15,7 +16,7 @@
 
 
 def main(address: str) -> None:
-    """Ask the node at `address`."""
+    """Query the node at `address` and print the results as JSON."""
     with grpc.insecure_channel(address) as channel:
         health = health_pb2_grpc.HealthStub(channel)
         request = health_pb2.HealthCheckRequest(service=SERVICE)
@@ -26,7 +27,7 @@
             reflection_pb2.ServerReflectionRequest(file_containing_symbol=SERVICE),
         ]
         answers = list(reflection.ServerReflectionInfo(iter(requests), timeout=SECONDS))
-    found = {
+    results = {
         "health": health_pb2.HealthCheckResponse.ServingStatus.Name(status),
         "services": [s.name for s in answers[0].list_services_response.service],
         "schema_names_drain": any(
@@ -34,7 +35,7 @@
             for file in answers[1].file_descriptor_response.file_descriptor_proto
         ),
     }
-    print(json.dumps(found))
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
--- a/tests/program_fakes.py
+++ b/tests/program_fakes.py
@@ -1,4 +1,4 @@
-"""Scripted engine, tool, journal and grants for tests of the program commands."""
+"""Scripted engine, tool service, journal, grants and limits for tests of program commands."""
 
 import asyncio
 from pathlib import Path
@@ -34,7 +34,7 @@
 
 
 class FakeEngine(IdleEngine):
-    """Answers with `words`, one each `pause_seconds`; `failures` end runs after some chunks."""
+    """Streams `words`, one per `pause_seconds`; `failures` end calls at the given chunk index."""
 
     def __init__(self):
         self.words = ["the ", "next ", "train"]
@@ -60,7 +60,7 @@
 
 
 class FakeTools:
-    """Runs a tool in a second; `answers` overrides the results in order."""
+    """Runs each tool call for `pause_seconds`; `answers` overrides the results in order."""
 
     def __init__(self):
         self.orders = []
@@ -74,7 +74,7 @@
 
 
 class FakeJournal(TreeJournal):
-    """Keeps records; `refusals` are given in turn, None letting an append through."""
+    """Stores records in memory; `refusals` are returned in order, None accepts an append."""
 
     def __init__(self):
         self.records: list[JournalRecord] = []
@@ -108,7 +108,7 @@
 
 
 class FakeTreeStore(ProgramTreeStore):
-    """One journal for all program trees; `elsewhere` names the node that serves them instead."""
+    """One journal for all program trees; `elsewhere` is another node that serves them."""
 
     def __init__(self, journal):
         self.journal = journal
@@ -116,12 +116,12 @@
         self.elsewhere = None
         self.taken_over = []
 
-    async def open(self, root, over=None):
+    async def open(self, root, previous_owner=None):
         await asyncio.sleep(0.001)
-        if self.elsewhere is not None and self.elsewhere.node != over:
+        if self.elsewhere is not None and self.elsewhere.node != previous_owner:
             return self.elsewhere
-        if over is not None:
-            self.taken_over.append(over)
+        if previous_owner is not None:
+            self.taken_over.append(previous_owner)
         return OpenedTree(self.journal, list(self.records))
 
     async def read(self, root):
@@ -132,7 +132,7 @@
 
 
 class FakeGrants:
-    """Grants at once; `refusal` refuses; notes what is settled and finished."""
+    """Grants immediately unless `refusal` is set; records settled and finished grants."""
 
     def __init__(self):
         self.refusal: Refused | None = None
@@ -154,7 +154,7 @@
     def pause(self, program_id, tool):
         self.paused.append((program_id, tool))
 
-    def adopt(self, program_id):
+    def mark_taken_over(self, program_id):
         pass
 
     def finish(self, program_id):
@@ -162,21 +162,21 @@
 
 
 class FakeLimits:
-    """Admits all; counts what is held."""
+    """Admits all calls; `unsettled` counts the calls that are not settled."""
 
     def __init__(self):
-        self.held = 0
+        self.unsettled = 0
 
     def admit(self, tenant, class_name, estimated_tokens):
-        self.held += 1
+        self.unsettled += 1
         return Admitted(tenant, estimated_tokens)
 
     def settle(self, admitted, used_tokens):
-        self.held -= 1
+        self.unsettled -= 1
 
 
 class Rig:
-    """One owner of programs on fakes."""
+    """A program owner and router on top of the fakes."""
 
     def __init__(self, forwarder=None, seed=1):
         self.clock = VirtualClock(seed)
@@ -191,16 +191,16 @@
         self.router = ProgramRouter(self.owner, forwarder)
 
     async def reopen(self, records, name="p"):
-        """Serve the program tree anew from these records, as after the loss of its node."""
-        held = self.owner.held(scoped_program_id(TENANT, name))
-        if held is not None:
-            self.owner.drop(held)
+        """Reopen the program tree from the given records, as after the failure of its node."""
+        tree = self.owner.served_tree(scoped_program_id(TENANT, name))
+        if tree is not None:
+            self.owner.drop(tree)
         self.trees.records = list(records)
         return await self.owner.locate(scoped_program_id(TENANT, name))
 
     def program(self, name="p"):
-        held = self.owner.held(scoped_program_id(TENANT, name))
-        return held.table.find(scoped_program_id(TENANT, name)) if held is not None else None
+        tree = self.owner.served_tree(scoped_program_id(TENANT, name))
+        return tree.table.find(scoped_program_id(TENANT, name)) if tree is not None else None
 
     def model(self, text="hello", name="p", **fields):
         message = HistoryMessage(role="user", content=text)
@@ -218,7 +218,7 @@
 
 
 async def collect(events):
-    """Return the text of all chunks and the last event."""
+    """Return the concatenated text of all chunks, and the last event."""
     text, last = "", None
     async for event in events:
         if isinstance(event, CallChunks):
--- a/tests/test_node_drain.py
+++ b/tests/test_node_drain.py
@@ -1,4 +1,4 @@
-"""A draining node finishes what runs and refuses the rest truthfully."""
+"""A draining node finishes requests in flight and rejects new ones as not run."""
 
 import asyncio
 from pathlib import Path
@@ -15,18 +15,18 @@
 from idle_engine import IdleEngine
 
 CLEDWYN = Path(__file__).parents[1] / "examples" / "cledwyn.toml"
-CALL = {"model": "rail-chat", "messages": [{"role": "user", "content": "Hello"}]}
+REQUEST = {"model": "rail-chat", "messages": [{"role": "user", "content": "Hello"}]}
 
 
-class HeldEngine(IdleEngine):
-    """An engine that ends its answer when told to."""
+class BlockingEngine(IdleEngine):
+    """An engine that finishes its response once `released` is set."""
 
     def __init__(self) -> None:
-        self.asked = asyncio.Event()
+        self.generating = asyncio.Event()
         self.released = asyncio.Event()
 
     async def generate(self, worker, order):
-        self.asked.set()
+        self.generating.set()
         yield TokenChunk("whole ", 1)
         await self.released.wait()
         yield TokenChunk("answer", 1)
@@ -40,43 +40,43 @@
     return document
 
 
-async def test_drain_cuts_nothing_and_refuses_new_work(caller_key, keyed):
-    engine = HeldEngine()
+async def test_drain_finishes_running_requests_and_rejects_new_ones(caller_key, with_caller_key):
+    engine = BlockingEngine()
     settings = NodeSettings(name="node-1", region="cymru", zone="caerdydd", drain_seconds=30)
-    node = build_node(settings, NodePorts(SystemClock(), engine), keyed(_document()))
+    node = build_node(settings, NodePorts(SystemClock(), engine), with_caller_key(_document()))
     await node.start()
     headers = {"Authorization": f"Bearer {caller_key}"}
     async with TestClient(TestServer(node.caller_application()), headers=headers) as client:
-        running = asyncio.create_task(client.post("/v1/chat/completions", json=CALL))
-        await engine.asked.wait()
+        request_task = asyncio.create_task(client.post("/v1/chat/completions", json=REQUEST))
+        await engine.generating.wait()
         assert (await client.get("/readyz")).status == 200
-        drained = asyncio.create_task(node.drain())
+        drain_task = asyncio.create_task(node.drain())
         await asyncio.sleep(0)
-        refused = await client.post("/v1/chat/completions", json=CALL)
+        refused = await client.post("/v1/chat/completions", json=REQUEST)
         error = (await refused.json())["error"]
         assert refused.status == 503
         assert refused.headers["Retry-After"] == "1"
         assert error["run_state"] == "not_run"
         assert (await client.get("/readyz")).status == 503
         assert (await client.get("/healthz")).status == 200
-        assert not drained.done()
+        assert not drain_task.done()
         engine.released.set()
-        answer = await (await running).json()
+        answer = await (await request_task).json()
         assert answer["choices"][0]["message"]["content"] == "whole answer"
-        assert await drained
+        assert await drain_task
     await node.stop()
 
 
-async def test_drain_ends_at_its_limit(caller_key, keyed):
-    engine = HeldEngine()
+async def test_drain_ends_at_its_timeout(caller_key, with_caller_key):
+    engine = BlockingEngine()
     settings = NodeSettings(name="node-1", region="cymru", zone="caerdydd", drain_seconds=0.05)
-    node = build_node(settings, NodePorts(SystemClock(), engine), keyed(_document()))
+    node = build_node(settings, NodePorts(SystemClock(), engine), with_caller_key(_document()))
     await node.start()
     headers = {"Authorization": f"Bearer {caller_key}"}
     async with TestClient(TestServer(node.caller_application()), headers=headers) as client:
-        running = asyncio.create_task(client.post("/v1/chat/completions", json=CALL))
-        await engine.asked.wait()
+        request_task = asyncio.create_task(client.post("/v1/chat/completions", json=REQUEST))
+        await engine.generating.wait()
         assert not await node.drain()
         engine.released.set()
-        assert (await running).status == 200
+        assert (await request_task).status == 200
     await node.stop()
