--- a/src/foxwinch/bench/schedule/experiment.py
+++ b/src/foxwinch/bench/schedule/experiment.py
@@ -120,13 +120,13 @@
     for result in results:
         grouped.setdefault((result.trial.load, result.trial.policy), []).append(result)
     document: dict[str, Any] = {}
-    for (load, policy), group in grouped.items():
+    for (load, policy), seed_results in grouped.items():
         classes = {
-            name: mean_over_seeds([member.classes[name] for member in group])
-            for name in group[0].classes
+            name: mean_over_seeds([member.classes[name] for member in seed_results])
+            for name in seed_results[0].classes
         }
-        classes["all"]["utilization"] = sum(r.utilization for r in group) / len(group)
-        bound = sum(r.release_bound_token_seconds for r in group) / len(group)
+        classes["all"]["utilization"] = sum(r.utilization for r in seed_results) / len(seed_results)
+        bound = sum(r.release_bound_token_seconds for r in seed_results) / len(seed_results)
         classes["all"]["release_bound_token_seconds"] = bound
         document.setdefault(f"{load:g}", {})[policy] = classes
     return document
