--- a/src/foxwinch/bench/processes.py
+++ b/src/foxwinch/bench/processes.py
@@ -1,4 +1,4 @@
-"""Processes started by a benchmark; each prints `name=value` lines when it is ready."""
+"""Processes that a benchmark starts; each prints `name=value` lines when it is ready."""
 
 import os
 import subprocess
@@ -12,7 +12,7 @@
 
 
 class BenchProcess:
-    """A Python module run as a process that the context manager stops on exit."""
+    """A Python module run as a process; a context manager that stops it on exit."""
 
     def __init__(self, *arguments: str, expected: Iterable[str], log: Path) -> None:
         """Start `python -m ARGUMENTS` and wait for its `expected` lines; stderr goes to `log`.
@@ -39,7 +39,7 @@
             self.printed[name] = value
 
     def processor_seconds(self) -> float:
-        """Return the CPU time that the process has used, in seconds."""
+        """Return the user and system CPU time that the process has used, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
--- a/src/foxwinch/bench/schedule/experiment.py
+++ b/src/foxwinch/bench/schedule/experiment.py
@@ -1,4 +1,4 @@
-"""Run policies on the same arrivals, in up to four processes."""
+"""Trials of policies on the same arrivals, run in parallel processes."""
 
 from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor, as_completed
@@ -81,9 +81,9 @@
 
 def _samples(workload: Workload, result: SimulationResult) -> dict[str, list[float]]:
     samples = {}
-    for shape in workload.deployment.classes:
-        runs = [run for run in result.runs if run.plan.class_name == shape.name]
-        samples[shape.name] = measured_latencies(workload, runs)
+    for class_shape in workload.deployment.classes:
+        runs = [run for run in result.runs if run.plan.class_name == class_shape.name]
+        samples[class_shape.name] = measured_latencies(workload, runs)
     return samples
 
 
@@ -101,7 +101,10 @@
 
 
 def unloaded_figures(deployment: str, seeds: Sequence[int]) -> dict[str, Any]:
-    """Return each class's latency on idle engines with cached histories, over all seeds."""
+    """Return each class's latency on idle engines with cached histories, over all seeds.
+
+    Programs that loop or have an abandoned call are left out.
+    """
     parameters = load_engine_parameters()
     shape = DEPLOYMENTS[deployment]
     latencies: dict[str, list[float]] = {s.name: [] for s in shape.classes}
@@ -122,7 +125,7 @@
     document: dict[str, Any] = {}
     for (load, policy), seed_results in grouped.items():
         classes = {
-            name: mean_over_seeds([member.classes[name] for member in seed_results])
+            name: mean_over_seeds([trial_result.classes[name] for trial_result in seed_results])
             for name in seed_results[0].classes
         }
         classes["all"]["utilization"] = sum(r.utilization for r in seed_results) / len(seed_results)
--- a/src/foxwinch/commands/ports.py
+++ b/src/foxwinch/commands/ports.py
@@ -35,10 +35,13 @@
 
 
 class LocateTree(Protocol):
-    """Locates the node that serves a program tree; this node starts to serve an unserved one."""
+    """Locates a program tree; this node starts to serve a tree that no node serves."""
 
     async def __call__(
         self, root: ProgramId, previous_owner: NodeId | None = None
     ) -> ServedTree | OwnedElsewhere | Refused:
-        """Return the tree, or the node that serves it; take it over from `previous_owner`."""
+        """Return the tree if this node serves it, else the node that does.
+
+        A tree that `previous_owner` serves is taken over by this node.
+        """
         ...
--- a/src/foxwinch/core/records/account.py
+++ b/src/foxwinch/core/records/account.py
@@ -11,12 +11,12 @@
 from foxwinch.core.records.budget import BudgetRecord, Lease
 
 LEASE_MS = 15_000
-"""Duration of a lease: longer than common outages of the store plus some turns."""
+"""Duration of a lease; it outlasts a common outage of the store followed by several turns."""
 ADVANCE_TURNS = 4
 """Number of further turns, each at its maximum, that a lease covers beyond the open ones."""
 ADVANCE_DIVISOR = 2
-"""Divisor of the free tokens that limits what is leased in advance, because other nodes serve the
-program too."""
+"""At most the free tokens divided by this number are leased in advance, because other nodes
+serve the program too."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     tokens: int
     """This node's lease after the change."""
     used: int
-    """Tokens used by this node that the change counts as spent, reported or in an expired lease."""
+    """Used tokens that the change adds to the spent ones, by report or with an expired lease."""
     granted: tuple[ReservationRequest, ...]
     exhausted: dict[str, Exhausted]
     blocked: dict[str, Blocked]
@@ -159,15 +159,15 @@
         own = self.record.leases.get(self.node)
         is_expired = own is not None and own.expires_ms <= clock_bounds.store_earliest_ms
         base = self.record.with_expired_leases_spent(clock_bounds.store_earliest_ms)
-        others = base.leased_to_others(self.node)
+        held_elsewhere = base.leased_to_others(self.node)
         reported = 0 if is_expired else self.used
         spent = base.spent + reported
         decisions = _ReservationDecisions(0 if is_expired else self._leased_open_tokens())
         for request in waiting:
-            decisions.decide(request, spent, others)
+            decisions.decide(request, spent, held_elsewhere)
         tokens = decisions.open_tokens
         if advance_lease is not None:
-            tokens += advance_lease.tokens(advance_lease.budget - spent - others - tokens)
+            tokens += advance_lease.tokens(advance_lease.budget - spent - held_elsewhere - tokens)
         sequence = next(self.sequences)
         lease = Lease(tokens, clock_bounds.store_earliest_ms + LEASE_MS, sequence)
         return RecordChange(
@@ -232,20 +232,21 @@
 
 @dataclass(slots=True)
 class _ReservationDecisions:
-    """The reservations that fit, judged in order."""
+    """Decisions on the waiting reservations, made in the order of the requests."""
 
     open_tokens: int
+    """Leased tokens of open turns plus those of the reservations granted so far."""
     granted: list[ReservationRequest] = field(default_factory=list)
     exhausted: dict[str, Exhausted] = field(default_factory=dict)
     blocked: dict[str, Blocked] = field(default_factory=dict)
 
-    def decide(self, request: ReservationRequest, spent: int, others: int) -> None:
+    def decide(self, request: ReservationRequest, spent: int, held_elsewhere: int) -> None:
         """Grant, block or reject one reservation."""
         needed = spent + self.open_tokens + request.tokens
         if needed > request.budget:
             self.exhausted[request.request_id] = Exhausted(spent + self.open_tokens)
-        elif needed + others > request.budget:
-            self.blocked[request.request_id] = Blocked(others)
+        elif needed + held_elsewhere > request.budget:
+            self.blocked[request.request_id] = Blocked(held_elsewhere)
         else:
             self.granted.append(request)
             self.open_tokens += request.tokens
--- a/src/foxwinch/peer/envelopes.py
+++ b/src/foxwinch/peer/envelopes.py
@@ -14,18 +14,18 @@
 )
 from foxwinch.identifiers import NodeId
 from foxwinch.outcomes import Reason, Refused, RunState
-from foxwinch.peer.limits import MINIMUM_PROTOCOL_VERSION, PROTOCOL_VERSION
+from foxwinch.peer.limits import MIN_PROTOCOL_VERSION, PROTOCOL_VERSION
 
 
 def hello(node: NodeId) -> Envelope:
     """Return the hello of this node."""
-    body = PeerHello(version=PROTOCOL_VERSION, minimum_version=MINIMUM_PROTOCOL_VERSION, node=node)
+    body = PeerHello(version=PROTOCOL_VERSION, minimum_version=MIN_PROTOCOL_VERSION, node=node)
     return Envelope(hello=body)
 
 
 def are_versions_compatible(other: PeerHello) -> bool:
     """Return whether both peers support a common protocol version."""
-    return other.version >= MINIMUM_PROTOCOL_VERSION and other.minimum_version <= PROTOCOL_VERSION
+    return other.version >= MIN_PROTOCOL_VERSION and other.minimum_version <= PROTOCOL_VERSION
 
 
 def request(
--- a/src/foxwinch/peer/limits.py
+++ b/src/foxwinch/peer/limits.py
@@ -1,14 +1,18 @@
-"""Limits of the peer protocol, which bound the memory that a faulty or hostile peer can use."""
+"""Versions, limits and timeouts of the peer protocol.
+
+The limits bound the memory that a faulty or hostile peer can use.
+"""
 
 PROTOCOL_VERSION = 1
-MINIMUM_PROTOCOL_VERSION = 1
+MIN_PROTOCOL_VERSION = 1
 
 MAX_DATAGRAM_BYTES = 1_200
 """Largest datagram; with its headers it fits into the 1,280-byte minimum MTU of IPv6."""
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 """Largest frame, sufficient for a journal segment of one history (4 MiB)."""
 MAX_HELLO_FRAME_BYTES = 1_024
-"""Largest frame before the hello, so that unknown clients cannot make a node buffer megabytes."""
+"""Largest frame before a valid hello, so that unknown clients cannot make a node buffer
+megabytes."""
 HELLO_TIMEOUT_SECONDS = 3.0
 """Time after which a connection without a hello is closed."""
 CONNECT_TIMEOUT_SECONDS = 3.0
@@ -23,7 +27,7 @@
 STREAM_CREDIT = 64
 """Maximum number of responses of a stream that are in flight or queued at the client."""
 WRITE_BUFFER_BYTES = 1024 * 1024
-"""Number of buffered bytes above which senders must wait."""
+"""Number of outgoing bytes buffered on a connection above which senders must wait."""
 PING_SECONDS = 2.0
 """Idle time after which a connection with in-flight requests is pinged."""
 SILENCE_TIMEOUT_SECONDS = 6.0
--- a/tests/foxwinch_process.py
+++ b/tests/foxwinch_process.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[1]
-SECONDS = 90
+TIMEOUT_SECONDS = 90
 
 
 class Foxwinch:
@@ -30,7 +30,9 @@
         """Wait until the process has printed all expected addresses."""
         while not self.expected <= self.printed.keys():
             line = self.process.stdout.readline()
-            assert line, f"ended with {self.process.wait(SECONDS)} before it printed its addresses"
+            assert line, (
+                f"ended with {self.process.wait(TIMEOUT_SECONDS)} before it printed its addresses"
+            )
             name, _, value = line.strip().partition("=")
             self.printed[name] = value
         return self
@@ -44,7 +46,7 @@
             env={**self.environment, **variables},
             capture_output=True,
             text=True,
-            timeout=SECONDS,
+            timeout=TIMEOUT_SECONDS,
             check=False,
         )
 
@@ -64,7 +66,7 @@
     def kill_process(self):
         """Kill the process and wait for its end."""
         self.process.kill()
-        self.process.wait(SECONDS)
+        self.process.wait(TIMEOUT_SECONDS)
         self.process.stdout.close()
 
     def _open(self, path, data, key, idempotency_key=""):
@@ -73,7 +75,7 @@
             headers["Idempotency-Key"] = idempotency_key
         request = urllib.request.Request(self.printed["caller_url"] + path, data, headers)
         try:
-            with urllib.request.urlopen(request, timeout=SECONDS) as answer:
+            with urllib.request.urlopen(request, timeout=TIMEOUT_SECONDS) as answer:
                 return answer.status, answer.read().decode()
         except urllib.error.HTTPError as error:
             return error.code, error.read().decode()
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from foxwinch.gateway.authentication import hash_key
-from foxwinch_process import ROOT, SECONDS, Foxwinch
+from foxwinch_process import ROOT, TIMEOUT_SECONDS, Foxwinch
 
 KEY = "a-key-of-the-tests"
 ZONES = ("tvm-hall", "kollam-hall", "nedu-hall")
@@ -72,7 +72,7 @@
             "messages": [{"role": "user", "content": text}],
             "max_tokens": 4,
         }
-        ends_at = time.monotonic() + SECONDS
+        ends_at = time.monotonic() + TIMEOUT_SECONDS
         while True:
             status, answer = node.post(f"/v1/programs/{program}/calls", body, KEY, text)
             if status == 200:
@@ -88,7 +88,7 @@
 
 def retry_until_run(send, expected):
     """Retry while the node reports that the request did not run; return the response."""
-    ends_at = time.monotonic() + SECONDS
+    ends_at = time.monotonic() + TIMEOUT_SECONDS
     while True:
         status, answer = send()
         if status == expected:
@@ -140,10 +140,10 @@
     answers = []
     with ThreadPoolExecutor(1) as caller:
         turns = [caller.submit(cluster.send_turn, staying, "plan", f"turn {i}") for i in range(20)]
-        answers.append(turns[0].result(SECONDS))
+        answers.append(turns[0].result(TIMEOUT_SECONDS))
         stopping.process.send_signal(signal.SIGTERM)
-        assert stopping.process.wait(SECONDS) == 0
-        answers += [turn.result(SECONDS) for turn in turns[1:]]
+        assert stopping.process.wait(TIMEOUT_SECONDS) == 0
+        answers += [turn.result(TIMEOUT_SECONDS) for turn in turns[1:]]
     history = cluster.history(staying, "plan")
     for text in [f"turn {i}" for i in range(20)]:
         assert history.count(f'"{text}"') == 1, text
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -4,7 +4,7 @@
 import subprocess
 import sys
 
-from foxwinch_process import ROOT, SECONDS
+from foxwinch_process import ROOT, TIMEOUT_SECONDS
 
 
 def test_demo_prints_its_decisions_and_exits_with_zero():
@@ -13,7 +13,7 @@
         env={**os.environ, "PYTHONPATH": str(ROOT / "src")},
         capture_output=True,
         text=True,
-        timeout=SECONDS,
+        timeout=TIMEOUT_SECONDS,
         check=False,
     )
     assert demo.returncode == 0, demo.stderr
