--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -288,7 +288,7 @@
 
 
 def test_no_retry_storm_after_the_backend_recovers():
-    small = Scenario(calls_per_second=16.0, served_per_second=20.0, end=130.0, clients=3)
+    small = Scenario(calls_per_second=16.0, served_per_second=20.0, end_seconds=130.0, clients=3)
     fixed, budget = (run_policy(small, policy, 3) for policy in (Policy.FIXED, Policy.BUDGET))
     assert budget.attempts_per_call_after_return <= 1.11
     assert budget.peak_attempts_per_second < fixed.peak_attempts_per_second / 2
