--- a/src/foxwinch/backends/engine_http.py
+++ b/src/foxwinch/backends/engine_http.py
@@ -110,7 +110,7 @@
         self._release_batcher = ReleaseBatcher(self._release)
 
     async def generate(
-        self, worker: WorkerId, order: GenerateRequest
+        self, worker: WorkerId, request: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
         """Stream a response; see `GeneratePort`.
 
@@ -120,13 +120,13 @@
         if url is None:
             yield _unknown_worker(worker)
             return
-        body = json.dumps(_body(order)).encode()
-        timeouts = engine_timeouts(order.deadline_seconds, len(body))
+        body = json.dumps(_body(request)).encode()
+        timeouts = engine_timeouts(request.deadline_seconds, len(body))
         try:
             async with self._session.post(
                 f"{url}/v1/chat/completions",
                 data=body,
-                headers=_headers(order),
+                headers=_headers(request),
                 timeout=first_event_timeout(timeouts),
                 allow_redirects=False,
             ) as response:
@@ -258,24 +258,24 @@
         return refusal_for_status(_service(worker), response)
 
 
-def _headers(order: GenerateRequest) -> dict[str, str]:
+def _headers(request: GenerateRequest) -> dict[str, str]:
     return {
         "Content-Type": "application/json",
-        HEADER_CALL: order.call_id,
-        HEADER_PROGRAM: order.program_id,
-        HEADER_EPOCH: str(order.epoch),
-        HEADER_PRIORITY: str(order.priority),
-        HEADER_RESUME_OFFSET: str(order.resume_offset),
+        HEADER_CALL: request.call_id,
+        HEADER_PROGRAM: request.program_id,
+        HEADER_EPOCH: str(request.epoch),
+        HEADER_PRIORITY: str(request.priority),
+        HEADER_RESUME_OFFSET: str(request.resume_offset),
     }
 
 
-def _body(order: GenerateRequest) -> dict[str, Any]:
-    messages = [{"role": m.role, "content": m.content, **m.extra} for m in order.messages]
+def _body(request: GenerateRequest) -> dict[str, Any]:
+    messages = [{"role": m.role, "content": m.content, **m.extra} for m in request.messages]
     return {
-        **order.parameters,
-        "model": order.model,
+        **request.parameters,
+        "model": request.model,
         "messages": messages,
-        "max_tokens": order.maximum_tokens,
+        "max_tokens": request.maximum_tokens,
         "stream": True,
         "stream_options": {"include_usage": True},
     }
--- a/src/foxwinch/backends/ports.py
+++ b/src/foxwinch/backends/ports.py
@@ -124,7 +124,7 @@
 class GeneratePort(Protocol):
     """Generation of responses by model engines."""
 
-    def generate(self, worker: WorkerId, order: GenerateRequest) -> AsyncIterator[EngineEvent]:
+    def generate(self, worker: WorkerId, request: GenerateRequest) -> AsyncIterator[EngineEvent]:
         """Stream a response; the last event is `GenerateFinished` or `Refused`.
 
         Closing the iterator early cancels the call in the engine.
@@ -187,6 +187,6 @@
 class ToolPort(Protocol):
     """Operations of tool services."""
 
-    async def call(self, order: ToolRequest) -> ToolResult | Refused:
+    async def call(self, request: ToolRequest) -> ToolResult | Refused:
         """Call a tool once; the run state of a refusal states whether it may have run."""
         ...
--- a/src/foxwinch/backends/tools_http.py
+++ b/src/foxwinch/backends/tools_http.py
@@ -47,18 +47,18 @@
         self._urls_of = urls_of
         self._call_count = 0
 
-    async def call(self, order: ToolRequest) -> ToolResult | Refused:
+    async def call(self, request: ToolRequest) -> ToolResult | Refused:
         """Send the call to one of the tool's workers, round robin."""
-        urls = self._urls_of(order.tool)
+        urls = self._urls_of(request.tool)
         if not urls:
-            detail = f"no worker serves tool {order.tool}"
+            detail = f"no worker serves tool {request.tool}"
             return not_run(Reason.BACKEND_UNAVAILABLE, detail, UNAVAILABLE_RETRY_SECONDS)
         self._call_count += 1
         url = urls[self._call_count % len(urls)]
         service = RemoteService(
-            f"tool {order.tool}", Reason.BACKEND_UNAVAILABLE, Reason.TOOL_TIMEOUT
+            f"tool {request.tool}", Reason.BACKEND_UNAVAILABLE, Reason.TOOL_TIMEOUT
         )
-        response = await send_request(self._session, service, _request(url, order))
+        response = await send_request(self._session, service, _request(url, request))
         if isinstance(response, Refused):
             return response
         if response.status != 200:
@@ -69,12 +69,12 @@
             return malformed_response(service)
 
 
-def _request(url: str, order: ToolRequest) -> HttpRequest:
+def _request(url: str, request: ToolRequest) -> HttpRequest:
     headers = {
-        HEADER_CALL: order.call_id,
-        HEADER_PROGRAM: order.program_id,
+        HEADER_CALL: request.call_id,
+        HEADER_PROGRAM: request.program_id,
         "Content-Type": "application/json",
     }
-    body = json.dumps(order.arguments).encode()
-    address = f"{url.rstrip('/')}/{quote(order.tool, safe='')}"
-    return HttpRequest("POST", address, order.timeout_seconds, body, headers)
+    body = json.dumps(request.arguments).encode()
+    address = f"{url.rstrip('/')}/{quote(request.tool, safe='')}"
+    return HttpRequest("POST", address, request.timeout_seconds, body, headers)
--- a/src/foxwinch/bench/cluster_fuzz/planted.py
+++ b/src/foxwinch/bench/cluster_fuzz/planted.py
@@ -34,23 +34,23 @@
 class _LateDuplicates(_PortWrapper):
     """Runs a repeatable tool call a second time, three seconds later."""
 
-    async def call(self, order: ToolRequest) -> ToolOutcome:
-        if order.tool == REPEATABLE_TOOL:
-            asyncio.get_running_loop().call_later(3.0, self._run_again, order)
-        outcome: ToolOutcome = await self._inner.call(order)
+    async def call(self, request: ToolRequest) -> ToolOutcome:
+        if request.tool == REPEATABLE_TOOL:
+            asyncio.get_running_loop().call_later(3.0, self._run_again, request)
+        outcome: ToolOutcome = await self._inner.call(request)
         return outcome
 
-    def _run_again(self, order: ToolRequest) -> None:
-        self._inner.model.run(order, "late", asyncio.get_running_loop().time())
+    def _run_again(self, request: ToolRequest) -> None:
+        self._inner.model.run(request, "late", asyncio.get_running_loop().time())
 
 
 class _RetriedCalls(_PortWrapper):
     """Retries a failed call of the tool that must run at most once."""
 
-    async def call(self, order: ToolRequest) -> ToolOutcome:
-        outcome: ToolOutcome = await self._inner.call(order)
-        if isinstance(outcome, Refused) and order.tool == ONCE_TOOL:
-            outcome = await self._inner.call(order)
+    async def call(self, request: ToolRequest) -> ToolOutcome:
+        outcome: ToolOutcome = await self._inner.call(request)
+        if isinstance(outcome, Refused) and request.tool == ONCE_TOOL:
+            outcome = await self._inner.call(request)
         return outcome
 
 
@@ -58,10 +58,10 @@
     """Drops the second chunk of every response."""
 
     async def generate(
-        self, worker: WorkerId, order: GenerateRequest
+        self, worker: WorkerId, request: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
         chunks = 0
-        async for event in self._inner.generate(worker, order):
+        async for event in self._inner.generate(worker, request):
             chunks += isinstance(event, TokenChunk)
             if not (isinstance(event, TokenChunk) and chunks == 2):
                 yield event
--- a/src/foxwinch/bench/cluster_fuzz/world.py
+++ b/src/foxwinch/bench/cluster_fuzz/world.py
@@ -64,12 +64,12 @@
         self.dispatches: list[Dispatch] = []
 
     async def generate(
-        self, worker: WorkerId, order: GenerateRequest
+        self, worker: WorkerId, request: GenerateRequest
     ) -> AsyncGenerator[EngineEvent, None]:
         """Record the call and run it."""
         now = asyncio.get_running_loop().time()
-        self.dispatches.append(Dispatch(worker, order.program_id, now))
-        async for event in super().generate(worker, order):
+        self.dispatches.append(Dispatch(worker, request.program_id, now))
+        async for event in super().generate(worker, request):
             yield event
 
 
--- a/src/foxwinch/bench/overhead.py
+++ b/src/foxwinch/bench/overhead.py
@@ -1,8 +1,8 @@
 """Measure the overhead of a node relative to a pass-through proxy for the same engine.
 
-Both sides serve the same requests from the same engine process in the same run. The order of the
-sides alternates between rounds, so that other load on the machine affects both. Only ratios are
-compared.
+The node, the pass-through and the engine itself (`direct`) serve the same requests with the same
+engine process in the same run. Their order alternates between rounds, so that other load on the
+machine affects all of them. Only ratios are compared.
 """
 
 import asyncio
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Side:
-    """A server under test."""
+    """A server under test: the engine itself, the pass-through or the node."""
 
     name: str
     url: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SideFigures:
-    """Figures of one side: medians over the rounds, and mean processor time per request."""
+    """Figures of one side: medians over the rounds, and mean CPU time per request."""
 
     requests_per_second: float
     chunks_per_second: float
@@ -95,6 +95,7 @@
     throughput_ratio: float
     """Requests per second of the node, relative to the pass-through."""
     chunk_ratio: float
+    """Chunks per second of the node, relative to the pass-through."""
     added_latency_ratio: float | None
     """Median latency added to the engine's own by the node, relative to the pass-through.
 
@@ -205,7 +206,7 @@
 
 
 async def _wait_until_ready(side: Side) -> None:
-    """Retry until a full round succeeds, as new nodes must first take over the workers."""
+    """Retry until `READY_REQUESTS` succeed in a row: new nodes must first take over the workers."""
     load = _load(side, Case(1, 1, 1), READY_REQUESTS)
     async with asyncio.timeout(START_TIMEOUT_SECONDS):
         while True:
@@ -226,7 +227,7 @@
             results[side.name].append(await run_load(_load(side, case, case.requests)))
             processor[side.name] += side.process.processor_seconds() - before
     figures = {
-        name: _side_figures(rounds_of, processor[name]) for name, rounds_of in results.items()
+        name: _side_figures(side_results, processor[name]) for name, side_results in results.items()
     }
     compared = list(zip(*(results[side.name] for side in sides), strict=True))
     return CaseFigures(
--- a/src/foxwinch/commands/abandon_program.py
+++ b/src/foxwinch/commands/abandon_program.py
@@ -9,7 +9,8 @@
 from foxwinch.outcomes import Reason, Refused, not_run
 from foxwinch.records.program_trees import OwnedElsewhere
 
-OPERATOR_CAUSE = "asked by an operator"
+ABANDON_REASON = "asked by an operator"
+"""Reason stored in the journal."""
 
 
 class AbandonCommand:
@@ -26,13 +27,13 @@
             return tree
         if isinstance(tree, OwnedElsewhere):
             return not_run(Reason.NOT_OWNER, "another node serves the program", 1.0)
-        return await self._abandon_held(tree, program_id)
+        return await self._abandon_served(tree, program_id)
 
-    async def _abandon_held(self, tree: ServedTree, program_id: ProgramId) -> Accepted | Refused:
+    async def _abandon_served(self, tree: ServedTree, program_id: ProgramId) -> Accepted | Refused:
         program = tree.table.find(program_id)
         if program is None:
             return not_run(Reason.NOT_FOUND, f"program {program_id} is not known")
         refused = await self._owner.run_shielded(
-            end_program(self._owner.ports, tree, program, True, OPERATOR_CAUSE)
+            end_program(self._owner.ports, tree, program, True, ABANDON_REASON)
         )
         return Accepted() if refused is None else refused
--- a/src/foxwinch/core/streams.py
+++ b/src/foxwinch/core/streams.py
@@ -1,7 +1,7 @@
 """Framing of server-sent events in a worker's stream.
 
 An event may arrive in chunks and may be truncated. Only complete events are forwarded, so that a
-stream can be resumed at another worker after the last one.
+stream can be resumed at another worker after the last forwarded event.
 """
 
 from dataclasses import dataclass
--- a/src/foxwinch/platform/store_client.py
+++ b/src/foxwinch/platform/store_client.py
@@ -60,7 +60,7 @@
     """The platform's store; implements `foxwinch.records.ports.RecordStore`."""
 
     def __init__(self, address: str, metrics: ServingMetrics) -> None:
-        """Connect to `address` (`ip:port`); must be called in a running event loop."""
+        """Use the store at `address` (`ip:port`); must be called in a running event loop."""
         self._base = f"http://{address}"
         self._metrics = metrics
         self._pool = ConnectionPool(_open_session)
@@ -119,7 +119,7 @@
                     tuple(row for read in pages for row in read.malformed_rows),
                 )
             last_key = max(
-                (*(row.row.key for row in page.rows), *_undecodable_keys(page)), default=""
+                (*(row.row.key for row in page.rows), *_malformed_row_keys(page)), default=""
             )
             if last_key < query[FIRST_KEY] or not last_key:
                 detail = "the store returned a page without a key to continue from"
@@ -229,5 +229,5 @@
     return trace
 
 
-def _undecodable_keys(page: RowsRead) -> tuple[str, ...]:
+def _malformed_row_keys(page: RowsRead) -> tuple[str, ...]:
     return tuple(row.key for row in page.malformed_rows)
--- a/src/foxwinch/queries/cluster.py
+++ b/src/foxwinch/queries/cluster.py
@@ -25,18 +25,21 @@
 
 FACTS_METHOD = "operator.facts"
 PROGRAM_METHOD = "operator.program"
-FACTS_TIMEOUT_SECONDS = 2.0
-"""Timeout after which a node is listed as unresponsive; far above a region's round-trip time."""
+REQUEST_TIMEOUT_SECONDS = 2.0
+"""Timeout of a request to another node; far above a region's round-trip time.
+
+A node that does not return its facts in time is listed as unresponsive.
+"""
 MAX_CONCURRENT_REQUESTS = 32
 """Limit on concurrent requests, so that a query over hundreds of nodes causes no burst."""
-DEFAULT_PROGRAMS = 100
-MAX_PROGRAMS = 1_000
+DEFAULT_PROGRAM_LIMIT = 100
+MAX_PROGRAM_LIMIT = 1_000
 QUERIED_STATES = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 
 
 @dataclass(frozen=True, slots=True)
 class LocalFacts:
-    """The state that this node reports about itself."""
+    """Ports that report the state of this node, its workers and its programs."""
 
     node: NodeFacts
     workers: WorkerFacts
@@ -52,7 +55,7 @@
 
 
 class ClusterQueries:
-    """Requests the facts of every node and merges the responses."""
+    """Requests facts (node status, workers, programs) from every node and merges the responses."""
 
     def __init__(
         self,
@@ -102,7 +105,7 @@
         address = parse_address(located.address) if isinstance(located, OwnedElsewhere) else None
         if address is not None and self._peers is not None:
             response = await self._peers.call(
-                address, PROGRAM_METHOD, program_id.encode(), FACTS_TIMEOUT_SECONDS
+                address, PROGRAM_METHOD, program_id.encode(), REQUEST_TIMEOUT_SECONDS
             )
             if not isinstance(response, Refused):
                 return ProgramDetail.FromString(response)
@@ -121,7 +124,7 @@
             m.node for m, response in zip(others, responses, strict=True) if response is None
         ]
         received = [response for response in responses if response is not None]
-        return ClusterFacts([self._facts(request), *received], unresponsive)
+        return ClusterFacts([self._local_facts(request), *received], unresponsive)
 
     async def _query_node(
         self, member: Member, payload: bytes, semaphore: asyncio.Semaphore
@@ -130,11 +133,11 @@
             return None
         async with semaphore:
             response = await self._peers.call(
-                member.address, FACTS_METHOD, payload, FACTS_TIMEOUT_SECONDS
+                member.address, FACTS_METHOD, payload, REQUEST_TIMEOUT_SECONDS
             )
         return None if isinstance(response, Refused) else FactsResponse.FromString(response)
 
-    def _facts(self, request: FactsRequest) -> FactsResponse:
+    def _local_facts(self, request: FactsRequest) -> FactsResponse:
         response = FactsResponse(node=self._local.node.status())
         if request.workers:
             response.workers.extend(self._local.workers.workers())
@@ -146,7 +149,7 @@
         return response
 
     async def _serve_facts(self, context: PeerContext, payload: bytes) -> bytes | Refused:
-        return self._facts(FactsRequest.FromString(payload)).SerializeToString()
+        return self._local_facts(FactsRequest.FromString(payload)).SerializeToString()
 
     async def _serve_program(self, context: PeerContext, payload: bytes) -> bytes | Refused:
         detail = await self._local.programs.program(ProgramId(payload.decode()))
@@ -154,7 +157,7 @@
 
 
 def _limit(request: ListProgramsRequest) -> int:
-    return min(request.limit or DEFAULT_PROGRAMS, MAX_PROGRAMS)
+    return min(request.limit or DEFAULT_PROGRAM_LIMIT, MAX_PROGRAM_LIMIT)
 
 
 def _merge_status(member: Member, reported: NodeStatus | None) -> NodeStatus:
--- a/src/foxwinch/storage/rate_limit.py
+++ b/src/foxwinch/storage/rate_limit.py
@@ -1,4 +1,4 @@
-"""Client-side rate limiting of requests to the platform, which respects Retry-After."""
+"""Client-side rate limiting of requests to a service, including its Retry-After responses."""
 
 from foxwinch.clock import Clock
 from foxwinch.core.limits.token_bucket import TokenBucket
@@ -26,7 +26,7 @@
         if delay_seconds > MAX_WAIT_SECONDS:
             return not_run(
                 Reason.RATE_LIMITED,
-                "the node has used its share of the request rate",
+                "the node reached its request rate limit for the service",
                 delay_seconds,
             )
         delay_seconds = bucket.reserve(1.0, now)
--- a/src/foxwinch/workers/coordinator_handlers.py
+++ b/src/foxwinch/workers/coordinator_handlers.py
@@ -76,7 +76,11 @@
         return response
 
     async def report(self, owner: NodeId, report: GrantReport) -> GrantReportAnswer:
-        """Process a report, whose items are idempotent."""
+        """Process a report, whose items are idempotent.
+
+        The response lists the finished programs whose KV cache is released, and the calls whose
+        worker this node does not coordinate.
+        """
         response = GrantReportAnswer()
         for settled in report.settled:
             self._grants.settle(owner, settled)
@@ -94,7 +98,7 @@
         return response
 
     async def describe(self) -> StewardedWorkers:
-        """Return the state of the workers that the node holds."""
+        """Return the state of the workers that this node coordinates."""
         return StewardedWorkers(workers=[self._status(worker) for worker in self._pools.held()])
 
     async def order(self, order: WorkerOrder) -> WorkerOrderDone | Refused:
@@ -106,10 +110,10 @@
         held = self._pools.held().get(worker)
         if held is None:
             return not_run(Reason.NOT_OWNER, f"worker {worker} is not held by this coordinator")
-        fenced = ModelOrder(
+        model_order = ModelOrder(
             order.token, held.epoch, order.kind, ModelName(order.model), order.value
         )
-        done = await self._engine.apply_order(worker, fenced)
+        done = await self._engine.apply_order(worker, model_order)
         held.link.poll_now()
         return done if isinstance(done, Refused) else WorkerOrderDone()
 
@@ -122,7 +126,7 @@
             leaving=held.leaving,
             granted=len(self._ledger.worker_grants(worker)) + self._ledger.foreign_calls(worker),
             releases_pending=self._retries.pending(worker),
-            report_age_seconds=-1.0,
+            report_age_seconds=-1.0,  # no load report has been read
         )
         report, reported_at = held.link.report, held.link.reported_at
         if report is not None and reported_at is not None:
