--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -146,11 +146,11 @@
     """Put foreign entries into the list of workers, some of them undecodable."""
     key = f"x{context.rng.randrange(3)}"
     if context.rng.random() < 0.5:
-        context.handlers.foreign[key] = context.rng.choice(FOREIGN_ROWS)
+        context.handlers.row_overrides[key] = context.rng.choice(FOREIGN_ROWS)
     context.model.put("servers", key, context.rng.choice(FOREIGN_ENTRIES))
     await asyncio.sleep(seconds)
     context.model.remove("servers", key)
-    context.handlers.foreign.pop(key, None)
+    context.handlers.row_overrides.pop(key, None)
 
 
 async def inject_worker_faults(context: FaultContext, seconds: float) -> None:
