--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The project's commands. `make demo` and `make test` need only CPython 3.11, pip and make.
+# Development commands. `make demo` and `make test` need only CPython 3.11, pip and make.
 PYTHON ?= python3.11
 VENV := .venv
 BIN := $(VENV)/bin
@@ -21,7 +21,7 @@
 	$(BIN)/python -m pytest -n $(TEST_WORKERS) -m "not soak"
 	$(BIN)/python -m pytest -m soak
 
-# Real nodes on the users' platform with faults from outside them, with fresh seeds.
+# Runs real nodes on the users' platform with externally injected faults and new seeds.
 soak: $(STAMP)
 	cd tests && ../$(BIN)/python -m soak --seconds 40 --soaks $(SOAKS)
 
@@ -39,7 +39,7 @@
 
 check: lint format types imports test
 
-# Generated code is committed; only a change of a schema needs this.
+# Generated code is committed, so this is only needed after a schema has changed.
 generate: $(STAMP)
 	$(BIN)/python proto/generate.py
 
--- a/src/foxwinch/commands/apply_configuration.py
+++ b/src/foxwinch/commands/apply_configuration.py
@@ -32,7 +32,9 @@
 from foxwinch.settings.cluster import ClusterConfiguration
 
 MAX_ATTEMPTS = 5
-"""With the backoff below, an operator gets an answer within about 20 s while the store is down."""
+"""Maximum number of attempts to commit a change.
+
+With `RETRY_BACKOFF`, an operator gets a response within about 20 s while the store is down."""
 RETRY_BACKOFF = Backoff(base_seconds=0.2, cap_seconds=2.0)
 TOKEN_PATTERN = re.compile(r"[A-Za-z0-9-]{8,64}")
 
--- a/src/foxwinch/commands/execute.py
+++ b/src/foxwinch/commands/execute.py
@@ -51,7 +51,7 @@
     "the program has moved to another node and the outcome of the call is not known yet",
     retry_after_seconds=1.0,
 )
-"""For a known call whose driver has ended: its outcome may have been committed elsewhere."""
+"""Returned for a known call whose driver has ended; another node may have committed its outcome."""
 
 
 class ProgramExecutor:
--- a/src/foxwinch/commands/operator.py
+++ b/src/foxwinch/commands/operator.py
@@ -138,7 +138,7 @@
         return await self._local.workers.drain_worker(worker)
 
     async def abandon_program(self, program_id: ProgramId) -> Accepted | Refused:
-        """Abandon a program on the node that serves it, or on this node if that one is gone."""
+        """Abandon a program on the node that serves it, or here if that node no longer does."""
         root = root_of(program_id)
         located = await self._locate(root)
         if isinstance(located, Refused):
--- a/src/foxwinch/commands/requests.py
+++ b/src/foxwinch/commands/requests.py
@@ -14,7 +14,7 @@
     program_id: ProgramId
     model: ModelName
     messages: tuple[HistoryMessage, ...]
-    """The whole history followed by the new messages, or only the new ones; see `append`."""
+    """The full history followed by the new messages, or only the new ones; see `append`."""
     append: bool
     """True if `messages` follow the program's history, False if they repeat it from its start."""
     maximum_tokens: int
--- a/src/foxwinch/configuration/store.py
+++ b/src/foxwinch/configuration/store.py
@@ -76,7 +76,7 @@
         )
 
     async def read_token(self, revision: Revision) -> str | Refused | None:
-        """Read the token of the change that created a revision; return None if its row is gone."""
+        """Read the token of the change that created a revision; return None if it has no row."""
         row = await self._read(_revision_key(revision))
         if isinstance(row, Refused):
             return row
--- a/src/foxwinch/core/coordinator/grant_ledger.py
+++ b/src/foxwinch/core/coordinator/grant_ledger.py
@@ -26,7 +26,7 @@
     worker: WorkerId
     epoch: Epoch
     program_id: ProgramId | None
-    """None for a foreign call."""
+    """Program of the call; None for a foreign call."""
     pool: str
 
 
--- a/src/foxwinch/core/limits/usage.py
+++ b/src/foxwinch/core/limits/usage.py
@@ -17,7 +17,7 @@
 """Number of keys in a digest, those with the highest demand. Each takes 5 bytes, so a digest takes
 330 bytes."""
 MAX_DEMAND = 1.0
-"""Demand is capped at the whole limit, since a node cannot get more."""
+"""Demand is capped at the full limit, since a node cannot get more."""
 MIN_DEMAND = 2.0**-12
 STEPS_PER_DOUBLING = 8
 """Resolution of a published demand, here 9%."""
--- a/src/foxwinch/core/membership/actions.py
+++ b/src/foxwinch/core/membership/actions.py
@@ -42,7 +42,10 @@
     silent_seconds: float
     """Time since this node last received a new summary of the region; 0 for its own region."""
     cut_off: bool
-    """Whether the region has been silent long enough to count as partitioned from this one."""
+    """Whether the region is considered partitioned from this one.
+
+    This is the case when no new summary of it has arrived for `region_silent_seconds`.
+    """
 
 
 @dataclass(slots=True)
--- a/src/foxwinch/core/membership/engine.py
+++ b/src/foxwinch/core/membership/engine.py
@@ -94,7 +94,7 @@
         return self.this_member() in self._regions.bridges()
 
     def is_alone(self) -> bool:
-        """Return whether this node knows of no other present member of the region."""
+        """Return whether this node knows no other present member of its region."""
         return not self._state.table.present_others()
 
     def set_listed_addresses(self, addresses: Iterable[PeerAddress]) -> None:
--- a/src/foxwinch/core/records/account.py
+++ b/src/foxwinch/core/records/account.py
@@ -223,7 +223,7 @@
         self.valid_until = change.valid_until
 
     def _write_off(self) -> None:
-        """Count the whole lease as spent, after it has disappeared from the record."""
+        """Count the full lease as spent, after it has disappeared from the record."""
         self.lease = 0
         self.used = 0
         self.valid_until = 0.0
--- a/src/foxwinch/core/records/budget.py
+++ b/src/foxwinch/core/records/budget.py
@@ -16,7 +16,7 @@
 
     tokens: int
     expires_ms: int
-    """On the store's clock."""
+    """Expiry time on the store's clock."""
     sequence: int
     """Sequence number of the node's last change, by which it detects which change was applied."""
 
--- a/src/foxwinch/core/routing/directory.py
+++ b/src/foxwinch/core/routing/directory.py
@@ -65,7 +65,7 @@
     version: int
     """Version of the entry or of its removal."""
     last_resort_until: float | None = None
-    """None unless the worker is leaving."""
+    """Time until which a leaving worker is a last resort; None for other workers."""
     listed: bool = True
     """Whether the list has an entry for this worker."""
 
--- a/src/foxwinch/core/routing/load.py
+++ b/src/foxwinch/core/routing/load.py
@@ -32,7 +32,7 @@
     failures: int = 0
     """Consecutive failures."""
     avoid_until: float = 0.0
-    """On the node's monotonic clock."""
+    """Time until which the worker is avoided, on the node's monotonic clock."""
     wait_seconds: float = 0.0
     """Smoothed time to the start of a response, as of `wait_updated_at`."""
     wait_updated_at: float = 0.0
--- a/src/foxwinch/emulator/engine_worker.py
+++ b/src/foxwinch/emulator/engine_worker.py
@@ -115,7 +115,7 @@
             async for event in events:
                 if isinstance(event, TokenChunk):
                     if sent >= break_at:
-                        yield outcome_unknown(Reason.BACKEND_FAILED, "the stream broke")
+                        yield outcome_unknown(Reason.BACKEND_FAILED, "the stream was interrupted")
                         return
                     sent += 1
                 yield event
@@ -126,7 +126,7 @@
             detail = f"worker {self.settings.name} is leaving"
             refused = not_run(Reason.BACKEND_UNAVAILABLE, detail, LEAVING_RETRY_SECONDS)
         if refused is None and request.resume_offset < 0:
-            refused = not_run(Reason.INVALID_REQUEST, "resume offset below zero")
+            refused = not_run(Reason.INVALID_REQUEST, "the resume offset must not be negative")
         return refused
 
     def _check_epoch(self, epoch: int) -> Refused | None:
@@ -257,7 +257,7 @@
         try:
             hashes = tuple(int(block) for block in json.loads(data)["blocks"])
         except (ValueError, KeyError, TypeError):
-            return not_run(Reason.INVALID_REQUEST, "not an export of a cache")
+            return not_run(Reason.INVALID_REQUEST, "the data is not an exported KV cache")
         transfer = self._clock.identifier()
         await self._driver.complete(transfer, ImportBlocks(transfer, program_id, hashes))
         self._cached_prefixes[program_id] = hashes
@@ -269,7 +269,7 @@
         if known == order:
             return Completed()
         if known is not None:
-            return not_run(Reason.INVALID_REQUEST, "token was used for another order")
+            return not_run(Reason.INVALID_REQUEST, "the token was used for another order")
         refused = self._check_epoch(order.epoch)
         if refused is None and order.kind not in ORDER_KINDS:
             refused = not_run(Reason.INVALID_REQUEST, f"unknown kind of order {order.kind}")
--- a/src/foxwinch/emulator/http_engine.py
+++ b/src/foxwinch/emulator/http_engine.py
@@ -66,7 +66,9 @@
         try:
             generate_request = _parse_generate_request(request, body)
         except (ValueError, KeyError, TypeError, AttributeError):
-            return refusal_response(not_run(Reason.INVALID_REQUEST, "not a chat completion"))
+            return refusal_response(
+                not_run(Reason.INVALID_REQUEST, "the body is not a chat completion request")
+            )
         outcome = await engine.gate.leave()
         if outcome is ResponseOutcome.DELIVERED:
             return await _stream(request, engine, generate_request)
@@ -101,7 +103,9 @@
         try:
             document = ReleaseDocument.model_validate_json(body)
         except ValidationError:
-            return refusal_response(not_run(Reason.INVALID_REQUEST, "not a list of programs"))
+            return refusal_response(
+                not_run(Reason.INVALID_REQUEST, "the body is not a list of programs")
+            )
         for program in document.programs:
             engine.release(ProgramId(program))
         return await _respond_completed(request, engine, Completed())
@@ -121,7 +125,7 @@
         try:
             after = int(request.query["after"])
         except (KeyError, ValueError):
-            return refusal_response(not_run(Reason.INVALID_REQUEST, "after is a number"))
+            return refusal_response(not_run(Reason.INVALID_REQUEST, "`after` must be a number"))
         page = engine.cache_events(after)
         return await respond(request, engine.gate, web.json_response(asdict(page)))
 
@@ -154,7 +158,7 @@
         try:
             document = OrderDocument.model_validate_json(body)
         except ValidationError:
-            return refusal_response(not_run(Reason.INVALID_REQUEST, "not an order"))
+            return refusal_response(not_run(Reason.INVALID_REQUEST, "the body is not an order"))
         order = ModelOrder(
             document.token,
             Epoch(document.epoch),
--- a/src/foxwinch/emulator/http_platform.py
+++ b/src/foxwinch/emulator/http_platform.py
@@ -47,7 +47,9 @@
         try:
             transaction = TransactionDocument.model_validate_json(body)
         except ValidationError:
-            return refusal_response(not_run(Reason.INVALID_REQUEST, "not a transaction"))
+            return refusal_response(
+                not_run(Reason.INVALID_REQUEST, "the body is not a transaction")
+            )
         conditions, writes = _conditions(transaction), _writes(transaction)
         outcome = gate.apply(lambda: self._emulated_services.store.apply(conditions, writes))
         if isinstance(outcome, Conflict):
--- a/src/foxwinch/emulator/http_tools.py
+++ b/src/foxwinch/emulator/http_tools.py
@@ -37,7 +37,7 @@
         try:
             tool_request = _tool_request(request, json.loads(body))
         except (ValueError, KeyError):
-            return refusal_response(not_run(Reason.INVALID_REQUEST, "not a call of a tool"))
+            return refusal_response(not_run(Reason.INVALID_REQUEST, "the body is not a tool call"))
         now = self._emulated_services.clock.monotonic()
         outcome = gate.apply(lambda: self._emulated_services.tools.run(tool_request, worker, now))
         if isinstance(outcome, Refused):
--- a/src/foxwinch/emulator/in_process.py
+++ b/src/foxwinch/emulator/in_process.py
@@ -66,7 +66,7 @@
         if not done:
             return outcome_unknown(
                 timeout_reason or self._unavailable,
-                f"{self.name} did not answer in {timeout_seconds} s",
+                f"{self.name} did not respond within {timeout_seconds} s",
             )
         return task.result()
 
@@ -93,7 +93,7 @@
             await self._clock.sleep(HANG_SECONDS)
         if await self.gate.leave() is ResponseOutcome.DELIVERED:
             return result
-        return outcome_unknown(self._unavailable, f"the answer of {self.name} was lost")
+        return outcome_unknown(self._unavailable, f"the response of {self.name} was lost")
 
 
 class InProcessRecords:
--- a/src/foxwinch/emulator/in_process_engine.py
+++ b/src/foxwinch/emulator/in_process_engine.py
@@ -51,7 +51,7 @@
                 if outcome is ResponseOutcome.DELIVERED or isinstance(event, Refused):
                     yield event
         if outcome is not ResponseOutcome.DELIVERED:
-            yield outcome_unknown(Reason.BACKEND_FAILED, f"the answer of {worker} was lost")
+            yield outcome_unknown(Reason.BACKEND_FAILED, f"the response of {worker} was lost")
 
     async def cancel(self, worker: WorkerId, call_id: CallId) -> Completed | Refused:
         """See the port."""
@@ -92,7 +92,9 @@
             async with asyncio.timeout(timeout_seconds):
                 decision = await engine.gate.enter()
         except TimeoutError:
-            return outcome_unknown(Reason.BACKEND_FAILED, f"worker {worker} did not answer in time")
+            return outcome_unknown(
+                Reason.BACKEND_FAILED, f"worker {worker} did not respond in time"
+            )
         if decision.verdict is GateVerdict.PASS:
             return None
         limited = decision.verdict is GateVerdict.LIMITED
@@ -116,10 +118,12 @@
                 result = await effect(engine)
                 outcome = await engine.gate.leave()
         except TimeoutError:
-            return outcome_unknown(Reason.BACKEND_FAILED, f"worker {worker} did not answer in time")
+            return outcome_unknown(
+                Reason.BACKEND_FAILED, f"worker {worker} did not respond in time"
+            )
         if outcome is ResponseOutcome.DELIVERED:
             return result
-        return outcome_unknown(Reason.BACKEND_FAILED, f"the answer of {worker} was lost")
+        return outcome_unknown(Reason.BACKEND_FAILED, f"the response of {worker} was lost")
 
 
 async def _now(result: Result) -> Result:
--- a/src/foxwinch/emulator/memory_port.py
+++ b/src/foxwinch/emulator/memory_port.py
@@ -25,8 +25,10 @@
 if TYPE_CHECKING:
     from foxwinch.emulator.network import MemoryNetwork
 
-CONNECTION_LOST = outcome_unknown(Reason.PEER_UNREACHABLE, "the connection broke before the answer")
-DEADLINE_EXCEEDED = outcome_unknown(Reason.DEADLINE, "no answer before the deadline")
+CONNECTION_LOST = outcome_unknown(
+    Reason.PEER_UNREACHABLE, "the connection was lost before the response"
+)
+DEADLINE_EXCEEDED = outcome_unknown(Reason.DEADLINE, "no response before the deadline")
 END_OF_STREAM = None
 CLOCK_STEP_SECONDS = 1e-5
 """Shortest wait; one below the resolution of a virtual clock would end without advancing it."""
--- a/src/foxwinch/emulator/network.py
+++ b/src/foxwinch/emulator/network.py
@@ -122,7 +122,7 @@
             loop.call_later(delay_seconds, self._deliver, source, target, payload)
 
     async def transfer(self, source: PeerAddress, target: PeerAddress) -> bool:
-        """Transfer one stream message in order; return False if the target is gone.
+        """Transfer one stream message in order; return False if the target's port is closed.
 
         On a cut link the message waits until the link is restored.
         """
--- a/src/foxwinch/emulator/record_store.py
+++ b/src/foxwinch/emulator/record_store.py
@@ -51,7 +51,7 @@
 
     fault: StoreFault = StoreFault.NONE
     partitions: frozenset[str] | None = None
-    """Partitions that the fault applies to; None means all, and reads of whole tables too."""
+    """Partitions that the fault applies to; None means all, including reads of complete tables."""
     delay_seconds: float = 0.0
     """Delay before each request is processed."""
     late_seconds: float = 3.0
@@ -189,7 +189,7 @@
             if fault is not StoreFault.RESPONSE_LOST:
                 return outcome
         await self._clock.sleep(timeout_seconds)
-        return outcome_unknown(Reason.STORE_UNAVAILABLE, "no answer")
+        return outcome_unknown(Reason.STORE_UNAVAILABLE, "the store did not respond")
 
     def apply(
         self, conditions: tuple[RowCondition, ...], writes: tuple[RowWrite, ...]
@@ -260,7 +260,7 @@
         delay = self.store_faults.delay_seconds
         if fault is StoreFault.UNRESPONSIVE or delay > timeout_seconds:
             await self._clock.sleep(timeout_seconds)
-            return outcome_unknown(Reason.STORE_UNAVAILABLE, "no answer")
+            return outcome_unknown(Reason.STORE_UNAVAILABLE, "the store did not respond")
         if delay:
             await self._clock.sleep(delay)
         return None
--- a/src/foxwinch/emulator/tools.py
+++ b/src/foxwinch/emulator/tools.py
@@ -90,7 +90,7 @@
     def run(self, request: ToolRequest, worker: str, now: float) -> ToolResult | Refused:
         """Run a tool; a call that is sent twice runs twice, as at a real service."""
         if self._tools is not None and request.tool not in self._tools:
-            return not_run(Reason.NOT_FOUND, f"no tool {request.tool} here")
+            return not_run(Reason.NOT_FOUND, f"unknown tool {request.tool}")
         self.executions.append(
             ToolExecution(
                 request.call_id, request.program_id, request.tool, request.arguments, worker, now
--- a/src/foxwinch/gateway/request_body.py
+++ b/src/foxwinch/gateway/request_body.py
@@ -50,7 +50,7 @@
             Reason.INVALID_REQUEST, f"headers are longer than {limits.header_bytes} bytes"
         )
     try:
-        if request.content.is_eof():  # the whole body has arrived; no timeout is needed
+        if request.content.is_eof():  # the complete body has arrived; no timeout is needed
             data = await request.read()
         else:
             async with asyncio.timeout(limits.read_seconds):
--- a/src/foxwinch/node/ports.py
+++ b/src/foxwinch/node/ports.py
@@ -20,9 +20,9 @@
     engine: EnginePort
     tools: ToolPort | None = None
     records: RecordStore | None = None
-    """None: without a shared store, all state is kept in memory."""
+    """Shared store; None means that all state is kept in memory."""
     machines: MachinePort | None = None
     peers: PeerPort | None = None
-    """None: the node has no peers."""
+    """Connections to peers; None means that the node has no peers."""
     peer_address: PeerAddress = NO_PEER_ADDRESS
     """Address of `peers`, with the bound port."""
--- a/src/foxwinch/peer/inbound.py
+++ b/src/foxwinch/peer/inbound.py
@@ -44,7 +44,9 @@
         """Start the hello timeout, or abort if there are too many connections."""
         super().connection_made(transport)
         if not self._on_opened(self):
-            self.log.warning("peer_connection_refused", peer=self.remote(), cause="too many")
+            self.log.warning(
+                "peer_connection_refused", peer=self.remote(), cause="too many connections"
+            )
             self.abort()
             return
         self._timer = self.loop.call_later(HELLO_TIMEOUT_SECONDS, self._check_idle)
--- a/src/foxwinch/platform/worker_client.py
+++ b/src/foxwinch/platform/worker_client.py
@@ -43,7 +43,7 @@
 SKIPPED_AUTO_HEADERS = frozenset(
     {"host", "accept-encoding", "user-agent", "accept", "content-type"}
 )
-"""Headers that the HTTP library would otherwise add by itself."""
+"""Headers that the HTTP library would otherwise add automatically."""
 CONNECTION_ERRORS = (aiohttp.ClientError, OSError, ValueError, asyncio.IncompleteReadError)
 
 
@@ -102,7 +102,7 @@
         )
 
     async def read_body(self) -> bytes | CallInterrupted:
-        """Read the whole body."""
+        """Read the complete body."""
         try:
             body = await self._response.content.read()
         except CONNECTION_ERRORS as error:
--- a/src/foxwinch/queries/configuration.py
+++ b/src/foxwinch/queries/configuration.py
@@ -16,7 +16,7 @@
 STATUS_METHOD = "configuration.status"
 STATUS_TIMEOUT_SECONDS = 2.0
 MAX_CONCURRENT_REQUESTS = 32
-"""With this limit, 570 nodes are queried in about twenty rounds of a few milliseconds."""
+"""Maximum number of nodes queried at once: 570 nodes take about 20 rounds of a few ms each."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     zone: ZoneName
     state: MemberState
     held: Revision | None
-    """None if the node did not respond."""
+    """Revision that the node holds; None if the node did not respond."""
     heard: Revision | None
     serving: bool
 
--- a/src/foxwinch/records/ports.py
+++ b/src/foxwinch/records/ports.py
@@ -31,7 +31,7 @@
 
     row: RowKey
     value: bytes | None
-    """None if the row was removed."""
+    """Content of the row; None if the row was removed."""
     version: int
 
 
--- a/src/foxwinch/serving/messages.py
+++ b/src/foxwinch/serving/messages.py
@@ -42,7 +42,7 @@
     """The headers that are forwarded to the worker."""
     body: bytes
     received_at: float
-    """On the node's monotonic clock."""
+    """Time of receipt on the node's monotonic clock."""
     deadline_seconds: float | None
     """The caller's timeout, counted from `received_at`, if it states one."""
     program: ProgramParameters | None = None
--- a/src/foxwinch/serving/node.py
+++ b/src/foxwinch/serving/node.py
@@ -66,9 +66,10 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether the store has been unreachable for so long that other nodes may serve better.
+        """Whether the store has been unreachable for more than `ISOLATION_SECONDS`.
 
-        When the store is down for all nodes, all are isolated and requests go to all of them.
+        Other nodes may then serve requests better. When the store is down for all nodes, all are
+        isolated and requests go to all of them.
         """
         return self._store.unavailable_seconds() > ISOLATION_SECONDS
 
--- a/src/foxwinch/settings/cluster.py
+++ b/src/foxwinch/settings/cluster.py
@@ -37,7 +37,7 @@
     rank: Annotated[int, Field(ge=0, le=9)]
     """0 is the most urgent class, which is shed last under overload."""
     deadline_seconds: PositiveSeconds
-    """Latency target of a whole program of this class, without the time spent in tools."""
+    """Latency target of a complete program of this class, without the time spent in tools."""
     requests_per_second: Annotated[float, Field(gt=0)] | None = None
     """Limit over all tenants and nodes; None means no limit."""
     tokens_per_second: Annotated[float, Field(gt=0)] | None = None
--- a/src/foxwinch/workers/coordinator_client.py
+++ b/src/foxwinch/workers/coordinator_client.py
@@ -69,7 +69,7 @@
         if coordinator.node == self._node:
             return await self._local.acquire(self._node, ask)
         if self._peers is None:
-            return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
+            return not_run(Reason.PEER_UNREACHABLE, "this node has no peer endpoint")
         responses = self._peers.stream(
             coordinator.address, ACQUIRE_METHOD, ask.SerializeToString(), ask.remaining_seconds
         )
@@ -117,7 +117,7 @@
         deadline: float,
     ) -> Response | Refused:
         if self._peers is None:
-            return not_run(Reason.PEER_UNREACHABLE, "this node has no peer side")
+            return not_run(Reason.PEER_UNREACHABLE, "this node has no peer endpoint")
         payload = await self._peers.call(
             coordinator.address, method, request.SerializeToString(), deadline
         )
--- a/src/foxwinch/workers/coordinator_pools.py
+++ b/src/foxwinch/workers/coordinator_pools.py
@@ -33,7 +33,7 @@
     on_ready: Callable[[], None]
     releasing: bool = False
     leaving: bool = False
-    """Whether any source reports the worker as leaving; kept to detect the transition."""
+    """Whether any source reports the worker as leaving; stored to detect the transition."""
     ready: bool = False
 
 
--- a/src/foxwinch/workers/coordinator_service.py
+++ b/src/foxwinch/workers/coordinator_service.py
@@ -50,9 +50,10 @@
 """Time to wait for the claim of the next coordinator, which arrives by gossip and may be queued."""
 DIGEST_INTERVAL_SECONDS = 2.0
 DIGEST_INTERVAL_SECONDS_PER_MEMBER = 0.3
-"""If only queue lengths change, the interval between digests is at least `DIGEST_INTERVAL_SECONDS`
-and this time multiplied by the number of members. More frequent digests would use up the gossip
-budget."""
+"""Minimum interval between digests per member.
+
+If only queue lengths change, the interval is at least `DIGEST_INTERVAL_SECONDS` and this time
+multiplied by the number of members. More frequent digests would use up the gossip budget."""
 
 log = EventLog("steward")
 
--- a/src/foxwinch/workers/grants_service.py
+++ b/src/foxwinch/workers/grants_service.py
@@ -52,9 +52,9 @@
     """State of one request while coordinators are tried."""
 
     request: GrantRequest
-    asked_at: float
+    requested_at: float
     unqueued_since: float
-    """Time since which no coordinator has kept the request in its queue."""
+    """Time since which no coordinator has held the request in its queue."""
     last_refusal: Refused | None = None
     refused_by: set[NodeId] = field(default_factory=set)
     """Coordinators that have refused the request; the remaining ones are tried first."""
@@ -167,7 +167,7 @@
     ) -> GrantGiven | Refused:
         now = self._clock.monotonic()
         sequence = self._reports.next_sequence()
-        ask = ask_message(search.request, now, now - search.asked_at, sequence)
+        ask = ask_message(search.request, now, now - search.requested_at, sequence)
         has_response = False
         try:
             response = await self._client.acquire(coordinator.member, ask)
@@ -183,7 +183,7 @@
                 self._report_event.set()
 
     def _record_grant(self, request: GrantRequest, given: GrantGiven, search: _Search) -> Grant:
-        grant = grant_of(given, self._clock.monotonic() - search.asked_at)
+        grant = grant_of(given, self._clock.monotonic() - search.requested_at)
         self._reports.granted(request.program_id, grant, given.sequence)
         return grant
 
--- a/tests/soak/operator.py
+++ b/tests/soak/operator.py
@@ -22,7 +22,7 @@
 PROBE_INTERVAL_SECONDS = 0.3
 """Time between probes of one node; longer with many nodes."""
 FULL_RATE_NODES = 10
-"""With more nodes, the probe interval grows in proportion to their number."""
+"""Number of nodes above which the probe interval grows in proportion to their number."""
 PROBE_TIMEOUT_SECONDS = 1.0
 NO_ROUTE_STATUS = 404
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -218,7 +218,7 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Oracle: each accepted revision stands for exactly one document."""
+    """Oracle: each accepted revision identifies exactly one document."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -110,7 +110,7 @@
     assert read.run_state is RunState.NOT_RUN
 
 
-# Guards against discarding a whole table because one row could not be decoded.
+# Guards against discarding a complete table because one row could not be decoded.
 @pytest.mark.parametrize("key", ["a", "b", "c", "d"])
 @pytest.mark.parametrize("spoiled", [{"value": "abc"}, {"value": None}, {"ver": 1e999}])
 async def test_a_malformed_row_does_not_affect_other_rows(server_and_store, key, spoiled):
--- a/tests/test_routing_core.py
+++ b/tests/test_routing_core.py
@@ -132,8 +132,8 @@
     assert directory.eligible_workers("s", 0.1) == []
 
 
-# Guards against sending work to a worker that drained for so long that it was evicted, then read
-# again from the list as if it had just started to drain.
+# Guards against sending work to a worker that was evicted after a long drain and then read again
+# from the list as if it had just started to drain.
 def test_long_draining_worker_is_no_last_resort_when_the_list_is_read_again():
     directory = WorkerDirectory()
     directory.put(worker(1, draining=True), 1, last_resort_deadlines(0.0))
